--- a/bench/quota/main.go
+++ b/bench/quota/main.go
@@ -29,7 +29,7 @@
 
 func demand(w *gateways.World, of ...float64) {
 	for i, n := range w.Nodes {
-		n.Demand = quota.Of(of[min(i, len(of)-1)])
+		n.Demand = quota.PartOf(of[min(i, len(of)-1)])
 	}
 }
 
@@ -176,7 +176,7 @@
 		w := gateways.New(seed, set, 2+int(seed%3), 1+int(seed/3%4), make)
 		w.GoOn = true
 		for _, node := range w.Nodes {
-			node.Demand = quota.Of(w.Rand.Float64())
+			node.Demand = quota.PartOf(w.Rand.Float64())
 		}
 		w.Play(gateways.Draw(w, 40*time.Second)) // it goes on when the sum is over the quota: no error
 		if worst = max(worst, w.Most.Fraction()); w.Most > quota.Whole {
@@ -201,7 +201,7 @@
 		runtime.ReadMemStats(&before)
 		world := gateways.New(1, set, 5, n/5, gateways.Leases)
 		for i, node := range world.Nodes {
-			node.Demand = quota.Of([]float64{2, 0.2, 0.5, 0, 1.5}[i%5] / float64(n))
+			node.Demand = quota.PartOf([]float64{2, 0.2, 0.5, 0, 1.5}[i%5] / float64(n))
 		}
 		world.Run(4 * time.Second)
 		sent := world.Sent
--- a/bench/quota/rivals.go
+++ b/bench/quota/rivals.go
@@ -76,7 +76,7 @@
 	if sum <= 1 {
 		return quota.Limit{Own: g.demand}
 	}
-	return quota.Limit{Own: quota.Of(g.demand.Fraction() / sum)}
+	return quota.Limit{Own: quota.PartOf(g.demand.Fraction() / sum)}
 }
 
 // server is what three of the ways have in common: one gateway divides the whole quota by
@@ -182,7 +182,7 @@
 			sum += t.demand.Fraction()
 		}
 	}
-	part := quota.Of(s.heard[to].demand.Fraction() / max(sum, 1))
+	part := quota.PartOf(s.heard[to].demand.Fraction() / max(sum, 1))
 	if !s.counts {
 		return part
 	}
--- a/bench/restart/main.go
+++ b/bench/restart/main.go
@@ -37,7 +37,7 @@
 func settings() policy.Settings {
 	return policy.Settings{
 		Classes:   []policy.Class{{Aim: aim, Deadline: give, Worth: 1, LateWorth: 0.3}},
-		FleetSize: 1, MaxAttempts: 3, Cancel: true, ConnIdle: 10 * time.Second, StartCapacity: 1,
+		FleetSize: 1, MaxAttempts: 3, Cancel: true, ConnIdleTimeout: 10 * time.Second, StartCapacity: 1,
 	}
 }
 
@@ -98,7 +98,7 @@
 	for i := range 2 * servers {
 		id := policy.EndpointID(i + 1)
 		w.servers[id] = &server{free: make([]time.Duration, workers), kind: i % 2}
-		w.list = append(w.list, policy.Endpoint{ID: id, Kind: i % 2, Nominal: 1, Readiness: policy.Ready})
+		w.list = append(w.list, policy.Endpoint{ID: id, Kind: i % 2, NominalSize: 1, Readiness: policy.Ready})
 	}
 	seconds := warmUp + shown + 2
 	w.worth, w.asked = make([]float64, seconds), make([]float64, seconds)
@@ -138,7 +138,7 @@
 		r := &request{id: w.last, at: w.now}
 		w.requests[r.id] = r
 		w.asked[w.second(r)]++
-		w.carryOut(w.balancer.Request(w.now, policy.Request{ID: r.id, Left: give, Tenant: -1}))
+		w.carryOut(w.balancer.Request(w.now, policy.Request{ID: r.id, TimeLeft: give, Tenant: -1}))
 		w.arrive(rate)
 	})
 }
@@ -156,7 +156,7 @@
 			w.end(a.Request, 0)
 		case policy.SetTimer:
 			life := w.restarts
-			w.in(a.In, func() {
+			w.in(a.Delay, func() {
 				if w.restarts == life {
 					w.carryOut(w.balancer.Timer(w.now, a.Token))
 				}
@@ -218,12 +218,12 @@
 	capacity := servers * workers * (speeds[0] + speeds[1]) / work.Seconds()
 	w.arrive(load * capacity)
 	w.run(warmUp * time.Second)
-	known := learnt.Read(w.now, w.balancer)
+	known := learnt.Snapshot(w.now, w.balancer)
 	if err := w.restart(seed + 1); err != nil {
 		return nil, err
 	}
 	if warm {
-		known.Into(w.now, w.balancer, []int{0})
+		known.Apply(w.now, w.balancer, []int{0})
 	}
 	w.run((warmUp + shown + 1) * time.Second)
 	lost := make([]float64, shown)
--- a/bench/structures/main.go
+++ b/bench/structures/main.go
@@ -218,13 +218,13 @@
 	before = heapBytes()
 	var table compact.Table[value]
 	for i := range n {
-		table.Put(key(i))
+		table.FindOrInsert(key(i))
 	}
 	line("compact", before, &table, func(i int) {
 		if h := table.Find(key(i)); h != compact.None {
 			table.Remove(h)
 		}
-		h, _ := table.Put(key(i + n))
+		h, _ := table.FindOrInsert(key(i + n))
 		*table.At(h) = value{1}
 		if h := table.Find(key(i + n/2)); h != compact.None {
 			found += int(table.At(h)[0])
--- a/bench/trial/main.go
+++ b/bench/trial/main.go
@@ -102,7 +102,7 @@
 			defer func() { <-places }()
 			broke, r := play(c, keep, &mu)
 			if broke == unsure {
-				fmt.Printf("seed %d: this machine was held up for longer than %v when a time was exceeded, and nothing else was broken; it is played again\n", c.Seed, permit.HoldUp)
+				fmt.Printf("seed %d: this machine was held up for longer than %v when a time was exceeded, and nothing else was broken; it is played again\n", c.Seed, permit.MaxStall)
 				broke, r = play(c, keep, &mu)
 			}
 			if broke == broken && r != nil && shrinkIn > 0 {
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -28,45 +28,45 @@
 // AllClasses is the set of every class.
 const AllClasses = Classes(math.MaxUint64)
 
-// Call is what a team may ask of a service: some classes, with limits over all
+// CallLimits is what a team may ask of a service: some classes, with limits over all
 // of them together.
-type Call struct {
+type CallLimits struct {
 	Classes Classes
 	Rate    float64 // requests a second, sustained; 0: no limit
 	Burst   float64 // requests that may come at once; at least 1 where there is a rate
 	Work    float64 // seconds of endpoint work a second, sustained; 0: no limit
-	Shared  bool    // the limits are of many processes together, and this one has what SetPart says
+	Shared  bool    // the limits are of many processes together, and this one has what SetQuota says
 }
 
 // Contract is between one team and the service.
 type Contract struct {
 	Team  string
 	Share float64 // of capacity, owed while there is too little of it; 0: what is left over
-	Calls []Call
+	Calls []CallLimits
 }
 
 // Terms are the contracts of one service.
 type Terms struct {
-	Classes   int // how many the service has
-	Contracts []Contract
-	Strangers *Contract // of all that have no contract, together; nil: they are turned away
+	Classes      int // how many the service has
+	Contracts    []Contract
+	Uncontracted *Contract // of all that have no contract, together; nil: they are turned away
 }
 
 // Verdict is what becomes of a request.
 type Verdict struct {
-	Kind  Kind
-	After time.Duration // when the next such request would conform; of OverRate and OverShare
-	Owed  bool          // of Admitted: there is too little for all, and this is of the team's part
+	Outcome    Outcome
+	RetryAfter time.Duration // when the next such request would conform; of OverRate and OverShare
+	Guaranteed bool          // of Admitted: there is too little for all, and this is of the team's part
 }
 
-// Kind is the kind of a verdict.
-type Kind uint8
+// Outcome is the kind of a verdict.
+type Outcome uint8
 
 const (
-	Admitted   Kind = iota
-	NotAllowed      // the contract has no such call, or there is none
-	OverRate        // of the call, in requests or work
-	OverShare       // the service is short of capacity, and the team has had its part
+	Admitted   Outcome = iota
+	NotAllowed         // the contract has no such call, or there is none
+	OverRate           // of the call, in requests or work
+	OverShare          // the service is short of capacity, and the team has had its part
 )
 
 const (
@@ -108,7 +108,7 @@
 }
 
 type call struct {
-	Call
+	CallLimits
 	requests, work gcra
 	part           part
 }
@@ -155,8 +155,8 @@
 		b.teams[name] = b.take(old[name], &t.Contracts[i])
 		delete(old, name)
 	}
-	if t.Strangers != nil {
-		b.strangers = b.take(oldStrangers, t.Strangers)
+	if t.Uncontracted != nil {
+		b.strangers = b.take(oldStrangers, t.Uncontracted)
 	} else if oldStrangers != nil {
 		b.drop(oldStrangers)
 	}
@@ -173,7 +173,7 @@
 	calls := make([]call, len(c.Calls))
 	rate := 0.0
 	for i := range c.Calls {
-		calls[i].Call = c.Calls[i]
+		calls[i].CallLimits = c.Calls[i]
 		rate += c.Calls[i].Rate
 		if before := a.find(firstClass(c.Calls[i].Classes)); before != nil {
 			calls[i].requests, calls[i].work, calls[i].part = before.requests, before.work, before.part
@@ -245,17 +245,17 @@
 	b.advance(now)
 	a := b.account(team)
 	if a == nil {
-		return Ticket{}, Verdict{Kind: NotAllowed}
+		return Ticket{}, Verdict{Outcome: NotAllowed}
 	}
 	c := a.find(class)
 	if c == nil {
-		return Ticket{}, Verdict{Kind: NotAllowed}
+		return Ticket{}, Verdict{Outcome: NotAllowed}
 	}
 	work := b.charge(class, hint)
 	if c.Shared {
 		c.ask(work)
 		if !c.settle(b.now) {
-			return Ticket{}, Verdict{Kind: OverRate, After: noPartWait}
+			return Ticket{}, Verdict{Outcome: OverRate, RetryAfter: noPartWait}
 		}
 	}
 	requests, perWork := c.requestLimit(), c.workLimit()
@@ -263,19 +263,19 @@
 		if c.Shared { // a larger part may be here sooner than this one lets another in
 			wait = min(wait, noPartWait)
 		}
-		return Ticket{}, Verdict{Kind: OverRate, After: wait}
+		return Ticket{}, Verdict{Outcome: OverRate, RetryAfter: wait}
 	}
 	within := b.capacity.tight && b.shares.asks(&a.share, b.capacity.owedRate(), work)
 	if wait := b.overShare(a); wait > 0 && !within && !b.capacity.idle(b.now) {
 		b.capacity.refused = true
-		return Ticket{}, Verdict{Kind: OverShare, After: wait}
+		return Ticket{}, Verdict{Outcome: OverShare, RetryAfter: wait}
 	}
 	c.requests.charge(b.now, requests, 1)
 	c.work.charge(b.now, perWork, work)
 	b.shares.charge(&a.share, b.capacity.rate(), work)
 	b.capacity.begun(b.now, work)
 	a.tokens = math.Min(a.tokens+retryPerRequest, a.most)
-	return Ticket{account: a, call: c, class: class, work: work, admitted: b.now}, Verdict{Owed: b.capacity.tight}
+	return Ticket{account: a, call: c, class: class, work: work, admitted: b.now}, Verdict{Guaranteed: b.capacity.tight}
 }
 
 // learn takes what an answer took for the work of a class without hints: better than
@@ -322,10 +322,10 @@
 	return unknownWork
 }
 
-// Again judges one more attempt of a request, a retry or a second copy, and
+// AdmitRetry judges one more attempt of a request, a retry or a second copy, and
 // charges it to the team that caused it. It reports false where that team has
 // no attempts left, or has had its share while there is too little.
-func (b *Broker) Again(now time.Duration, t *Ticket) bool {
+func (b *Broker) AdmitRetry(now time.Duration, t *Ticket) bool {
 	b.advance(now)
 	a := t.account
 	if a.tokens < 1 || b.overShare(a) > 0 {
@@ -340,32 +340,32 @@
 	return true
 }
 
-// Ending is how an attempt ended.
-type Ending uint8
+// AttemptResult is how an attempt ended.
+type AttemptResult uint8
 
 const (
-	Answered Ending = iota // in whatever time
-	TimedOut               // it may have run, and its time was up
-	Failed                 // it may have run, and tells nothing of load
-	Declined               // it never ran: the endpoint is full
-	Unrun                  // it never ran, and tells nothing of load
+	Answered AttemptResult = iota // in whatever time
+	TimedOut                      // it may have run, and its time was up
+	Failed                        // it may have run, and tells nothing of load
+	Declined                      // it never ran: the endpoint is full
+	NotRun                        // it never ran, and tells nothing of load
 )
 
-// HeldUp takes that this process has had no processor for a while, up to now: what came
+// ProcessStalled takes that this process has had no processor for a while, up to now: what came
 // and was answered meanwhile is told late, and tells nothing of the service.
-func (b *Broker) HeldUp(now time.Duration) {
+func (b *Broker) ProcessStalled(now time.Duration) {
 	b.advance(now)
 	b.capacity.hold(b.now)
 }
 
-// Ended takes the end of an attempt that Admit or Again has charged. again
+// AttemptEnded takes the end of an attempt that Admit or AdmitRetry has charged. again
 // tells that it was not the request's first. What never ran is given back.
-func (b *Broker) Ended(now time.Duration, t *Ticket, again bool, e Ending, elapsed, aim time.Duration) {
+func (b *Broker) AttemptEnded(now time.Duration, t *Ticket, again bool, e AttemptResult, elapsed, aim time.Duration) {
 	b.advance(now)
 	if e == Answered && t.admitted > b.capacity.heldUp {
 		b.learn(t.class, elapsed)
 	}
-	if e == Declined || e == Unrun {
+	if e == Declined || e == NotRun {
 		b.giveBack(t, again)
 	}
 	empty := b.capacity.ended(b.now, t, e, elapsed, aim)
@@ -390,7 +390,7 @@
 // Withdraw takes a request back that was admitted and of which no attempt was
 // made. asked tells that it did come whole, and counts as asked.
 func (b *Broker) Withdraw(now time.Duration, t *Ticket, asked bool) {
-	b.Ended(now, t, false, Unrun, 0, 0)
+	b.AttemptEnded(now, t, false, NotRun, 0, 0)
 	if !asked {
 		t.standing().requests.charge(b.now, t.call.requestLimit(), -1)
 	}
@@ -400,9 +400,9 @@
 type Cause uint8
 
 const (
-	Queued     Cause = iota // answers waited, also those to requests sent after the first that did
-	Crowded                 // more work is out than can be answered in time
-	HandedOver              // another process said so
+	Queued         Cause = iota // answers waited, also those to requests sent after the first that did
+	ExcessInFlight              // more work is out than can be answered in time
+	HandedOver                  // another process said so
 )
 
 // String is the cause as a log has it.
@@ -412,13 +412,13 @@
 
 // Shortage is what is known where there is too little capacity for all.
 type Shortage struct {
-	Cause    Cause
-	Estimate float64       // of the capacity, in seconds of work a second
-	Admitted float64       // of it for now, as a queue is to drain
-	Attempts int           // that are out
-	Out      float64       // their work, in seconds
-	Backlog  float64       // of that, what has been out since before the process was held up
-	Usual    time.Duration // that an answer takes which does not wait
+	Cause           Cause
+	Estimate        float64       // of the capacity, in seconds of work a second
+	AdmitRate       float64       // of it for now, as a queue is to drain
+	InFlight        int           // that are out
+	InFlightWork    float64       // their work, in seconds
+	WorkBeforeStall float64       // of that, what has been out since before the process was held up
+	BaseLatency     time.Duration // that an answer takes which does not wait
 }
 
 // Shortage is that of the service; false: there is enough.
@@ -428,8 +428,8 @@
 		return Shortage{}, false
 	}
 	return Shortage{
-		Cause: c.why, Estimate: c.estimate, Admitted: c.rate(), Attempts: int(c.attempts), Out: c.out, Backlog: c.behind.work,
-		Usual: seconds(c.usual.value),
+		Cause: c.why, Estimate: c.estimate, AdmitRate: c.rate(), InFlight: int(c.attempts), InFlightWork: c.out, WorkBeforeStall: c.behind.work,
+		BaseLatency: seconds(c.usual.value),
 	}, true
 }
 
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -217,8 +217,8 @@
 	})
 }
 
-func calls(rate, burst, work float64) []Call {
-	return []Call{{Classes: AllClasses, Rate: rate, Burst: burst, Work: work}}
+func calls(rate, burst, work float64) []CallLimits {
+	return []CallLimits{{Classes: AllClasses, Rate: rate, Burst: burst, Work: work}}
 }
 
 // After a pause of the process, however long, a burst is let out and no more;
@@ -227,7 +227,7 @@
 	b := New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: calls(10, 5, 0)}}})
 	admitted := func(now time.Duration) (n int) {
 		for range 1000 {
-			if _, v := b.Admit(now, "a", 0, 0); v.Kind == Admitted {
+			if _, v := b.Admit(now, "a", 0, 0); v.Outcome == Admitted {
 				n++
 			}
 		}
@@ -250,8 +250,8 @@
 	n := 0
 	for {
 		_, v := b.Admit(0, "a", n%2, 0.1)
-		if v.Kind != Admitted {
-			if v.Kind != OverRate || v.After <= 0 || v.After > 51*time.Millisecond {
+		if v.Outcome != Admitted {
+			if v.Outcome != OverRate || v.RetryAfter <= 0 || v.RetryAfter > 51*time.Millisecond {
 				t.Errorf("verdict %+v, want one over the rate for 50 ms", v)
 			}
 			break
@@ -261,24 +261,24 @@
 	if n != 20 { // a second's worth
 		t.Errorf("%d requests of 0.1 s conform to 2 s a second", n)
 	}
-	if _, v := b.Admit(10*time.Second, "a", 0, 7); v.Kind != Admitted {
+	if _, v := b.Admit(10*time.Second, "a", 0, 7); v.Outcome != Admitted {
 		t.Error("a request dearer than a burst is shut out for good")
 	}
-	if _, v := b.Admit(11*time.Second, "a", 0, 0.1); v.Kind != OverRate || v.After < time.Second {
+	if _, v := b.Admit(11*time.Second, "a", 0, 0.1); v.Outcome != OverRate || v.RetryAfter < time.Second {
 		t.Errorf("what the dear request owes is forgotten: %+v", v)
 	}
 }
 
 func TestAllowed(t *testing.T) {
 	terms := Terms{Classes: 2, Contracts: []Contract{
-		{Team: "a", Calls: []Call{{Classes: 1 << 1}}},
+		{Team: "a", Calls: []CallLimits{{Classes: 1 << 1}}},
 		{Team: "none"},
 	}}
 	b := New(0, terms)
-	check := func(team string, class int, want Kind) {
+	check := func(team string, class int, want Outcome) {
 		t.Helper()
-		if _, v := b.Admit(0, team, class, 0); v.Kind != want {
-			t.Errorf("team %.20q, class %d: %d, want %d", team, class, v.Kind, want)
+		if _, v := b.Admit(0, team, class, 0); v.Outcome != want {
+			t.Errorf("team %.20q, class %d: %d, want %d", team, class, v.Outcome, want)
 		}
 	}
 	check("a", 1, Admitted)
@@ -287,7 +287,7 @@
 	check("a", -1, NotAllowed)
 	check("none", 1, NotAllowed)
 	check("stranger", 1, NotAllowed)
-	terms.Strangers = &Contract{Calls: calls(1, 3, 0)}
+	terms.Uncontracted = &Contract{Calls: calls(1, 3, 0)}
 	b.Replace(0, terms)
 	check("none", 1, NotAllowed) // a contract without the call is no want of a contract
 	check("", 0, Admitted)
@@ -299,7 +299,7 @@
 // Nothing that a request brings makes an entry, and a verdict allocates nothing.
 func TestBounds(t *testing.T) {
 	terms := threeTeams()
-	terms.Strangers = &Contract{Share: 0.01, Calls: calls(100, 10, 0)}
+	terms.Uncontracted = &Contract{Share: 0.01, Calls: calls(100, 10, 0)}
 	terms.Contracts[0].Share = 0.5
 	b := New(0, *terms)
 	b.capacity.tight, b.capacity.estimate = true, 5
@@ -312,9 +312,9 @@
 		i++
 		now := time.Duration(i) * time.Millisecond
 		for _, name := range []string{names[i%1000], "a", "b"} {
-			if ticket, v := b.Admit(now, name, 0, 0.01); v.Kind == Admitted {
-				b.Again(now, &ticket)
-				b.Ended(now, &ticket, false, Answered, 20*time.Millisecond, time.Second)
+			if ticket, v := b.Admit(now, name, 0, 0.01); v.Outcome == Admitted {
+				b.AdmitRetry(now, &ticket)
+				b.AttemptEnded(now, &ticket, false, Answered, 20*time.Millisecond, time.Second)
 			}
 		}
 	})
@@ -332,24 +332,24 @@
 	b := New(0, *threeTeams())
 	ticket, _ := b.Admit(0, "a", 0, 0.01)
 	n := 0
-	for b.Again(0, &ticket) {
+	for b.AdmitRetry(0, &ticket) {
 		n++
 	}
 	if n != int(retryBurst) {
 		t.Errorf("team a made %d attempts more, it has %v saved up", n, retryBurst)
 	}
 	other, _ := b.Admit(0, "b", 0, 0.01)
-	if !b.Again(0, &other) {
+	if !b.AdmitRetry(0, &other) {
 		t.Error("team b has no attempt left after those of team a")
 	}
-	b.Ended(0, &ticket, true, Declined, 0, 0)
-	if !b.Again(0, &ticket) {
+	b.AttemptEnded(0, &ticket, true, Declined, 0, 0)
+	if !b.AdmitRetry(0, &ticket) {
 		t.Error("an attempt that never ran was not given back")
 	}
 	for range 5 {
 		b.Admit(0, "a", 0, 0.01)
 	}
-	if !b.Again(0, &ticket) || b.Again(0, &ticket) {
+	if !b.AdmitRetry(0, &ticket) || b.AdmitRetry(0, &ticket) {
 		t.Error("five requests do not earn one attempt")
 	}
 }
@@ -357,7 +357,7 @@
 // What never ran gives its charge back, in work and share; what ran does not,
 // and neither does what asked and was turned away on its rate.
 func TestWaste(t *testing.T) {
-	for ending, back := range map[Ending]bool{Answered: false, TimedOut: false, Failed: false, Declined: true, Unrun: true} {
+	for ending, back := range map[AttemptResult]bool{Answered: false, TimedOut: false, Failed: false, Declined: true, NotRun: true} {
 		b := New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Share: 1, Calls: calls(0, 0, 1)}}})
 		b.capacity.tight, b.capacity.estimate = true, 1
 		ticket, _ := b.Admit(0, "a", 0, 0.8)
@@ -365,7 +365,7 @@
 		if a.calls[0].work.next != 800*time.Millisecond || b.shares.queued(&a.share) < 0.79 {
 			t.Fatalf("the charge is %v and %v", a.calls[0].work.next, b.shares.queued(&a.share))
 		}
-		b.Ended(0, &ticket, false, ending, time.Millisecond, time.Second)
+		b.AttemptEnded(0, &ticket, false, ending, time.Millisecond, time.Second)
 		if got := a.calls[0].work.next == 0 && b.shares.queued(&a.share) == 0; got != back {
 			t.Errorf("ending %d: the charge given back %v, want %v", ending, got, back)
 		}
@@ -376,13 +376,13 @@
 	b := New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: calls(1, 1, 0)}}})
 	ticket, _ := b.Admit(0, "a", 0, 0)
 	b.Withdraw(0, &ticket, true)
-	if _, v := b.Admit(0, "a", 0, 0); v.Kind != OverRate {
+	if _, v := b.Admit(0, "a", 0, 0); v.Outcome != OverRate {
 		t.Error("a request that was turned away later did not count as asked")
 	}
 	b = New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: calls(1, 1, 0)}}})
 	ticket, _ = b.Admit(0, "a", 0, 0)
 	b.Withdraw(0, &ticket, false)
-	if _, v := b.Admit(0, "a", 0, 0); v.Kind != Admitted {
+	if _, v := b.Admit(0, "a", 0, 0); v.Outcome != Admitted {
 		t.Error("a request that never came whole counts as asked")
 	}
 }
@@ -400,23 +400,23 @@
 	open, _ := b.Admit(now, "b", 0, 0.1)
 	queued := b.shares.queued(&b.teams["a"].share)
 	b.Replace(now, Terms{Classes: 2, Contracts: []Contract{
-		{Team: "a", Share: 0.3, Calls: []Call{{Classes: 1, Rate: 10, Burst: 5}, {Classes: 2, Rate: 1, Burst: 1}}}}})
+		{Team: "a", Share: 0.3, Calls: []CallLimits{{Classes: 1, Rate: 10, Burst: 5}, {Classes: 2, Rate: 1, Burst: 1}}}}})
 	if got := b.shares.queued(&b.teams["a"].share); math.Abs(got-queued) > 1e-9 {
 		t.Errorf("team a has %v queued, it had %v", got, queued)
 	}
-	if _, v := b.Admit(now, "a", 0, 0.1); v.Kind != OverRate {
+	if _, v := b.Admit(now, "a", 0, 0.1); v.Outcome != OverRate {
 		t.Errorf("the reload let out a burst: %+v", v)
 	}
-	if _, v := b.Admit(now, "a", 1, 0.1); v.Kind != OverRate {
+	if _, v := b.Admit(now, "a", 1, 0.1); v.Outcome != OverRate {
 		t.Errorf("class 1 was within the old call, and begins anew: %+v", v)
 	}
-	if _, v := b.Admit(now, "b", 0, 0.1); v.Kind != NotAllowed {
+	if _, v := b.Admit(now, "b", 0, 0.1); v.Outcome != NotAllowed {
 		t.Errorf("team b has gone: %+v", v)
 	}
 	weight := b.shares.weight
-	b.Again(now, &open)
-	b.Ended(now, &open, true, Unrun, 0, 0)
-	b.Ended(now, &open, false, Unrun, 0, 0)
+	b.AdmitRetry(now, &open)
+	b.AttemptEnded(now, &open, true, NotRun, 0, 0)
+	b.AttemptEnded(now, &open, false, NotRun, 0, 0)
 	if b.shares.weight != weight || len(b.shares.busy) != 1 {
 		t.Error("what is open of a team that has gone counts in the shares")
 	}
@@ -424,7 +424,7 @@
 		terms := threeTeams()
 		if i%2 == 0 {
 			terms.Contracts = terms.Contracts[:1]
-			terms.Strangers = &Contract{Calls: calls(1, 1, 1)}
+			terms.Uncontracted = &Contract{Calls: calls(1, 1, 1)}
 		}
 		b.Replace(now, *terms)
 		b.Admit(now, "b", 0, 0.1)
@@ -451,16 +451,16 @@
 			"admit": func(t *rapid.T) {
 				team := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "team")
 				ticket, v := b.Admit(now, team, 0, rapid.SampledFrom([]float64{0, 1e-9, 0.01, 1e6, math.Inf(1), math.NaN()}).Draw(t, "work"))
-				if v.Kind == Admitted {
+				if v.Outcome == Admitted {
 					open = append(open, attempt{ticket, false})
-				} else if v.Kind == OverShare && v.After <= 0 {
+				} else if v.Outcome == OverShare && v.RetryAfter <= 0 {
 					t.Fatalf("refused with nothing to wait for: %+v", v)
 				}
 			},
 			"again": func(t *rapid.T) {
 				if len(open) > 0 {
 					a := open[rapid.IntRange(0, len(open)-1).Draw(t, "open")]
-					if b.Again(now, &a.ticket) {
+					if b.AdmitRetry(now, &a.ticket) {
 						open = append(open, attempt{a.ticket, true})
 					}
 				}
@@ -468,8 +468,8 @@
 			"end": func(t *rapid.T) {
 				if len(open) > 0 {
 					i := rapid.IntRange(0, len(open)-1).Draw(t, "open")
-					e := Ending(rapid.IntRange(0, int(Unrun)).Draw(t, "ending"))
-					b.Ended(now, &open[i].ticket, open[i].again, e, time.Duration(rapid.Int64Range(0, 2e9).Draw(t, "elapsed")), time.Second)
+					e := AttemptResult(rapid.IntRange(0, int(NotRun)).Draw(t, "ending"))
+					b.AttemptEnded(now, &open[i].ticket, open[i].again, e, time.Duration(rapid.Int64Range(0, 2e9).Draw(t, "elapsed")), time.Second)
 					open = append(open[:i], open[i+1:]...)
 				}
 			},
@@ -509,8 +509,8 @@
 					i++
 					now := time.Duration(i) * time.Microsecond
 					ticket, v := br.Admit(now, names[i*7919%n], 0, 0.01)
-					if v.Kind == Admitted {
-						br.Ended(now, &ticket, false, Failed, 0, 0)
+					if v.Outcome == Admitted {
+						br.AttemptEnded(now, &ticket, false, Failed, 0, 0)
 					}
 				}
 			})
@@ -532,7 +532,7 @@
 
 // Where there is too little capacity it is told by what that is known.
 func TestShortageTellsWhy(t *testing.T) {
-	terms := Terms{Classes: 1, Strangers: &Contract{Share: 1, Calls: []Call{{Classes: AllClasses}}}}
+	terms := Terms{Classes: 1, Uncontracted: &Contract{Share: 1, Calls: []CallLimits{{Classes: AllClasses}}}}
 	crowded, queued := New(0, terms), New(0, terms)
 	for range int(coldCrowd) {
 		crowded.Admit(0, "nobody", 0, 0.01)
@@ -545,18 +545,18 @@
 	if s, short := queued.Shortage(); short {
 		t.Errorf("%+v before anything is answered", s)
 	}
-	queued.Ended(10*time.Millisecond, &tickets[0], false, Answered, 10*time.Millisecond, time.Second)
+	queued.AttemptEnded(10*time.Millisecond, &tickets[0], false, Answered, 10*time.Millisecond, time.Second)
 	for i := range tickets[1:] {
-		queued.Ended(900*time.Millisecond, &tickets[1+i], false, TimedOut, 900*time.Millisecond, time.Second)
+		queued.AttemptEnded(900*time.Millisecond, &tickets[1+i], false, TimedOut, 900*time.Millisecond, time.Second)
 	}
 	next := New(0, terms)
-	next.Adopt(0, queued.Standing(time.Second), []int{0})
-	for want, b := range map[Cause]*Broker{Crowded: crowded, Queued: queued, HandedOver: next} {
-		if s, short := b.Shortage(); !short || s.Cause != want || s.Estimate <= 0 || s.Admitted <= 0 {
+	next.Restore(0, queued.Snapshot(time.Second), []int{0})
+	for want, b := range map[Cause]*Broker{ExcessInFlight: crowded, Queued: queued, HandedOver: next} {
+		if s, short := b.Shortage(); !short || s.Cause != want || s.Estimate <= 0 || s.AdmitRate <= 0 {
 			t.Errorf("%v: %v %+v", want, short, s)
 		}
 	}
-	if s, _ := crowded.Shortage(); s.Attempts != int(coldCrowd) || s.Out < 0.9 {
+	if s, _ := crowded.Shortage(); s.InFlight != int(coldCrowd) || s.InFlightWork < 0.9 {
 		t.Errorf("%+v of %v attempts", s, coldCrowd)
 	}
 }
--- a/internal/broker/capacity.go
+++ b/internal/broker/capacity.go
@@ -147,7 +147,7 @@
 	case math.IsInf(c.estimate, 1):
 		if attempts >= coldCrowd {
 			c.estimate, c.guess, c.seeking = leastRate, true, true
-			c.tighten(Crowded)
+			c.tighten(ExcessInFlight)
 		}
 	case now-c.crowded > seconds(stands*c.aim.value) && c.queue() > farTooMuch*c.aim.value:
 		c.surge(now)
@@ -162,7 +162,7 @@
 		return
 	}
 	c.estimate = math.Max(c.estimate, rate)
-	c.tighten(Crowded)
+	c.tighten(ExcessInFlight)
 }
 
 // hold takes that this process is held up, or was until now: how much is out, and how late
@@ -189,7 +189,7 @@
 
 // ended takes the end of an attempt. It reports whether a window has ended in
 // which nothing waited: there is no queue.
-func (c *capacity) ended(now time.Duration, t *Ticket, e Ending, elapsed, aim time.Duration) (empty bool) {
+func (c *capacity) ended(now time.Duration, t *Ticket, e AttemptResult, elapsed, aim time.Duration) (empty bool) {
 	if c.attempts--; c.attempts <= 0 {
 		c.attempts, c.out, c.emptied = 0, 0, now // rounding errors do not pile up
 	}
@@ -248,7 +248,7 @@
 }
 
 // waited is the part of its wanted time that an attempt has waited, 1 at most.
-func (c *capacity) waited(t *Ticket, e Ending, elapsed, aim time.Duration) float64 {
+func (c *capacity) waited(t *Ticket, e AttemptResult, elapsed, aim time.Duration) float64 {
 	u := &c.classes[t.class]
 	switch {
 	case e != Answered:
--- a/internal/broker/explore_test.go
+++ b/internal/broker/explore_test.go
@@ -16,7 +16,7 @@
 type step struct {
 	do      string
 	request int
-	ending  Ending
+	ending  AttemptResult
 }
 
 func (s step) String() string {
@@ -44,7 +44,7 @@
 
 // reloads are contracts that are put in force one after the other.
 func reloads(i int) Terms {
-	a := Contract{Team: "0", Share: 0.5, Calls: []Call{{Classes: AllClasses, Rate: 10, Burst: 20, Work: 10}}}
+	a := Contract{Team: "0", Share: 0.5, Calls: []CallLimits{{Classes: AllClasses, Rate: 10, Burst: 20, Work: 10}}}
 	b := a
 	b.Team = "1"
 	switch i {
@@ -71,7 +71,7 @@
 		case c.tickets[i] == nil:
 			steps = append(steps, step{do: "is admitted", request: i})
 		case c.open[i] > 0:
-			for e := Answered; e <= Unrun; e++ {
+			for e := Answered; e <= NotRun; e++ {
 				steps = append(steps, step{"ends", i, e})
 			}
 			if !c.again[i] {
@@ -98,13 +98,13 @@
 	switch s.do {
 	case "is admitted":
 		t, v := b.Admit(0, teamOf[i], 0, exploredWork)
-		if v.Kind != Admitted {
+		if v.Outcome != Admitted {
 			c.over[i] = true
 			return c.check()
 		}
 		c.tickets[i], c.open[i] = &t, 1
 	case "has a second copy", "is tried again":
-		if c.again[i] = true; b.Again(0, c.tickets[i]) {
+		if c.again[i] = true; b.AdmitRetry(0, c.tickets[i]) {
 			c.open[i]++
 			c.second[i] = true
 		}
@@ -112,7 +112,7 @@
 		c.ran[i] = c.ran[i] || s.ending < Declined
 		// The first attempt of a request ends before its repeat; which of two that
 		// are out it is makes no other difference.
-		c.broker.Ended(0, c.tickets[i], c.second[i] && c.open[i] == 1, s.ending, 0, time.Second)
+		c.broker.AttemptEnded(0, c.tickets[i], c.second[i] && c.open[i] == 1, s.ending, 0, time.Second)
 		c.open[i]--
 	case "is withdrawn":
 		b.Withdraw(0, c.tickets[i], false)
--- a/internal/broker/fleet_test.go
+++ b/internal/broker/fleet_test.go
@@ -29,7 +29,7 @@
 )
 
 func newFleet(t *testing.T, seed uint64, sidecars, workers int, rate float64) *fleet {
-	terms := Terms{Classes: 1, Strangers: &Contract{Share: 1, Calls: []Call{{Classes: AllClasses}}}}
+	terms := Terms{Classes: 1, Uncontracted: &Contract{Share: 1, Calls: []CallLimits{{Classes: AllClasses}}}}
 	f := &fleet{simulation: newSimulation(t, seed, nil, 0), free: workers}
 	for range sidecars {
 		b := New(0, terms)
@@ -60,7 +60,7 @@
 func (f *fleet) request(b *Broker) {
 	f.asked++
 	ticket, verdict := b.Admit(f.now, "nobody", 0, 0)
-	if verdict.Kind != Admitted {
+	if verdict.Outcome != Admitted {
 		f.refused++
 		return
 	}
@@ -76,7 +76,7 @@
 		f.at(f.now+fleetWork, func() {
 			f.free++
 			f.slowest = max(f.slowest, f.now-next.came)
-			f.running(func() { next.sidecar.Ended(f.now, &next.ticket, false, Answered, f.now-next.came, fleetAim) })
+			f.running(func() { next.sidecar.AttemptEnded(f.now, &next.ticket, false, Answered, f.now-next.came, fleetAim) })
 			f.serve()
 		})
 	}
@@ -87,7 +87,7 @@
 	f.until = f.now + pause
 	f.at(f.until, func() {
 		for _, b := range f.sidecars {
-			b.HeldUp(f.now)
+			b.ProcessStalled(f.now)
 		}
 	})
 	f.run(f.until)
--- a/internal/broker/part.go
+++ b/internal/broker/part.go
@@ -26,12 +26,12 @@
 	return p.own
 }
 
-// SetPart sets which part of a team's shared call, the one that a class belongs to, this
+// SetQuota sets which part of a team's shared call, the one that a class belongs to, this
 // process may use: own, and until a time grant beside it, as fractions. What was saved up
 // stays, as far as the smaller part can save up: so all processes together let out no more
 // than the limit and one burst, however often parts move between them. It reports false
 // where there is no such call.
-func (b *Broker) SetPart(now time.Duration, team string, class int, own, grant float64, until time.Duration) bool {
+func (b *Broker) SetQuota(now time.Duration, team string, class int, own, grant float64, until time.Duration) bool {
 	c := b.sharedCall(team, class)
 	if c == nil {
 		return false
@@ -43,9 +43,9 @@
 	return true
 }
 
-// Asked is what was asked for of a shared call so far, admitted or not, in limits times
+// Demand is what was asked for of a shared call so far, admitted or not, in limits times
 // seconds: of requests and of work.
-func (b *Broker) Asked(team string, class int) (requests, work float64) {
+func (b *Broker) Demand(team string, class int) (requests, work float64) {
 	c := b.sharedCall(team, class)
 	if c == nil {
 		return 0, 0
--- a/internal/broker/part_test.go
+++ b/internal/broker/part_test.go
@@ -11,11 +11,11 @@
 // burst, and one request for each process, whose part of a burst may be less than one.
 func TestPartsMove(t *testing.T) {
 	for name, c := range map[string]struct {
-		call        Call
+		call        CallLimits
 		rate, burst float64 // in requests
 	}{
-		"requests": {Call{Rate: 200, Burst: 20}, 200, 20},
-		"work":     {Call{Work: 2}, 200, 200}, // of 10 ms each, saved up for a second
+		"requests": {CallLimits{Rate: 200, Burst: 20}, 200, 20},
+		"work":     {CallLimits{Work: 2}, 200, 200}, // of 10 ms each, saved up for a second
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
@@ -26,12 +26,12 @@
 	}
 }
 
-func movingParts(t *testing.T, seed uint64, call Call, rate, burst float64) {
+func movingParts(t *testing.T, seed uint64, call CallLimits, rate, burst float64) {
 	const processes = 5
 	r := rand.New(rand.NewPCG(seed, 1))
 	var all [processes]*Broker
 	for i := range all {
-		all[i] = New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: []Call{call}}}})
+		all[i] = New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: []CallLimits{call}}}})
 	}
 	var admitted []time.Duration
 	limits := [processes]float64{1}
@@ -42,14 +42,14 @@
 			if from != to && now >= until[from] && now >= until[to] {
 				moved := limits[from] * some
 				limits[from] -= moved
-				all[from].SetPart(now, "a", 0, limits[from], 0, 0)
+				all[from].SetQuota(now, "a", 0, limits[from], 0, 0)
 				if r.IntN(2) == 0 {
 					limits[to] += moved
-					all[to].SetPart(now, "a", 0, limits[to], 0, 0)
+					all[to].SetQuota(now, "a", 0, limits[to], 0, 0)
 				} else { // lent: nobody takes it back, and it ends
 					until[from] = now + time.Duration(r.IntN(500))*time.Millisecond
 					until[to] = until[from]
-					all[to].SetPart(now, "a", 0, limits[to], moved, until[to])
+					all[to].SetQuota(now, "a", 0, limits[to], moved, until[to])
 					limits[from] += moved
 				}
 			}
@@ -57,11 +57,11 @@
 		for i, b := range all {
 			if until[i] > 0 && now >= until[i] {
 				until[i] = 0
-				b.SetPart(now, "a", 0, limits[i], 0, 0)
+				b.SetQuota(now, "a", 0, limits[i], 0, 0)
 			}
 			for range r.IntN(4) {
-				if ticket, v := b.Admit(now, "a", 0, 0.01); v.Kind == Admitted {
-					b.Ended(now, &ticket, false, Answered, time.Millisecond, time.Second)
+				if ticket, v := b.Admit(now, "a", 0, 0.01); v.Outcome == Admitted {
+					b.AttemptEnded(now, &ticket, false, Answered, time.Millisecond, time.Second)
 					admitted = append(admitted, now)
 				}
 			}
@@ -83,11 +83,11 @@
 // A process that was told nothing yet has no part; a grant ends though nobody says so; what
 // a part could not save up is not there when it grows.
 func TestPartEnds(t *testing.T) {
-	b := New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: []Call{{Classes: AllClasses, Rate: 100, Burst: 10, Shared: true}}}}})
+	b := New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: []CallLimits{{Classes: AllClasses, Rate: 100, Burst: 10, Shared: true}}}}})
 	admits := func(now time.Duration) (n int) {
 		for ; n < 1000; n++ {
-			if _, v := b.Admit(now, "a", 0, 0.001); v.Kind != Admitted {
-				if v.After <= 0 {
+			if _, v := b.Admit(now, "a", 0, 0.001); v.Outcome != Admitted {
+				if v.RetryAfter <= 0 {
 					t.Error("refused, and not told when to come back")
 				}
 				break
@@ -98,11 +98,11 @@
 	if n := admits(time.Second); n != 0 {
 		t.Errorf("%d with no part", n)
 	}
-	b.SetPart(time.Second, "a", 0, 1e-6, 0, 0)
-	if _, v := b.Admit(time.Second, "a", 0, 0.001); v.Kind != OverRate || v.After > time.Second {
+	b.SetQuota(time.Second, "a", 0, 1e-6, 0, 0)
+	if _, v := b.Admit(time.Second, "a", 0, 0.001); v.Outcome != OverRate || v.RetryAfter > time.Second {
 		t.Errorf("with a tiny part, which may grow at any time: %+v", v)
 	}
-	b.SetPart(time.Second, "a", 0, 0.1, 0.9, 3*time.Second)
+	b.SetQuota(time.Second, "a", 0, 0.1, 0.9, 3*time.Second)
 	if n := admits(time.Second); n > 0 {
 		t.Errorf("%d at once, of a part that has just come", n)
 	}
@@ -116,7 +116,7 @@
 	if n := admits(10 * time.Second); n != 1 { // a tenth of the burst
 		t.Errorf("%d of a burst of one", n)
 	}
-	if requests, _ := b.Asked("a", 0); requests < 0.2 {
+	if requests, _ := b.Demand("a", 0); requests < 0.2 {
 		t.Errorf("asked for %.2f limits times seconds", requests)
 	}
 }
@@ -126,16 +126,16 @@
 func BenchmarkShared(b *testing.B) {
 	for name, shared := range map[string]bool{"own": false, "shared": true} {
 		b.Run(name, func(b *testing.B) {
-			br := New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: []Call{{Classes: AllClasses, Rate: 1e6, Burst: 1e5, Shared: shared}}}}})
+			br := New(0, Terms{Classes: 1, Contracts: []Contract{{Team: "a", Calls: []CallLimits{{Classes: AllClasses, Rate: 1e6, Burst: 1e5, Shared: shared}}}}})
 			b.ReportAllocs()
 			for i := range b.N {
 				now := time.Duration(i) * 2 * time.Microsecond
 				if i%100000 == 0 {
-					br.SetPart(now, "a", 0, 0.5, 0.4+0.1*float64(i/100000%2), now+time.Second)
+					br.SetQuota(now, "a", 0, 0.5, 0.4+0.1*float64(i/100000%2), now+time.Second)
 				}
 				ticket, v := br.Admit(now, "a", 0, 0.001)
-				if v.Kind == Admitted {
-					br.Ended(now, &ticket, false, Answered, time.Millisecond, time.Second)
+				if v.Outcome == Admitted {
+					br.AttemptEnded(now, &ticket, false, Answered, time.Millisecond, time.Second)
 				}
 			}
 		})
--- a/internal/broker/sim_test.go
+++ b/internal/broker/sim_test.go
@@ -143,7 +143,7 @@
 	st.asked++
 	if s.broker != nil {
 		ticket, v := s.broker.Admit(s.now, t.name, 0, j.work)
-		if v.Kind != Admitted {
+		if v.Outcome != Admitted {
 			st.refused++
 			return
 		}
@@ -178,7 +178,7 @@
 		e = Answered
 	}
 	if s.broker != nil {
-		s.broker.Ended(s.now, &j.ticket, false, e, elapsed, s.aim)
+		s.broker.AttemptEnded(s.now, &j.ticket, false, e, elapsed, s.aim)
 	}
 	st := j.team.slot(s.now)
 	switch {
@@ -244,7 +244,7 @@
 }
 
 func contract(name string, share float64) Contract {
-	return Contract{Team: name, Share: share, Calls: []Call{{Classes: AllClasses}}}
+	return Contract{Team: name, Share: share, Calls: []CallLimits{{Classes: AllClasses}}}
 }
 
 func threeTeams() *Terms {
@@ -255,7 +255,7 @@
 func withStrangers() *Terms {
 	terms := threeTeams()
 	terms.Contracts[0].Share = 0.55
-	terms.Strangers = &Contract{Share: 0.05, Calls: []Call{{Classes: AllClasses}}}
+	terms.Uncontracted = &Contract{Share: 0.05, Calls: []CallLimits{{Classes: AllClasses}}}
 	return terms
 }
 
@@ -511,7 +511,7 @@
 func TestProcessPause(t *testing.T) {
 	forSeeds(t, func(t *testing.T, seed uint64) {
 		terms := threeTeams()
-		terms.Contracts[0].Calls = []Call{{Classes: AllClasses, Rate: 600, Burst: 60}}
+		terms.Contracts[0].Calls = []CallLimits{{Classes: AllClasses, Rate: 600, Burst: 60}}
 		a := &team{name: "a", rate: steady(20 * 0.6 * 0.7 / 0.03), work: 0.03}
 		b := &team{name: "b", rate: steady(20 * 0.27 * 0.7 / 0.03), work: 0.03}
 		s := newSimulation(t, seed, terms, 20, a, b)
--- a/internal/broker/standing.go
+++ b/internal/broker/standing.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// Standing is what the teams of a service have used up and what has been learnt
+// Snapshot is what the teams of a service have used up and what has been learnt
 // of it, for the broker of the process that takes this one's place. Times are
 // told as they lie ahead, so that the clocks of the two need not agree.
-type Standing struct {
-	Teams    []TeamStanding
+type Snapshot struct {
+	Teams    []TeamUsage
 	Estimate float64 // of the capacity, seconds of work a second; 0: not known
 	Tight    bool
-	Classes  []ClassStanding // by class
+	Classes  []ClassEstimate // by class
 	// Spent tells that more may have been used since: what any team had saved up, for
 	// calls and for repeats, counts as used.
 	Spent bool `json:",omitempty"`
 }
 
-// TeamStanding is that of one team, or of all strangers together.
-type TeamStanding struct {
+// TeamUsage is that of one team, or of all strangers together.
+type TeamUsage struct {
 	Team      string
 	Strangers bool
 	Tokens    float64 // attempts beyond the first that may be made
 	Queued    float64 // seconds of work that it is ahead of its share
-	Calls     []CallStanding
+	Calls     []CallUsage
 }
 
-// CallStanding is how far ahead of their schedule the limits of a call are.
-type CallStanding struct {
+// CallUsage is how far ahead of their schedule the limits of a call are.
+type CallUsage struct {
 	Class          int // the first of the call
 	Requests, Work time.Duration
 }
 
-// ClassStanding is what is known of a class: the work of a request, and what an
+// ClassEstimate is what is known of a class: the work of a request, and what an
 // answer that does not wait takes by its work.
-type ClassStanding struct{ Work, Per, Seen float64 }
+type ClassEstimate struct{ Work, Per, Seen float64 }
 
-// Standing tells how the contracts stand.
-func (b *Broker) Standing(now time.Duration) Standing {
+// Snapshot tells how the contracts stand.
+func (b *Broker) Snapshot(now time.Duration) Snapshot {
 	b.advance(now)
-	s := Standing{Tight: b.capacity.tight}
+	s := Snapshot{Tight: b.capacity.tight}
 	if !math.IsInf(b.capacity.estimate, 0) {
 		s.Estimate = b.capacity.estimate
 	}
 	for i := range b.work {
-		s.Classes = append(s.Classes, ClassStanding{b.work[i].value, b.capacity.classes[i].per, b.capacity.classes[i].n})
+		s.Classes = append(s.Classes, ClassEstimate{b.work[i].value, b.capacity.classes[i].per, b.capacity.classes[i].n})
 	}
 	for name, a := range b.teams {
 		s.Teams = append(s.Teams, b.teamStanding(name, false, a))
@@ -56,11 +56,11 @@
 	return s
 }
 
-func (b *Broker) teamStanding(name string, strangers bool, a *account) TeamStanding {
-	t := TeamStanding{Team: name, Strangers: strangers, Tokens: a.tokens, Queued: b.shares.queued(&a.share)}
+func (b *Broker) teamStanding(name string, strangers bool, a *account) TeamUsage {
+	t := TeamUsage{Team: name, Strangers: strangers, Tokens: a.tokens, Queued: b.shares.queued(&a.share)}
 	for i := range a.calls {
 		c := &a.calls[i]
-		t.Calls = append(t.Calls, CallStanding{firstClass(c.Classes), max(c.requests.next-b.now, 0), max(c.work.next-b.now, 0)})
+		t.Calls = append(t.Calls, CallUsage{firstClass(c.Classes), max(c.requests.next-b.now, 0), max(c.work.next-b.now, 0)})
 	}
 	return t
 }
@@ -70,10 +70,10 @@
 // that for what it said.
 const longestAhead = time.Minute
 
-// Adopt takes over how contracts stood with another process, before the first
+// Restore takes over how contracts stood with another process, before the first
 // request. places tells by class of the standing which class of this broker it
 // is, -1: none. Teams that have no contract here are left out.
-func (b *Broker) Adopt(now time.Duration, s Standing, places []int) {
+func (b *Broker) Restore(now time.Duration, s Snapshot, places []int) {
 	b.advance(now)
 	at := func(class int) int {
 		if class < 0 || class >= len(places) || places[class] >= len(b.work) {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (b *Broker) adoptTeam(a *account, t *TeamStanding, at func(int) int) {
+func (b *Broker) adoptTeam(a *account, t *TeamUsage, at func(int) int) {
 	if t.Tokens >= 0 {
 		a.tokens = math.Min(t.Tokens, a.most)
 	}
--- a/internal/broker/standing_test.go
+++ b/internal/broker/standing_test.go
@@ -11,7 +11,7 @@
 // was not.
 func admits(b *Broker, now time.Duration, team string, class int) (n int) {
 	for n < 10_000 {
-		if _, v := b.Admit(now, team, class, 0.001); v.Kind != Admitted {
+		if _, v := b.Admit(now, team, class, 0.001); v.Outcome != Admitted {
 			return n
 		}
 		n++
@@ -21,9 +21,9 @@
 
 func standingTerms(classes int, first, second Classes) Terms {
 	return Terms{Classes: classes, Contracts: []Contract{
-		{Team: "kiosks", Share: 0.5, Calls: []Call{{Classes: first, Rate: 10, Burst: 40}, {Classes: second, Rate: 5, Burst: 7}}},
-		{Team: "patrols", Share: 0.3, Calls: []Call{{Classes: AllClasses, Rate: 10, Burst: 40}}},
-	}, Strangers: &Contract{Share: 0.1, Calls: []Call{{Classes: AllClasses, Rate: 3, Burst: 6}}}}
+		{Team: "kiosks", Share: 0.5, Calls: []CallLimits{{Classes: first, Rate: 10, Burst: 40}, {Classes: second, Rate: 5, Burst: 7}}},
+		{Team: "patrols", Share: 0.3, Calls: []CallLimits{{Classes: AllClasses, Rate: 10, Burst: 40}}},
+	}, Uncontracted: &Contract{Share: 0.1, Calls: []CallLimits{{Classes: AllClasses, Rate: 3, Burst: 6}}}}
 }
 
 // A team that has used up its burst has none in the process that takes this
@@ -40,17 +40,17 @@
 			t.Fatalf("%s is admitted %d times of class %d, %d are expected", a.team, n, a.class, a.want)
 		}
 	}
-	text, err := json.Marshal(old.Standing(now))
+	text, err := json.Marshal(old.Snapshot(now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s Standing
+	var s Snapshot
 	if err := json.Unmarshal(text, &s); err != nil {
 		t.Fatal(err)
 	}
 	const later = 7 * time.Hour // by another clock
 	next := New(later, standingTerms(3, 4, 1))
-	next.Adopt(later, s, []int{2, 0}) // classes have other places
+	next.Restore(later, s, []int{2, 0}) // classes have other places
 	for _, a := range []struct {
 		team  string
 		class int
@@ -76,9 +76,9 @@
 	for range 400 {
 		old.shares.charge(&old.teams["kiosks"].share, old.capacity.rate(), 0.01)
 	}
-	s := old.Standing(now)
+	s := old.Snapshot(now)
 	next := New(now, standingTerms(2, 1, 2))
-	next.Adopt(now, s, []int{0, 1})
+	next.Restore(now, s, []int{0, 1})
 	if !next.capacity.tight || next.capacity.estimate != 4 {
 		t.Errorf("tight %v at %v", next.capacity.tight, next.capacity.estimate)
 	}
@@ -92,10 +92,10 @@
 func TestStandingSpent(t *testing.T) {
 	const now = 100 * time.Second
 	old := New(now, standingTerms(2, 1, 2))
-	s := old.Standing(now)
+	s := old.Snapshot(now)
 	s.Spent, s.Teams = true, s.Teams[:1]
 	next := New(now, standingTerms(2, 1, 2))
-	next.Adopt(now, s, []int{0, 1})
+	next.Restore(now, s, []int{0, 1})
 	for _, team := range []string{"kiosks", "patrols", "a stranger"} {
 		if n := admits(next, now, team, 0); n != 0 {
 			t.Errorf("%s is let out %d", team, n)
@@ -117,8 +117,8 @@
 func TestStandingNonsense(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	b := New(0, standingTerms(2, 1, 2))
-	b.Adopt(0, Standing{Estimate: nan, Tight: true, Classes: []ClassStanding{{nan, nan, nan}, {inf, -1, 0}, {1, 1, 1}, {1, 1, 1}},
-		Teams: []TeamStanding{{Team: "kiosks", Tokens: nan, Queued: inf, Calls: []CallStanding{{Class: 0, Requests: math.MaxInt64, Work: -5}, {Class: 99}, {Class: -1}}},
+	b.Restore(0, Snapshot{Estimate: nan, Tight: true, Classes: []ClassEstimate{{nan, nan, nan}, {inf, -1, 0}, {1, 1, 1}, {1, 1, 1}},
+		Teams: []TeamUsage{{Team: "kiosks", Tokens: nan, Queued: inf, Calls: []CallUsage{{Class: 0, Requests: math.MaxInt64, Work: -5}, {Class: 99}, {Class: -1}}},
 			{Team: "nobody", Tokens: 5}, {Strangers: true, Tokens: inf}}}, []int{0, 1, 7, -1})
 	if n := admits(b, longestAhead+time.Second, "kiosks", 0); n == 0 {
 		t.Error("a team is shut out for more than a minute by what another process said")
--- a/internal/broker/standstill_test.go
+++ b/internal/broker/standstill_test.go
@@ -14,7 +14,7 @@
 }
 
 func newRoomy(t *testing.T, seed uint64, begins, aim time.Duration) *roomy {
-	terms := &Terms{Classes: 2, Strangers: &Contract{Share: 1, Calls: []Call{{Classes: AllClasses}}}}
+	terms := &Terms{Classes: 2, Uncontracted: &Contract{Share: 1, Calls: []CallLimits{{Classes: AllClasses}}}}
 	r := &roomy{simulation: newSimulation(t, seed, terms, 0), aim: aim}
 	r.sends(0, 300, begins)
 	r.sends(1, 100, begins)
@@ -33,13 +33,13 @@
 func (r *roomy) request(class int) {
 	r.asked++
 	ticket, v := r.broker.Admit(r.now, "nobody", class, 0)
-	if v.Kind != Admitted {
+	if v.Outcome != Admitted {
 		r.refused++
 		return
 	}
 	sent := r.now
 	r.at(sent+seconds(0.0015+0.001*r.rng.ExpFloat64()), func() {
-		r.broker.Ended(r.now, &ticket, false, Answered, r.now-sent, r.aim)
+		r.broker.AttemptEnded(r.now, &ticket, false, Answered, r.now-sent, r.aim)
 	})
 }
 
@@ -118,20 +118,20 @@
 // heldUp has the process stand still, and be told of it by the first that it does after it.
 func (r *roomy) heldUp(pause time.Duration) {
 	until := r.now + pause
-	r.at(r.now+1, func() { r.broker.HeldUp(until) })
+	r.at(r.now+1, func() { r.broker.ProcessStalled(until) })
 	r.stall(until)
 }
 
 // Shares are enforced, and then the process is held up all the time: within seconds nobody
 // is refused for what was known before.
 func TestHeldUpWhileShort(t *testing.T) {
-	b := New(0, Terms{Classes: 1, Strangers: &Contract{Share: 1, Calls: []Call{{Classes: AllClasses}}}})
+	b := New(0, Terms{Classes: 1, Uncontracted: &Contract{Share: 1, Calls: []CallLimits{{Classes: AllClasses}}}})
 	b.capacity.estimate = 0.1
 	b.capacity.tighten(Queued)
 	for now := time.Duration(0); now < 3*time.Second; now += 40 * time.Millisecond {
-		b.HeldUp(now)
+		b.ProcessStalled(now)
 		_, v := b.Admit(now, "nobody", 0, 0.01)
-		if refused := v.Kind != Admitted; refused && now > 2*time.Second+40*time.Millisecond {
+		if refused := v.Outcome != Admitted; refused && now > 2*time.Second+40*time.Millisecond {
 			t.Fatalf("refused after %v", now)
 		}
 	}
@@ -141,18 +141,18 @@
 // window of what came later has been judged.
 func TestBacklogOfAHoldUp(t *testing.T) {
 	const ms = time.Millisecond
-	b := New(0, Terms{Classes: 1, Strangers: &Contract{Share: 1, Calls: []Call{{Classes: AllClasses}}}})
-	b.HeldUp(ms)
+	b := New(0, Terms{Classes: 1, Uncontracted: &Contract{Share: 1, Calls: []CallLimits{{Classes: AllClasses}}}})
+	b.ProcessStalled(ms)
 	for range 400 {
 		b.Admit(2*ms, "nobody", 0, 0.02)
 	}
-	b.HeldUp(100 * ms)
+	b.ProcessStalled(100 * ms)
 	for now := 110 * ms; now < 300*ms; now += 10 * ms {
 		ticket, v := b.Admit(now, "nobody", 0, 0.02)
-		if v.Kind != Admitted || b.capacity.tight {
+		if v.Outcome != Admitted || b.capacity.tight {
 			t.Fatalf("too little capacity after %v: %+v", now, b.capacity)
 		}
-		b.Ended(now+2*ms, &ticket, false, Answered, 2*ms, 4*time.Second)
+		b.AttemptEnded(now+2*ms, &ticket, false, Answered, 2*ms, 4*time.Second)
 	}
 }
 
@@ -160,19 +160,19 @@
 // and nothing of what it is known to do is refused after it.
 func TestBacklogOfAHoldUpWhileShort(t *testing.T) {
 	const ms = time.Millisecond
-	b := New(0, Terms{Classes: 1, Strangers: &Contract{Share: 1, Calls: []Call{{Classes: AllClasses}}}})
+	b := New(0, Terms{Classes: 1, Uncontracted: &Contract{Share: 1, Calls: []CallLimits{{Classes: AllClasses}}}})
 	for range 100 {
 		b.Admit(ms, "nobody", 0, 0.02)
 	}
 	b.capacity.estimate = 1
 	b.capacity.tighten(Queued)
-	b.HeldUp(400 * ms)
+	b.ProcessStalled(400 * ms)
 	for now := 410 * ms; now < 3*time.Second; now += 25 * ms { // 0.8 s of work a second
 		ticket, v := b.Admit(now, "nobody", 0, 0.02)
-		if v.Kind != Admitted {
+		if v.Outcome != Admitted {
 			t.Fatalf("refused after %v: %+v", now, b.capacity)
 		}
-		b.Ended(now+20*ms, &ticket, false, Answered, 20*ms, 4*time.Second)
+		b.AttemptEnded(now+20*ms, &ticket, false, Answered, 20*ms, 4*time.Second)
 	}
 }
 
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -9,10 +9,10 @@
 	"sync/atomic"
 )
 
-// Reserved is the part of a budget that is divided into reserves; the rest is
+// ReservedFraction is the part of a budget that is divided into reserves; the rest is
 // lent. With more of it lent, one busy service gets further alone, and a hung
 // one leaves the others less.
-const Reserved = 0.5
+const ReservedFraction = 0.5
 
 // Budget is the whole. It is safe for use by several goroutines.
 type Budget struct {
@@ -20,13 +20,13 @@
 	total   int64
 	used    int64 // by all parts, also those that have left
 	claimed int64 // over all parts, the larger of what is used and what is reserved
-	parts   map[*Part]struct{}
+	parts   map[*Partition]struct{}
 	freed   chan struct{} // closed when something has been given back; nil: nobody waits
 	waited  atomic.Bool   // freed is not nil
 }
 
-// Part is what one service may use.
-type Part struct {
+// Partition is what one service may use.
+type Partition struct {
 	budget        *Budget
 	used, reserve int64
 	weight        float64
@@ -34,15 +34,15 @@
 }
 
 // New makes a budget of total things.
-func New(total int64) *Budget { return &Budget{total: total, parts: map[*Part]struct{}{}} }
+func New(total int64) *Budget { return &Budget{total: total, parts: map[*Partition]struct{}{}} }
 
 // Join adds a part of a weight over 0. Reserves are divided anew by weight: the
 // only part there is has all. yield, if there is one, is asked to give back
 // something idle where another part needs it, and tells whether it did.
-func (b *Budget) Join(weight float64, yield func() bool) *Part {
+func (b *Budget) Join(weight float64, yield func() bool) *Partition {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := &Part{budget: b, weight: weight, yield: yield}
+	p := &Partition{budget: b, weight: weight, yield: yield}
 	b.parts[p] = struct{}{}
 	b.divide()
 	return p
@@ -57,18 +57,18 @@
 	b.divide()
 }
 
-// Over reports whether more is in use than there is.
-func (b *Budget) Over() bool {
+// Overcommitted reports whether more is in use than there is.
+func (b *Budget) Overcommitted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used > b.total
 }
 
-// Waiting reports whether anybody may be waiting for something to be given back.
-func (b *Budget) Waiting() bool { return b.waited.Load() }
+// HasWaiters reports whether anybody may be waiting for something to be given back.
+func (b *Budget) HasWaiters() bool { return b.waited.Load() }
 
-// Weigh gives a part another weight, over 0.
-func (p *Part) Weigh(weight float64) {
+// SetWeight gives a part another weight, over 0.
+func (p *Partition) SetWeight(weight float64) {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,7 +79,7 @@
 }
 
 // Leave gives a part's reserve back. What it uses counts until it is released.
-func (p *Part) Leave() {
+func (p *Partition) Leave() {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,7 +98,7 @@
 	for p := range b.parts {
 		sum += p.weight
 	}
-	part := Reserved
+	part := ReservedFraction
 	if len(b.parts) == 1 {
 		part = 1
 	}
@@ -108,7 +108,7 @@
 	b.wake()
 }
 
-func (p *Part) setReserve(n int64) {
+func (p *Partition) setReserve(n int64) {
 	p.budget.claimed += max(p.used, n) - max(p.used, p.reserve)
 	p.reserve = n
 }
@@ -116,7 +116,7 @@
 // TryAcquire takes n things; it reports false, and takes none, where there is
 // no room. A reserve that has grown may be in use elsewhere still: it is there
 // once that has been released, and no more is ever in use than there is.
-func (p *Part) TryAcquire(n int64) bool {
+func (p *Partition) TryAcquire(n int64) bool {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,7 +131,7 @@
 }
 
 // Release gives n things back.
-func (p *Part) Release(n int64) {
+func (p *Partition) Release(n int64) {
 	if n == 0 {
 		return
 	}
@@ -145,8 +145,8 @@
 }
 
 // Freed returns a channel that is closed when something is given back next, to
-// any part, or has become idle, as Offer tells.
-func (p *Part) Freed() <-chan struct{} {
+// any part, or has become idle, as NotifyIdle tells.
+func (p *Partition) Freed() <-chan struct{} {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -165,11 +165,11 @@
 	}
 }
 
-// Offer tells those who wait, of any part, that this one has something idle now, which it
+// NotifyIdle tells those who wait, of any part, that this one has something idle now, which it
 // gives back where it is asked to.
-func (p *Part) Offer() {
+func (p *Partition) NotifyIdle() {
 	b := p.budget
-	if !b.Waiting() {
+	if !b.HasWaiters() {
 		return
 	}
 	b.mu.Lock()
@@ -179,7 +179,7 @@
 
 // Reclaim has another part that uses more than its reserve give back something
 // idle. It reports whether one did.
-func (p *Part) Reclaim() bool {
+func (p *Partition) Reclaim() bool {
 	for _, other := range p.budget.over(p) {
 		if other.yield() {
 			return true
@@ -189,7 +189,7 @@
 }
 
 // over are the parts but for p that use more than their reserve.
-func (b *Budget) over(p *Part) (over []*Part) {
+func (b *Budget) over(p *Partition) (over []*Partition) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for other := range b.parts {
@@ -201,14 +201,14 @@
 }
 
 // Used is how many things the part holds.
-func (p *Part) Used() int64 {
+func (p *Partition) Used() int64 {
 	p.budget.mu.Lock()
 	defer p.budget.mu.Unlock()
 	return p.used
 }
 
 // Reserve is how many the part may use whatever the others do.
-func (p *Part) Reserve() int64 {
+func (p *Partition) Reserve() int64 {
 	p.budget.mu.Lock()
 	defer p.budget.mu.Unlock()
 	return p.reserve
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -42,7 +42,7 @@
 // What is idle above a reserve comes back to one who needs it.
 func TestReclaim(t *testing.T) {
 	b := New(8)
-	var idle *Part
+	var idle *Partition
 	idle = b.Join(1, func() bool { idle.Release(1); return true })
 	other := b.Join(1, func() bool { t.Error("a part is asked to give up its own"); return false })
 	for idle.TryAcquire(1) {
@@ -66,7 +66,7 @@
 func TestAgainstSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(int64(rapid.IntRange(1, 60).Draw(t, "total")))
-		var parts []*Part
+		var parts []*Partition
 		t.Repeat(map[string]func(*rapid.T){
 			"join": func(t *rapid.T) { parts = append(parts, b.Join(rapid.Float64Range(0.1, 4).Draw(t, "weight"), nil)) },
 			"leave": func(t *rapid.T) {
--- a/internal/budget/explore_test.go
+++ b/internal/budget/explore_test.go
@@ -28,7 +28,7 @@
 
 type world struct {
 	budget *Budget
-	parts  [exploredParts]*Part
+	parts  [exploredParts]*Partition
 	gone   [exploredParts]bool
 }
 
@@ -56,7 +56,7 @@
 	case "joins":
 		w.parts[e.part] = w.budget.Join(float64(e.n), nil)
 	case "weighs":
-		p.Weigh(float64(e.n))
+		p.SetWeight(float64(e.n))
 	case "leaves":
 		p.Leave()
 		w.gone[e.part] = true
--- a/internal/compact/compact.go
+++ b/internal/compact/compact.go
@@ -40,7 +40,7 @@
 // Len is how many entries there are.
 func (t *Table[V]) Len() int { return len(t.slab) - len(t.free) }
 
-// At is an entry's value, to be read and changed until the next Put.
+// At is an entry's value, to be read and changed until the next FindOrInsert.
 func (t *Table[V]) At(h Handle) *V { return &t.slab[h].value }
 
 // Key is an entry's key.
@@ -59,8 +59,8 @@
 	return None
 }
 
-// Put is the handle of a key's entry, a fresh one of V's zero value if there was none.
-func (t *Table[V]) Put(key uint64) (h Handle, fresh bool) {
+// FindOrInsert is the handle of a key's entry, a fresh one of V's zero value if there was none.
+func (t *Table[V]) FindOrInsert(key uint64) (h Handle, fresh bool) {
 	if h = t.Find(key); h != None {
 		return h, false
 	}
--- a/internal/compact/compact_test.go
+++ b/internal/compact/compact_test.go
@@ -17,7 +17,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				k, v := key.Draw(t, "key"), rapid.IntRange(1, 1000).Draw(t, "value")
-				h, fresh := table.Put(k)
+				h, fresh := table.FindOrInsert(k)
 				if _, known := model[k]; fresh == known || fresh && *table.At(h) != 0 {
 					t.Fatalf("key %d: fresh %v, value %d", k, fresh, *table.At(h))
 				}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -15,7 +15,7 @@
 	call       *call
 	n          int
 	endpoint   policy.EndpointID
-	end        upstream.Ending
+	end        upstream.Cancellation
 	sent       bool            // it was noted as sent
 	result     upstream.Answer // that the request was answered with
 	outcome    upstream.Answer // of one that the request's own goroutine has made
@@ -46,9 +46,9 @@
 		c.attempts, s.denied = append(c.attempts, a), append(s.denied, a)
 		return
 	}
-	allowed := !c.req.Rest.Spent() && s.mayRepeat(c)
+	allowed := !c.req.Stream.Consumed() && s.mayRepeat(c)
 	if a.doubt = c.unsure > 0; a.doubt && s.settled.places[c.class].rules.Effect == policy.Unsafe {
-		s.violated(permit.Duplicate, a, "decided") // and is not sent
+		s.violated(permit.DuplicateEffect, a, "decided") // and is not sent
 		allowed = false
 	}
 	c.attempts = append(c.attempts, a)
@@ -116,15 +116,15 @@
 		return nil
 	}
 	if !s.claim(a) {
-		result = upstream.Answer{Result: policy.NotSent, Refused: permit.EffectInDoubt} // another process may have sent it elsewhere
+		result = upstream.Answer{Result: policy.NotSent, Refused: permit.EffectUncertain} // another process may have sent it elsewhere
 		return nil
 	}
-	result, more = s.pool.Begin(&a.end, a.to, c.req, upstream.Terms{Until: a.until, RepeatBy: a.repeatBy, Gate: a}, a)
+	result, more = s.pool.Begin(&a.end, a.to, c.req, upstream.Constraints{Deadline: a.until, DedupUntil: a.repeatBy, Gate: a}, a)
 	return nil
 }
 
-// Take takes a long answer that begins, for upstream.
-func (a *attempt) Take(long upstream.Answer) bool {
+// AcceptStream takes a long answer that begins, for upstream.
+func (a *attempt) AcceptStream(long upstream.Answer) bool {
 	return a.call.exchange.service.begun(a.call, a, long)
 }
 
--- a/internal/core/classes.go
+++ b/internal/core/classes.go
@@ -19,11 +19,11 @@
 	Methods []string
 }
 
-// PlainClass is a class as the platform has it: its path is its name, and its
+// DefaultClass is a class as the platform has it: its path is its name, and its
 // method follows from its effect.
-func PlainClass(name string, effect policy.Effect) Class {
+func DefaultClass(name string, effect policy.Effect) Class {
 	methods := []string{http.MethodPost}
-	if effect == policy.Repeatable {
+	if effect == policy.Idempotent {
 		methods = []string{http.MethodGet, http.MethodHead}
 	}
 	return Class{Name: name, Paths: []string{"/" + name}, Methods: methods}
@@ -57,19 +57,19 @@
 
 // settle finds the places of a service's classes, beside those there are.
 func settle(old []*place, inForce []*place, set Settings, figs *figures.Figures) (*settled, error) {
-	before := make([]retune.Place, len(old))
+	before := make([]retune.Slot, len(old))
 	for i, p := range old {
-		before[i] = retune.Place{Name: p.name, Rules: p.rules, InForce: slices.Contains(inForce, p), Open: p.open.Load()}
+		before[i] = retune.Slot{Name: p.name, Rules: p.rules, Active: slices.Contains(inForce, p), OpenRequests: p.open.Load()}
 	}
 	var classes []retune.Class
 	for i, name := range set.Classes {
 		classes = append(classes, retune.Class{Name: name, Rules: set.Policy.Classes[i]})
 	}
-	plan, err := retune.New(before, classes)
+	plan, err := retune.NewPlan(before, classes)
 	if err != nil {
 		return nil, err
 	}
-	n := &settled{tenants: set.Tenants, policy: set.Policy, heirs: plan.Heirs}
+	n := &settled{tenants: set.Tenants, policy: set.Policy, heirs: plan.Predecessors}
 	n.policy.Classes = nil
 	for i, p := range plan.Table {
 		kept := i < len(old) && old[i].name == p.Name && old[i].rules == p.Rules
@@ -80,7 +80,7 @@
 		}
 		n.policy.Classes = append(n.policy.Classes, p.Rules)
 	}
-	for _, at := range plan.Places {
+	for _, at := range plan.Slots {
 		n.classes = append(n.classes, n.places[at])
 	}
 	return n, nil
@@ -96,37 +96,37 @@
 	return names
 }
 
-// Retuning is a change of a service's settings that can be made.
-type Retuning struct {
+// SettingsUpdate is a change of a service's settings that can be made.
+type SettingsUpdate struct {
 	service *Service
 	to      *settled
 }
 
-// PlanRetune prepares a change; it changes nothing.
-func (s *Service) PlanRetune(set Settings) (*Retuning, error) {
+// PrepareSettings prepares a change; it changes nothing.
+func (s *Service) PrepareSettings(set Settings) (*SettingsUpdate, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, err := settle(s.settled.places, s.settled.classes, set, s.figures)
 	if err != nil {
 		return nil, err
 	}
-	return &Retuning{s, n}, nil
+	return &SettingsUpdate{s, n}, nil
 }
 
-// Names are the names of the classes by place, for contracts.
-func (r *Retuning) Names() []string { return r.to.names() }
+// ClassNames are the names of the classes by place, for contracts.
+func (r *SettingsUpdate) ClassNames() []string { return r.to.names() }
 
-// Do makes the change. Requests come by it once a table that was made with it
+// Apply makes the change. Requests come by it once a table that was made with it
 // is in use. On an error nothing has changed.
-func (r *Retuning) Do() error {
+func (r *SettingsUpdate) Apply() error {
 	s := r.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := learnt.Read(s.now(), s.balancer)
+	known := learnt.Snapshot(s.now(), s.balancer)
 	if err := s.balancer.Retune(r.to.policy); err != nil {
 		return err
 	}
-	known.Into(s.now(), s.balancer, r.to.heirs)
+	known.Apply(s.now(), s.balancer, r.to.heirs)
 	s.settled = r.to
 	for i, m := range s.pools.moves {
 		if m != nil { // its guards go by the classes' places
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// Names are the names of the service's classes by place, for contracts.
-func (s *Service) Names() []string {
+// ClassNames are the names of the service's classes by place, for contracts.
+func (s *Service) ClassNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.settled.names()
--- a/internal/core/contracts.go
+++ b/internal/core/contracts.go
@@ -30,7 +30,7 @@
 	if s.broker == nil { // set before the first request, and kept
 		return s.letIn(x)
 	}
-	if !s.rooms[x.head.Front].Places.TryAcquire(1) {
+	if !s.rooms[x.head.Front].Requests.TryAcquire(1) {
 		return &Answer{Status: http.StatusServiceUnavailable, Reason: "the service has as many requests as it may hold", RetryAfter: placeRetry}
 	}
 	refused := s.judge(x)
@@ -44,27 +44,27 @@
 	return refused
 }
 
-// SetPart sets which part of a team's shared call this process may use, and Asked tells
+// SetQuotaGrant sets which part of a team's shared call this process may use, and TeamDemand tells
 // what was asked for of it (broker.Broker). left is how long the grant lasts yet, by
 // another clock; it is asked after this one's, so that a process that stands still
 // between the two has less of it and not more.
-func (s *Service) SetPart(team string, class int, own, grant float64, left func() time.Duration) {
+func (s *Service) SetQuotaGrant(team string, class int, own, grant float64, left func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.broker != nil {
 		now := s.now()
-		s.broker.SetPart(now, team, class, own, grant, now+left())
+		s.broker.SetQuota(now, team, class, own, grant, now+left())
 	}
 }
 
-// Asked is what was asked for of a team's shared call, in limits times seconds.
-func (s *Service) Asked(team string, class int) (requests, work float64) {
+// TeamDemand is what was asked for of a team's shared call, in limits times seconds.
+func (s *Service) TeamDemand(team string, class int) (requests, work float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.broker == nil {
 		return 0, 0
 	}
-	return s.broker.Asked(team, class)
+	return s.broker.Demand(team, class)
 }
 
 // placeRetry is when to come back to a service that holds all the requests it
@@ -83,14 +83,14 @@
 	defer s.mu.Unlock()
 	s.noteStall()
 	t, v := s.broker.Admit(s.now(), x.head.Header.Get("Req-Owner"), x.request.Class, x.request.Cost)
-	switch v.Kind {
+	switch v.Outcome {
 	case broker.Admitted:
-		x.ticket, x.request.Owed = &ticket{t, s.broker}, v.Owed
+		x.ticket, x.request.Guaranteed = &ticket{t, s.broker}, v.Guaranteed
 		return nil
 	case broker.OverRate:
-		return &Answer{Status: http.StatusTooManyRequests, Reason: overRate, RetryAfter: v.After}
+		return &Answer{Status: http.StatusTooManyRequests, Reason: overRate, RetryAfter: v.RetryAfter}
 	case broker.OverShare:
-		return &Answer{Status: http.StatusServiceUnavailable, Reason: overShare, RetryAfter: v.After}
+		return &Answer{Status: http.StatusServiceUnavailable, Reason: overShare, RetryAfter: v.RetryAfter}
 	}
 	return &Answer{Status: http.StatusForbidden, Reason: notAllowed}
 }
@@ -109,20 +109,20 @@
 // leave gives a request's place back.
 func (s *Service) leave(front int) {
 	if s.broker != nil {
-		s.rooms[front].Places.Release(1)
+		s.rooms[front].Requests.Release(1)
 	}
 }
 
 // mayRepeat asks the contract of a call for one more attempt.
 func (s *Service) mayRepeat(c *call) bool {
-	return c.ticket == nil || len(c.attempts) == 0 || c.ticket.by.Again(s.now(), &c.ticket.Ticket)
+	return c.ticket == nil || len(c.attempts) == 0 || c.ticket.by.AdmitRetry(s.now(), &c.ticket.Ticket)
 }
 
 // endings are what attempts' results are to the broker.
-var endings = map[policy.Result]broker.Ending{
-	policy.Served: broker.Answered, policy.NoAnswer: broker.TimedOut, policy.TurnedAway: broker.Declined,
-	policy.NoConnection: broker.Unrun, policy.NotSent: broker.Unrun,
-	policy.Errored: broker.Failed, policy.ConnectionLost: broker.Failed, policy.CalledOff: broker.Failed,
+var endings = map[policy.Result]broker.AttemptResult{
+	policy.Served: broker.Answered, policy.NoAnswer: broker.TimedOut, policy.Declined: broker.Declined,
+	policy.NoConnection: broker.NotRun, policy.NotSent: broker.NotRun,
+	policy.Errored: broker.Failed, policy.ConnectionLost: broker.Failed, policy.Cancelled: broker.Failed,
 }
 
 // settle tells the broker how an attempt ended.
@@ -130,7 +130,7 @@
 	if c.ticket != nil {
 		s.noteStall()
 		aim := s.settled.places[c.class].rules.Aim
-		c.ticket.by.Ended(s.now(), &c.ticket.Ticket, a.n > 0, endings[result.Result], result.Elapsed, aim)
+		c.ticket.by.AttemptEnded(s.now(), &c.ticket.Ticket, a.n > 0, endings[result.Result], result.Elapsed, aim)
 		s.tellTight()
 	}
 }
@@ -148,9 +148,9 @@
 	}
 	s.tight, s.toldTight = tight, now
 	if tight {
-		s.log.Warn("too little capacity: shares are enforced", "because", shortage.Cause, "work_per_second", shortage.Admitted,
-			"estimate", shortage.Estimate, "attempts", shortage.Attempts, "work_out", shortage.Out,
-			"out_since_a_hold_up", shortage.Backlog, "usual_answer", shortage.Usual)
+		s.log.Warn("too little capacity: shares are enforced", "because", shortage.Cause, "work_per_second", shortage.AdmitRate,
+			"estimate", shortage.Estimate, "attempts", shortage.InFlight, "work_out", shortage.InFlightWork,
+			"out_since_a_hold_up", shortage.WorkBeforeStall, "usual_answer", shortage.BaseLatency)
 	} else {
 		s.log.Info("enough capacity again")
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -28,8 +28,8 @@
 	answerOverdue = 20 * time.Millisecond
 )
 
-// ErrGone tells a front that its client left before there was an answer.
-var ErrGone = errors.New("the client has gone")
+// ErrClientDisconnected tells a front that its client left before there was an answer.
+var ErrClientDisconnected = errors.New("the client has gone")
 
 // Answer is the one final answer to a request.
 type Answer struct {
@@ -72,7 +72,7 @@
 // outcome is what became of the request once its answer has been written.
 func (a *Answer) outcome() figures.Outcome {
 	switch {
-	case a.stream == nil || a.stream.Whole():
+	case a.stream == nil || a.stream.Complete():
 		return figures.OfStatus(a.Status)
 	case a.stream.Failed():
 		return figures.Failed
@@ -108,17 +108,17 @@
 // New makes a core that serves by the table.
 func New(t *Table) *Core {
 	c := &Core{ids: newIDs()}
-	c.Use(t)
+	c.SetTable(t)
 	return c
 }
 
-// Use puts another table in place, at one instant. Requests under way go on by
+// SetTable puts another table in place, at one instant. Requests under way go on by
 // the one that they were taken by.
-func (c *Core) Use(t *Table) { c.table.Store(t) }
+func (c *Core) SetTable(t *Table) { c.table.Store(t) }
 
-// AtDoor is what a request of a target is worth, by its class, and where it is counted:
+// AdmissionInfo is what a request of a target is worth, by its class, and where it is counted:
 // for judging one before it is read. nil: no class has the target.
-func (c *Core) AtDoor(of string) (worth float64, count *figures.Class) {
+func (c *Core) AdmissionInfo(of string) (worth float64, count *figures.Class) {
 	path, _, err := target.Split(of)
 	if err != nil {
 		return 0, nil
@@ -189,10 +189,10 @@
 	a.count = x.place.count
 }
 
-// Hold reserves so many bytes for the request's body; it reports false where
+// ReserveBody reserves so many bytes for the request's body; it reports false where
 // there is no room for them. It does not wait: the sender's time is running.
 // What is held is given back when nothing needs the body any more.
-func (x *Exchange) Hold(bytes int64) bool {
+func (x *Exchange) ReserveBody(bytes int64) bool {
 	if !x.service.rooms[x.head.Front].Bodies.TryAcquire(bytes) {
 		return false
 	}
@@ -231,15 +231,15 @@
 // DoStream is Do for a request whose body is passed on as it comes, after the
 // part of it that is held.
 func (x *Exchange) DoStream(ctx context.Context, held []byte, rest Source) (Answer, error) {
-	x.source, x.request.Upload = rest, uploadPatience
+	x.source, x.request.UploadTime = rest, uploadPatience
 	return x.Do(ctx, held)
 }
 
-// Came notes that the request had come whole so long ago: its time counts from then.
-func (x *Exchange) Came(ago time.Duration) { x.came = time.Now().Add(-ago) }
+// SetReceived notes that the request had come whole so long ago: its time counts from then.
+func (x *Exchange) SetReceived(ago time.Duration) { x.came = time.Now().Add(-ago) }
 
-// Do has the request answered, which has come whole just now unless Came was called. It returns
-// ErrGone, and no answer, if ctx ends, or Leave is called, before there is one.
+// Do has the request answered, which has come whole just now unless SetReceived was called. It returns
+// ErrClientDisconnected, and no answer, if ctx ends, or ClientDisconnected is called, before there is one.
 func (x *Exchange) Do(ctx context.Context, body []byte) (Answer, error) {
 	id := x.head.Header.Get("Req-Id")
 	if !x.core.ids.take(id) {
@@ -252,16 +252,16 @@
 	}
 	x.place.count.Take()
 	if x.came.IsZero() {
-		x.Came(0)
+		x.SetReceived(0)
 	}
-	x.request.Left -= answerMargin
-	patience := x.request.Left
-	x.request.Left += x.request.Upload
+	x.request.TimeLeft -= answerMargin
+	patience := x.request.TimeLeft
+	x.request.TimeLeft += x.request.UploadTime
 	if ctx.Done() != nil {
 		if ctx.Err() != nil {
-			x.Leave() // the function below is called some time after, by another goroutine
+			x.ClientDisconnected() // the function below is called some time after, by another goroutine
 		}
-		stop := context.AfterFunc(ctx, x.Leave)
+		stop := context.AfterFunc(ctx, x.ClientDisconnected)
 		defer stop()
 	}
 	c := x.service.request(x, x.upstream(body, patience))
@@ -271,16 +271,16 @@
 	if a.Status == 0 {
 		x.trace.endWith(nil)
 		x.place.count.End(figures.Abandoned)
-		return Answer{}, ErrGone
+		return Answer{}, ErrClientDisconnected
 	}
 	a.count = x.place.count
 	x.trace.endWith(&a)
 	return a, nil
 }
 
-// Leave tells that the client has left. It may be called at any time, and by anybody; what
+// ClientDisconnected tells that the client has left. It may be called at any time, and by anybody; what
 // has been answered by then is not changed by it.
-func (x *Exchange) Leave() { x.leave(x.service) }
+func (x *Exchange) ClientDisconnected() { x.leave(x.service) }
 
 // upstream is the request as it goes on: target and method unchanged, the
 // length of the body that was read.
@@ -293,18 +293,18 @@
 	case x.source != nil:
 		length = h.Length
 	case length == 0 && (h.Method == http.MethodGet || h.Method == http.MethodHead):
-		length = upstream.NoLength
+		length = upstream.UnknownLength
 	}
 	r := upstream.NewRequest(h.Method, h.Target, h.Host, length, h.Header, misspelt)
-	r.Body, r.Once = body, x.place.rules.Effect == policy.Unsafe
+	r.Body, r.NoRetry = body, x.place.rules.Effect == policy.Unsafe
 	if x.source != nil {
-		r.Rest = &upstream.Rest{Source: x.source, Chunked: h.Length < 0, Patience: patience}
+		r.Stream = &upstream.BodyStream{Source: x.source, Chunked: h.Length < 0, AnswerTimeout: patience}
 	}
 	return r
 }
 
-// IDs are the hashes of the ids of requests taken of late, and their key.
-func (c *Core) IDs() (key uint64, hashes []uint64) { return c.ids.all() }
+// RecentIDs are the hashes of the ids of requests taken of late, and their key.
+func (c *Core) RecentIDs() (key uint64, hashes []uint64) { return c.ids.all() }
 
 // AdoptIDs has the core remember those of another process. It is to be called
 // before the first request.
--- a/internal/core/delay.go
+++ b/internal/core/delay.go
@@ -22,20 +22,20 @@
 	longestPutOff = 100 * time.Millisecond
 )
 
-// OnDelay sets what tells how long ready work waits for this sidecar's own processor. It
+// SetProcessorDelay sets what tells how long ready work waits for this sidecar's own processor. It
 // is to be set before the first request.
-func (s *Service) OnDelay(delay func() time.Duration) { s.delay = delay }
+func (s *Service) SetProcessorDelay(delay func() time.Duration) { s.delay = delay }
 
-// OnStall sets what tells the same to contracts alone, which need it on every machine, and for how
+// SetStallMonitor sets what tells the same to contracts alone, which need it on every machine, and for how
 // long this process got no processor at all between a time and now. It is to be set before the first request.
-func (s *Service) OnStall(delay func() time.Duration, since func(from, now time.Time) time.Duration) {
+func (s *Service) SetStallMonitor(delay func() time.Duration, since func(from, now time.Time) time.Duration) {
 	s.stalled, s.stalledSince = delay, since
 }
 
 // noteStall tells contracts of a processor that this sidecar waits for, or did of late.
 func (s *Service) noteStall() {
 	if s.stalled != nil && stall.Detected(s.stalled()) {
-		s.broker.HeldUp(s.now())
+		s.broker.ProcessStalled(s.now())
 	}
 }
 
@@ -66,7 +66,7 @@
 		return result, elapsed
 	}
 	if result == policy.NoAnswer && float64(added) > ownPart*float64(elapsed) {
-		return policy.CalledOff, elapsed // it may have run, and tells nothing
+		return policy.Cancelled, elapsed // it may have run, and tells nothing
 	}
 	return result, max(elapsed-added, time.Duration(leastLeft*float64(elapsed)))
 }
--- a/internal/core/delay_test.go
+++ b/internal/core/delay_test.go
@@ -22,9 +22,9 @@
 		{policy.Served, 100 * ms, 10 * ms, policy.Served, 70 * ms},
 		{policy.Served, 100 * ms, 500 * ms, policy.Served, 10 * ms}, // something of it was the endpoint's
 		{policy.NoAnswer, 400 * ms, 0, policy.NoAnswer, 400 * ms},
-		{policy.NoAnswer, 400 * ms, 10 * ms, policy.NoAnswer, 370 * ms},      // 30 ms are not why it is late
-		{policy.NoAnswer, 400 * ms, 100 * ms, policy.CalledOff, 400 * ms},    // it may have run all the same
-		{policy.TurnedAway, 400 * ms, 100 * ms, policy.TurnedAway, 100 * ms}, // proof that it never ran
+		{policy.NoAnswer, 400 * ms, 10 * ms, policy.NoAnswer, 370 * ms},   // 30 ms are not why it is late
+		{policy.NoAnswer, 400 * ms, 100 * ms, policy.Cancelled, 400 * ms}, // it may have run all the same
+		{policy.Declined, 400 * ms, 100 * ms, policy.Declined, 100 * ms},  // proof that it never ran
 		{policy.Errored, 400 * ms, 100 * ms, policy.Errored, 100 * ms},
 	} {
 		result, left := without(c.result, c.elapsed, ownWaits*c.own)
@@ -42,11 +42,11 @@
 	_, s := alone(t)
 	stalled := 2 * time.Second
 	var asked time.Time
-	s.OnStall(func() time.Duration { return 0 }, func(from, _ time.Time) time.Duration { asked = from; return stalled })
+	s.SetStallMonitor(func() time.Duration { return 0 }, func(from, _ time.Time) time.Duration { asked = from; return stalled })
 	a := &attempt{decided: time.Now().Add(-3 * time.Second)}
 	for _, c := range []struct{ told, want upstream.Answer }{
 		{upstream.Answer{Result: policy.Served, Elapsed: 3 * time.Second}, upstream.Answer{Result: policy.Served, Elapsed: time.Second}},
-		{upstream.Answer{Result: policy.NoAnswer, Elapsed: 3 * time.Second}, upstream.Answer{Result: policy.CalledOff, Elapsed: 3 * time.Second}},
+		{upstream.Answer{Result: policy.NoAnswer, Elapsed: 3 * time.Second}, upstream.Answer{Result: policy.Cancelled, Elapsed: 3 * time.Second}},
 	} {
 		got := s.blamed(a, c.told)
 		if got.Result != c.want.Result || got.Elapsed != c.want.Elapsed || !asked.Equal(a.decided) {
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -12,14 +12,14 @@
 // listing is how an endpoint stands in the list that is known, for attempts that were decided
 // before. It is written under the service's mutex and read without it.
 type listing struct {
-	now   atomic.Uint32 // a permit.Listing
+	now   atomic.Uint32 // a permit.EndpointStatus
 	since atomic.Int64  // by the module's clock, when it became that; of one that drains and then goes, when it drained
 }
 
-var listings = map[policy.Readiness]permit.Listing{policy.Ready: permit.Active, policy.Draining: permit.Draining, policy.Gone: permit.Gone}
+var listings = map[policy.Readiness]permit.EndpointStatus{policy.Ready: permit.Active, policy.Draining: permit.Draining, policy.Removed: permit.Removed}
 
-func (l *listing) becomes(next permit.Listing, now time.Duration) {
-	was := permit.Listing(l.now.Load())
+func (l *listing) becomes(next permit.EndpointStatus, now time.Duration) {
+	was := permit.EndpointStatus(l.now.Load())
 	if was == permit.Active && next != permit.Active {
 		l.since.Store(int64(now))
 	}
@@ -30,18 +30,18 @@
 // before its attempt begins. Sooner, word of its leaving would hardly be known.
 const lookAgain = 5 * time.Millisecond
 
-// Look fills in what is known now of an attempt that was decided before, for upstream.
-func (a *attempt) Look(facts *permit.Attempt) {
-	facts.Endpoint = permit.Gone
+// FillFacts fills in what is known now of an attempt that was decided before, for upstream.
+func (a *attempt) FillFacts(facts *permit.Attempt) {
+	facts.Endpoint = permit.Removed
 	if a.listing != nil {
-		facts.Endpoint = permit.Listing(a.listing.now.Load())
+		facts.Endpoint = permit.EndpointStatus(a.listing.now.Load())
 	}
 	facts.MayHaveRun = a.doubt
-	facts.Unsafe = a.call.req.Once
+	facts.Unsafe = a.call.req.NoRetry
 	if time.Since(a.there) > lookAgain {
-		facts.ClientLeft = a.call.exchange.clientLeft()
+		facts.ClientDisconnected = a.call.exchange.clientLeft()
 		if by := a.windowEnds(); !by.IsZero() {
-			facts.RepeatBy = max(facts.Now+time.Until(by), 1)
+			facts.DedupUntil = max(facts.Now+time.Until(by), 1)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch end, repeat := s.keys.RepeatBy(c.key); {
+	switch end, repeat := s.keys.DedupUntil(c.key); {
 	case repeat:
 		return s.at(end)
 	case c.unsure > 1:
@@ -64,25 +64,25 @@
 	return a.repeatBy
 }
 
-// Wrote looks whether an attempt whose first byte has been written broke a rule: its process
+// FirstByteWritten looks whether an attempt whose first byte has been written broke a rule: its process
 // may have been held up since the look.
-func (a *attempt) Wrote(after time.Duration) {
+func (a *attempt) FirstByteWritten(after time.Duration) {
 	if a.listing == nil {
 		return
 	}
 	s := a.call.exchange.service
-	w := permit.Written{
-		At: s.now(), Endpoint: permit.Listing(a.listing.now.Load()), Since: time.Duration(a.listing.since.Load()),
-		Grace: max(s.grace, permit.HoldUp), Unsafe: a.call.req.Once, MayHaveRun: a.doubt,
+	w := permit.WrittenAttempt{
+		At: s.now(), Endpoint: permit.EndpointStatus(a.listing.now.Load()), NotifiedAt: time.Duration(a.listing.since.Load()),
+		Grace: max(s.grace, permit.MaxStall), Unsafe: a.call.req.NoRetry, MayHaveRun: a.doubt,
 	}
 	by := a.repeatBy
 	if time.Since(a.there) > lookAgain {
 		by = a.windowEnds()
 	}
 	if !by.IsZero() {
-		w.RepeatBy = s.clockAt(by)
+		w.DedupUntil = s.clockAt(by)
 	}
-	if rule, broken := w.Violates(); broken {
+	if rule, broken := w.ViolatedRule(); broken {
 		s.violated(rule, a, "written "+after.String()+" after it was looked at")
 	}
 }
@@ -93,10 +93,10 @@
 	s.log.Error("rule violated", "rule", rule, "path", path, "request", a.call.exchange.head.Header.Get("Req-Id"), "attempt", a.n, "endpoint", a.to.ID)
 }
 
-// Lost counts a request that was taken and has no answer though its client waits.
-func (x *Exchange) Lost(path string) {
-	x.service.figures.Violations[permit.Lost].Add(1)
-	x.service.log.Error("rule violated", "rule", permit.Lost, "path", path, "request", x.head.Header.Get("Req-Id"))
+// RecordUnanswered counts a request that was taken and has no answer though its client waits.
+func (x *Exchange) RecordUnanswered(path string) {
+	x.service.figures.Violations[permit.LostRequest].Add(1)
+	x.service.log.Error("rule violated", "rule", permit.LostRequest, "path", path, "request", x.head.Header.Get("Req-Id"))
 }
 
 // refused counts an attempt that was decided and not sent, and tells why.
@@ -106,7 +106,7 @@
 	}
 	s.figures.NotSent[why].Add(1)
 	a.call.tell("not sent", "attempt %d to %s: %v", a.n, a.to.ID, why)
-	if why == permit.CalledOff || why == permit.DeadlineOver { // an overload has many
+	if why == permit.Cancelled || why == permit.DeadlineExceeded { // an overload has many
 		return
 	}
 	s.log.Info("attempt not sent", "request", a.call.exchange.head.Header.Get("Req-Id"), "attempt", a.n, "endpoint", a.to.ID, "reason", why)
@@ -117,8 +117,8 @@
 func (s *Service) endUnsent() {
 	for _, c := range s.calls {
 		for _, a := range c.attempts {
-			if a.listing != nil && permit.Listing(a.listing.now.Load()) != permit.Active {
-				a.end.EndUnsent(upstream.ErrNotThere)
+			if a.listing != nil && permit.EndpointStatus(a.listing.now.Load()) != permit.Active {
+				a.end.CancelUnsent(upstream.ErrEndpointUnavailable)
 			}
 		}
 	}
@@ -127,6 +127,6 @@
 // notKept is why an attempt is not sent whose key was not kept on the disk.
 func (a *attempt) notKept() permit.Reason {
 	facts := permit.Attempt{Deadline: time.Until(a.until)}
-	a.Look(&facts)
+	a.FillFacts(&facts)
 	return facts.Check()
 }
--- a/internal/core/effect_test.go
+++ b/internal/core/effect_test.go
@@ -72,12 +72,12 @@
 		t.Run(name, func(t *testing.T) {
 			slots := budget.New(1).Join(1, nil)
 			c, s := aloneWith(t, slots, time.Minute)
-			s.List([]discovery.Entry{entryOf("s-0", addr, "active", 0)}, true)
+			s.UpdateEndpoints([]discovery.Entry{entryOf("s-0", addr, "active", 0)}, true)
 			if !slots.TryAcquire(1) {
 				t.Fatal("the place is taken")
 			}
 			x := open(t, c, "1")
-			x.request.Left = time.Minute
+			x.request.TimeLeft = time.Minute
 			answered := make(chan Answer, 1)
 			go func() {
 				a, _ := x.Do(context.Background(), nil)
@@ -88,10 +88,10 @@
 			first := x.call.attempts[0]
 			s.mu.Unlock()
 			for _, e := range change.entries {
-				s.List([]discovery.Entry{e}, false)
+				s.UpdateEndpoints([]discovery.Entry{e}, false)
 			}
 			if change.full {
-				s.List(nil, true)
+				s.UpdateEndpoints(nil, true)
 			}
 			slots.Release(1)
 			a := <-answered
@@ -116,16 +116,16 @@
 func TestEndpointThatDrainsWhileAKeyIsKept(t *testing.T) {
 	addr, came := counted(t)
 	c, s := alone(t)
-	s.List([]discovery.Entry{entryOf("s-0", addr, "active", 0)}, true)
+	s.UpdateEndpoints([]discovery.Entry{entryOf("s-0", addr, "active", 0)}, true)
 	asked := make(chan struct{})
-	s.OnDurable(func(ctx context.Context, _ keyed.Note) error {
+	s.SetKeyWriter(func(ctx context.Context, _ keyed.Note) error {
 		close(asked)
 		<-ctx.Done()
 		return ctx.Err()
 	})
 	const left = 10 * time.Second
 	x := open(t, c, "1")
-	x.request.Left = left
+	x.request.TimeLeft = left
 	answered := make(chan Answer, 1)
 	go func() {
 		x.keyed, x.key = true, 7
@@ -133,7 +133,7 @@
 		answered <- a
 	}()
 	<-asked
-	s.List([]discovery.Entry{entryOf("s-0", addr, "leaving", 0)}, false)
+	s.UpdateEndpoints([]discovery.Entry{entryOf("s-0", addr, "leaving", 0)}, false)
 	told := time.Now()
 	if a := <-answered; a.Status != http.StatusServiceUnavailable || len(came) > 0 || time.Since(told) > left/2 {
 		t.Errorf("answered %d after %v, and %d requests came", a.Status, time.Since(told), len(came))
@@ -149,14 +149,14 @@
 	defer l.Close()
 	slots := budget.New(1).Join(1, nil)
 	_, s := aloneWith(t, slots, time.Minute)
-	s.List([]discovery.Entry{entryOf("s-0", l.Addr().String(), "active", 0)}, true)
+	s.UpdateEndpoints([]discovery.Entry{entryOf("s-0", l.Addr().String(), "active", 0)}, true)
 	if !slots.TryAcquire(1) {
 		t.Fatal("the place is taken")
 	}
 	s.mu.Lock()
 	s.probe(s.endpoints.byName["s-0"].ID)
 	s.mu.Unlock()
-	s.List([]discovery.Entry{entryOf("s-0", l.Addr().String(), "leaving", 0)}, false)
+	s.UpdateEndpoints([]discovery.Entry{entryOf("s-0", l.Addr().String(), "leaving", 0)}, false)
 	slots.Release(1)
 	c, err := l.Accept()
 	if err != nil {
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -75,13 +75,13 @@
 	for _, e := range entries {
 		p := policy.Endpoint{
 			Kind: max(slices.Index(t.kinds, e.Kind), 0), Zone: t.zone(e.Zone), Cell: e.Cell,
-			Nominal: e.Weight,
+			NominalSize: e.Weight,
 		}
 		switch e.State {
 		case "leaving":
 			p.Readiness = policy.Draining
 		case "left":
-			p.Readiness = policy.Gone
+			p.Readiness = policy.Removed
 		}
 		if t.disabled[e.ID] && p.Readiness == policy.Ready {
 			p.Readiness = policy.Draining
@@ -90,7 +90,7 @@
 		switch {
 		case known != nil:
 			p.ID = known.ID
-		case p.Readiness == policy.Gone:
+		case p.Readiness == policy.Removed:
 			continue
 		default:
 			p.ID = t.number(e.ID)
@@ -107,7 +107,7 @@
 		if known != nil && (p.Readiness != policy.Ready || !stays) {
 			forget(known.upstream())
 		}
-		if p.Readiness == policy.Gone {
+		if p.Readiness == policy.Removed {
 			t.drop(now, known)
 			continue
 		}
@@ -139,7 +139,7 @@
 }
 
 func (t *endpoints) drop(now time.Duration, e *endpoint) {
-	e.listing.becomes(permit.Gone, now)
+	e.listing.becomes(permit.Removed, now)
 	t.starts.leave(e.name, start{e.entry.StartedMS, e.Started})
 	delete(t.byName, e.name)
 	delete(t.disabled, e.name)
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -26,12 +26,12 @@
 	Contract string `json:"contract"` // what the contract says to it
 	Key      string `json:"key,omitempty"`
 
-	Moves      []MetMove   `json:"moves,omitempty"`
-	Candidates []Candidate `json:"candidates,omitempty"`
+	Moves      []MoveAssignment `json:"moves,omitempty"`
+	Candidates []Candidate      `json:"candidates,omitempty"`
 }
 
-// MetMove is the pool of a move that a request meets.
-type MetMove struct {
+// MoveAssignment is the pool of a move that a request meets.
+type MoveAssignment struct {
 	Move  string  `json:"move"`
 	Pool  string  `json:"pool"`  // old or new; by chance, of a request without a key
 	Share float64 `json:"share"` // of the new one
@@ -45,7 +45,7 @@
 	Avoid string  `json:"avoids,omitempty"` // why nobody does, or next to nobody
 }
 
-var effectNames = map[policy.Effect]string{policy.Repeatable: "safe", policy.Keyed: "keyed", policy.Unsafe: "unsafe"}
+var effectNames = map[policy.Effect]string{policy.Idempotent: "safe", policy.Keyed: "keyed", policy.Unsafe: "unsafe"}
 
 // Explain tells what would become of a request with this head.
 func (c *Core) Explain(h *Head) Explanation {
@@ -97,14 +97,14 @@
 		case mask>>i&1 != 0:
 			pool = "new"
 		}
-		e.Moves = append(e.Moves, MetMove{move.Name, pool, move.Share()})
+		e.Moves = append(e.Moves, MoveAssignment{move.Name, pool, move.Share()})
 	}
 	for _, m := range s.memberList() {
 		to := s.endpoints.byName[m.ID]
-		c := Candidate{ID: m.ID, Part: m.Part, Avoid: m.Why}
+		c := Candidate{ID: m.ID, Part: m.Share, Avoid: m.AvoidedReason}
 		switch {
 		case to.Readiness != policy.Ready:
-			c.Not = m.Why
+			c.Not = m.AvoidedReason
 		case known && !earlier.Allows(s.now(), to.Endpoint):
 			c.Not = "a repeat of the key is not dropped there"
 		case key != "" && s.pools.any && s.pools.meets[mask] && !mask.Allows(to.pools):
@@ -120,17 +120,17 @@
 		return
 	}
 	ticket, v := s.broker.Admit(s.now(), e.Team, class, 0)
-	switch v.Kind {
+	switch v.Outcome {
 	case broker.Admitted:
 		s.broker.Withdraw(s.now(), &ticket, false)
 		e.Contract = "admitted"
-		if v.Owed {
+		if v.Guaranteed {
 			e.Contract = "admitted, and owed: it is not turned away for the sake of others"
 		}
 	case broker.OverRate:
-		e.Status, e.Reason, e.Retry, e.Contract = http.StatusTooManyRequests, overRate, v.After, "over its rate"
+		e.Status, e.Reason, e.Retry, e.Contract = http.StatusTooManyRequests, overRate, v.RetryAfter, "over its rate"
 	case broker.OverShare:
-		e.Status, e.Reason, e.Retry, e.Contract = http.StatusServiceUnavailable, overShare, v.After, "over its share, and there is too little for all"
+		e.Status, e.Reason, e.Retry, e.Contract = http.StatusServiceUnavailable, overShare, v.RetryAfter, "over its share, and there is too little for all"
 	default:
 		e.Status, e.Reason, e.Contract = http.StatusForbidden, notAllowed, "has no such call"
 	}
@@ -138,16 +138,16 @@
 
 // TeamStanding is how a team stands with a service.
 type TeamStanding struct {
-	Service string  `json:"service"`
-	Team    string  `json:"team"` // "": all that have no contract
-	Retries float64 `json:"retries"`
-	Queued  float64 `json:"queued_s"` // seconds of work that it is ahead of its share
-	Calls   []Ahead `json:"calls"`
+	Service string      `json:"service"`
+	Team    string      `json:"team"` // "": all that have no contract
+	Retries float64     `json:"retries"`
+	Queued  float64     `json:"queued_s"` // seconds of work that it is ahead of its share
+	Calls   []CallUsage `json:"calls"`
 }
 
-// Ahead is how far ahead of its schedule a call is: its burst is spent where that is
+// CallUsage is how far ahead of its schedule a call is: its burst is spent where that is
 // as long as the burst takes at the rate.
-type Ahead struct {
+type CallUsage struct {
 	Class    string        `json:"class"` // the first of the call
 	Requests time.Duration `json:"requests_ns"`
 	Work     time.Duration `json:"work_ns"`
@@ -161,11 +161,11 @@
 	if s.broker == nil {
 		return nil, false
 	}
-	names, st := s.settled.names(), s.broker.Standing(s.now())
+	names, st := s.settled.names(), s.broker.Snapshot(s.now())
 	for _, t := range st.Teams {
 		row := TeamStanding{Service: cmp.Or(s.name, "-"), Team: t.Team, Retries: t.Tokens, Queued: t.Queued}
 		for _, c := range t.Calls {
-			a := Ahead{Requests: c.Requests, Work: c.Work}
+			a := CallUsage{Requests: c.Requests, Work: c.Work}
 			if c.Class >= 0 && c.Class < len(names) {
 				a.Class = names[c.Class]
 			}
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -24,21 +24,21 @@
 }
 
 // aloneWith is alone with these places for connections, and how long one may take.
-func aloneWith(t testing.TB, slots *budget.Part, connect time.Duration) (*Core, *Service) {
+func aloneWith(t testing.TB, slots *budget.Partition, connect time.Duration) (*Core, *Service) {
 	t.Helper()
 	s, err := NewService(ServiceConfig{
-		Kinds: []string{"std"}, Rooms: []Room{{Bodies: budget.New(1<<20).Join(1, nil)}}, Seed: 1, Figures: figures.New(),
-		Pool: upstream.NewPool(upstream.Shares{Slots: slots, Long: budget.New(1<<20).Join(1, nil)}, connect, time.Minute),
+		Kinds: []string{"std"}, Limits: []FrontLimits{{Bodies: budget.New(1<<20).Join(1, nil)}}, Seed: 1, Figures: figures.New(),
+		Pool: upstream.NewPool(upstream.Resources{Slots: slots, StreamBytes: budget.New(1<<20).Join(1, nil)}, connect, time.Minute),
 		Settings: Settings{Classes: []string{"tile"}, Policy: policy.Settings{
-			FleetSize: 1, MaxAttempts: 3, Cancel: true, ConnIdle: time.Minute,
+			FleetSize: 1, MaxAttempts: 3, Cancel: true, ConnIdleTimeout: time.Minute,
 			Classes: []policy.Class{{Aim: time.Second, Deadline: time.Second, Worth: 1, LateWorth: 0.5}},
 		}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.List([]discovery.Entry{{ID: "s-0", Addr: "127.0.0.1:1", Kind: "std", State: "active", Weight: 1}}, true)
-	table, err := NewTable(false, Mount{Service: s, Classes: []Class{PlainClass("tile", policy.Repeatable)}})
+	s.UpdateEndpoints([]discovery.Entry{{ID: "s-0", Addr: "127.0.0.1:1", Kind: "std", State: "active", Weight: 1}}, true)
+	table, err := NewTable(false, Mount{Service: s, Classes: []Class{DefaultClass("tile", policy.Idempotent)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 func TestModulePanics(t *testing.T) {
 	c, _ := alone(t)
 	x := open(t, c, "1")
-	x.request.Only = func(policy.Endpoint) bool { panic("in the module") }
+	x.request.Eligible = func(policy.Endpoint) bool { panic("in the module") }
 	if a, err := x.Do(context.Background(), nil); a.Status != http.StatusGatewayTimeout || err != nil {
 		t.Errorf("%d %v", a.Status, err)
 	}
@@ -77,8 +77,8 @@
 func TestLeftBefore(t *testing.T) {
 	c, _ := alone(t)
 	x := open(t, c, "1")
-	x.Leave()
-	if a, err := x.Do(context.Background(), nil); err != ErrGone {
+	x.ClientDisconnected()
+	if a, err := x.Do(context.Background(), nil); err != ErrClientDisconnected {
 		t.Errorf("%d %v", a.Status, err)
 	}
 	if s := x.service; len(s.calls) != 0 || s.timers.queue.Len() != 0 || x.place.open.Load() != 0 {
@@ -94,7 +94,7 @@
 	for i := range 50 {
 		c, _ := alone(t)
 		x := open(t, c, strconv.Itoa(i))
-		if a, err := x.Do(ended, nil); err != ErrGone {
+		if a, err := x.Do(ended, nil); err != ErrClientDisconnected {
 			t.Errorf("%d %v", a.Status, err)
 		}
 		if n := len(x.call.attempts); n > 0 {
@@ -106,7 +106,7 @@
 // closedConnection is a client that has closed its connection, which nobody has told yet.
 type closedConnection struct{}
 
-func (closedConnection) Left() bool { return true }
+func (closedConnection) Disconnected() bool { return true }
 
 // A client whose connection is closed by the time an attempt has failed gets no other one,
 // though word of its leaving comes later: after a stall both wait, in any order.
@@ -115,10 +115,10 @@
 		c, s := alone(t)
 		x := open(t, c, "1")
 		x.head.Client = closedConnection{}
-		if a, err := x.Do(context.Background(), nil); err != ErrGone {
+		if a, err := x.Do(context.Background(), nil); err != ErrClientDisconnected {
 			t.Errorf("answered %d, %v", a.Status, err)
 		}
-		x.Leave()
+		x.ClientDisconnected()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if n := len(x.call.attempts) - 1; n != 1 {
@@ -151,7 +151,7 @@
 			t.Fatal("the place is taken")
 		}
 		x := open(t, c, "1")
-		x.request.Left = 10 * longest
+		x.request.TimeLeft = 10 * longest
 		ended := make(chan error)
 		go func() {
 			_, err := x.Do(context.Background(), nil)
@@ -163,8 +163,8 @@
 			s.mu.Unlock()
 		}
 		left := time.Now()
-		x.Leave()
-		if err := <-ended; err != ErrGone {
+		x.ClientDisconnected()
+		if err := <-ended; err != ErrClientDisconnected {
 			t.Errorf("cancelling %v: ended with %v", mayCancel, err)
 		}
 		for calls := 1; calls > 0; runtime.Gosched() {
@@ -188,7 +188,7 @@
 				var asked atomic.Int32
 				s.OnSubscribe(func() { asked.Add(1) })
 				set := s.settled.policy
-				set.OnRequest, set.AskWithin = true, 10*time.Second
+				set.DiscoveryOnRequest, set.PollWithin = true, 10*time.Second
 				if err := s.balancer.Retune(set); err != nil {
 					t.Fatal(err)
 				}
@@ -226,7 +226,7 @@
 		t.Fatal("the place is taken")
 	}
 	x := open(t, c, "1")
-	x.request.Left = connect
+	x.request.TimeLeft = connect
 	answered := make(chan Answer)
 	go func() {
 		a, _ := x.Do(context.Background(), nil)
@@ -265,16 +265,16 @@
 		for i := range 4 * 3600 {
 			x := open(t, c, strconv.Itoa(i))
 			if i%3 == 0 {
-				x.Leave()
+				x.ClientDisconnected()
 			}
-			if a, err := x.Do(context.Background(), nil); a.Status == http.StatusOK || err != nil && err != ErrGone {
+			if a, err := x.Do(context.Background(), nil); a.Status == http.StatusOK || err != nil && err != ErrClientDisconnected {
 				t.Fatalf("%d %v", a.Status, err)
 			}
 			s.mu.Lock()
-			calls, timers, places := len(s.calls), s.timers.queue.Len(), s.timers.queue.Room()
+			calls, timers, places := len(s.calls), s.timers.queue.Len(), s.timers.queue.Cap()
 			s.mu.Unlock()
-			if calls > 0 || timers > 0 || places > 4 || x.place.open.Load() != 0 || s.pool.Open() != 0 {
-				t.Fatalf("after %d: %d calls, %d timers in %d places, %d open, %d connections", i, calls, timers, places, x.place.open.Load(), s.pool.Open())
+			if calls > 0 || timers > 0 || places > 4 || x.place.open.Load() != 0 || s.pool.OpenConns() != 0 {
+				t.Fatalf("after %d: %d calls, %d timers in %d places, %d open, %d connections", i, calls, timers, places, x.place.open.Load(), s.pool.OpenConns())
 			}
 			<-time.After(time.Second)
 		}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -9,25 +9,25 @@
 	"spokegw/internal/moves"
 )
 
-// Known is what a service knows that the one which takes its place should.
-type Known struct {
-	Classes  []string // names, by the places that the rest knows; "": none
-	Learnt   learnt.Record
-	Standing *broker.Standing // nil: there are no contracts
-	Keys     []keyed.Note
-	Disabled []string // endpoints, by operators
-	Moves    []moves.Record
+// Snapshot is what a service knows that the one which takes its place should.
+type Snapshot struct {
+	Classes       []string // names, by the places that the rest knows; "": none
+	Learnt        learnt.Record
+	ContractUsage *broker.Snapshot // nil: there are no contracts
+	Keys          []keyed.Note
+	Disabled      []string // endpoints, by operators
+	Moves         []moves.Record
 }
 
-// Known tells what the service knows, with at most so many keys.
-func (s *Service) Known(keys int) Known {
+// Snapshot tells what the service knows, with at most so many keys.
+func (s *Service) Snapshot(keys int) Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	k := Known{Classes: s.settled.names(), Learnt: learnt.Read(now, s.balancer), Keys: s.keys.Notes(now, keys)}
+	k := Snapshot{Classes: s.settled.names(), Learnt: learnt.Snapshot(now, s.balancer), Keys: s.keys.Notes(now, keys)}
 	if s.broker != nil {
-		st := s.broker.Standing(now)
-		k.Standing = &st
+		st := s.broker.Snapshot(now)
+		k.ContractUsage = &st
 	}
 	k.Moves = s.moveRecords()
 	for id := range s.endpoints.disabled {
@@ -38,12 +38,12 @@
 
 // Adopt takes over what the service of another process knows, before the first
 // request and once the endpoints are listed.
-func (s *Service) Adopt(k Known) {
+func (s *Service) Adopt(k Snapshot) {
 	s.mu.Lock()
 	now, names := s.now(), s.settled.names()
-	k.Learnt.Into(now, s.balancer, match(names, k.Classes))
-	if s.broker != nil && k.Standing != nil {
-		s.broker.Adopt(now, *k.Standing, match(k.Classes, names))
+	k.Learnt.Apply(now, s.balancer, match(names, k.Classes))
+	if s.broker != nil && k.ContractUsage != nil {
+		s.broker.Restore(now, *k.ContractUsage, match(k.Classes, names))
 	}
 	for _, n := range k.Keys {
 		s.keys.Adopt(now, n)
--- a/internal/core/head.go
+++ b/internal/core/head.go
@@ -27,9 +27,9 @@
 
 // Client is who sent a request, as its front sees it.
 type Client interface {
-	// Left reports whether the client has closed its connection. It does not wait. Word of
-	// that may still be on its way, as Exchange.Leave.
-	Left() bool
+	// Disconnected reports whether the client has closed its connection. It does not wait. Word of
+	// that may still be on its way, as Exchange.ClientDisconnected.
+	Disconnected() bool
 }
 
 const (
@@ -130,11 +130,11 @@
 		return errors.New("Idempotency-Key is missing, or the class has none")
 	}
 	var err error
-	if q.Left, err = parseDeadline(h.Get("Req-Deadline")); err != nil {
+	if q.TimeLeft, err = parseDeadline(h.Get("Req-Deadline")); err != nil {
 		return err
 	}
 	if longest := class.rules.Deadline; longest > 0 {
-		q.Left = min(q.Left, longest) // nobody waits for longer, whatever he says
+		q.TimeLeft = min(q.TimeLeft, longest) // nobody waits for longer, whatever he says
 	}
 	// One over its share costs the others; a tenant that nobody knows has none.
 	q.Tenant = slices.Index(m.settled.tenants, h.Get("Req-Owner"))
--- a/internal/core/keyed.go
+++ b/internal/core/keyed.go
@@ -11,21 +11,21 @@
 
 // Peers are the other processes that clients of this one come to as well.
 type Peers interface {
-	// Any reports whether there are some, or were.
-	Any() bool
-	// Tell has them know of a key. When it returns without an error each of them finds that as it
+	// Exist reports whether there are some, or were.
+	Exist() bool
+	// Publish has them know of a key. When it returns without an error each of them finds that as it
 	// catches up, whatever becomes of this process.
-	Tell(keyed.Note) error
+	Publish(keyed.Note) error
 	// CatchUp has all adopted that they have told by now. It does not wait for them.
 	CatchUp() error
 }
 
-// UsePeers sets the other processes. It is to be set before the first request.
-func (s *Service) UsePeers(p Peers) { s.peers = p }
+// SetPeers sets the other processes. It is to be set before the first request.
+func (s *Service) SetPeers(p Peers) { s.peers = p }
 
 // catchUp has a request decided on by what other processes have told of its key.
 func (s *Service) catchUp(c *call) {
-	if c.keyed && s.peers != nil && s.peers.Any() {
+	if c.keyed && s.peers != nil && s.peers.Exist() {
 		s.peers.CatchUp() // where it can't, the attempt is not claimed
 	}
 }
@@ -34,12 +34,12 @@
 // Each tells of its own before it looks for those of the others: of two, one at least finds the
 // other's, and gives way.
 func (s *Service) claim(a *attempt) bool {
-	if a.note == nil || s.peers == nil || !s.peers.Any() {
+	if a.note == nil || s.peers == nil || !s.peers.Exist() {
 		return true
 	}
 	n := *a.note
 	n.Age += time.Since(a.decided)
-	if s.peers.Tell(n) != nil || s.peers.CatchUp() != nil {
+	if s.peers.Publish(n) != nil || s.peers.CatchUp() != nil {
 		return false
 	}
 	s.mu.Lock()
@@ -53,22 +53,22 @@
 // Where there are moves, each request meets its pools only. A key that came before
 // stays with those that it met then, whatever the share is now.
 func (s *Service) pin(c *call, q *policy.Request, now time.Duration, h http.Header) {
-	var earlier keyed.Earlier
+	var earlier keyed.PriorSend
 	known := false
 	if c.keyed {
 		earlier, known = s.keys.Find(now, c.key)
 	}
 	if s.pools.any {
-		c.repeatable = s.settled.places[c.class].rules.Effect == policy.Repeatable
+		c.repeatable = s.settled.places[c.class].rules.Effect == policy.Idempotent
 		if c.mask = earlier.Mask(); !known {
 			c.mask = s.pools.mask(h.Get("Idempotency-Key"))
 		}
 	}
 	switch {
 	case s.pools.any:
-		q.Only = func(to policy.Endpoint) bool { return (!known || earlier.Allows(s.now(), to)) && s.meets(c, to) }
+		q.Eligible = func(to policy.Endpoint) bool { return (!known || earlier.Allows(s.now(), to)) && s.meets(c, to) }
 	case known:
-		q.Only = func(to policy.Endpoint) bool { return earlier.Allows(s.now(), to) }
+		q.Eligible = func(to policy.Endpoint) bool { return earlier.Allows(s.now(), to) }
 	}
 }
 
@@ -79,8 +79,8 @@
 		return nil, repeatBy
 	}
 	now := s.now()
-	s.keys.Sent(now, c.key, &s.settled.places[c.class].rules, to.Endpoint, c.mask.Met(to.pools))
-	if end, repeat := s.keys.RepeatBy(c.key); repeat {
+	s.keys.RecordSent(now, c.key, &s.settled.places[c.class].rules, to.Endpoint, c.mask.Met(to.pools))
+	if end, repeat := s.keys.DedupUntil(c.key); repeat {
 		repeatBy = s.at(end)
 	}
 	n, ok := s.keys.NoteOf(now, c.key)
@@ -93,10 +93,10 @@
 	return &n, repeatBy
 }
 
-// OnDurable sets what has a keyed request on a disk before it is sent. It may wait;
+// SetKeyWriter sets what has a keyed request on a disk before it is sent. It may wait;
 // its error tells that the request is not to be sent. It is to be set before the first
 // request.
-func (s *Service) OnDurable(keep func(context.Context, keyed.Note) error) { s.durable = keep }
+func (s *Service) SetKeyWriter(keep func(context.Context, keyed.Note) error) { s.durable = keep }
 
 // keepKey has the key of an attempt on the disk in its time, where that is asked for.
 func (s *Service) keepKey(a *attempt) error {
@@ -113,7 +113,7 @@
 // noteEnded notes the end of an attempt that was sent.
 func (s *Service) noteEnded(c *call, r policy.Result) {
 	if c.keyed {
-		s.keys.Ended(c.key, r.NeverRan())
+		s.keys.RecordEnded(c.key, r.NeverRan())
 	}
 }
 
--- a/internal/core/keyed_test.go
+++ b/internal/core/keyed_test.go
@@ -39,10 +39,10 @@
 		}
 	}()
 	s, err := NewService(ServiceConfig{
-		Kinds: []string{"std"}, Rooms: []Room{{Bodies: budget.New(1<<20).Join(1, nil)}}, Seed: 1, Figures: figures.New(),
-		Pool: upstream.NewPool(upstream.Shares{Slots: budget.New(4).Join(1, nil), Long: budget.New(1<<20).Join(1, nil)}, 10*time.Second, time.Minute),
+		Kinds: []string{"std"}, Limits: []FrontLimits{{Bodies: budget.New(1<<20).Join(1, nil)}}, Seed: 1, Figures: figures.New(),
+		Pool: upstream.NewPool(upstream.Resources{Slots: budget.New(4).Join(1, nil), StreamBytes: budget.New(1<<20).Join(1, nil)}, 10*time.Second, time.Minute),
 		Settings: Settings{Classes: []string{"order"}, Policy: policy.Settings{
-			FleetSize: 1, MaxAttempts: 3, Cancel: true, ConnIdle: time.Minute,
+			FleetSize: 1, MaxAttempts: 3, Cancel: true, ConnIdleTimeout: time.Minute,
 			Classes: []policy.Class{{Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: policy.Keyed, DedupWindow: window}},
 		}},
 	})
@@ -50,14 +50,14 @@
 		t.Fatal(err)
 	}
 	tries := 0
-	s.OnDurable(func(ctx context.Context, n keyed.Note) error {
+	s.SetKeyWriter(func(ctx context.Context, n keyed.Note) error {
 		if tries++; tries == 2 { // the way takes until the window is over
 			<-time.After(n.Window - n.Age)
 		}
 		return nil
 	})
-	s.List([]discovery.Entry{{ID: "s-0", Addr: l.Addr().String(), Kind: "std", State: "active", Weight: 1}}, true)
-	table, err := NewTable(false, Mount{Service: s, Classes: []Class{PlainClass("order", policy.Keyed)}})
+	s.UpdateEndpoints([]discovery.Entry{{ID: "s-0", Addr: l.Addr().String(), Kind: "std", State: "active", Weight: 1}}, true)
+	table, err := NewTable(false, Mount{Service: s, Classes: []Class{DefaultClass("order", policy.Keyed)}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -9,13 +9,15 @@
 	"spokegw/policy"
 )
 
-// List takes entries from discovery: the whole list, or only changes.
-func (s *Service) List(entries []discovery.Entry, full bool) { s.ListAfter(entries, full, 0) }
+// UpdateEndpoints takes entries from discovery: the whole list, or only changes.
+func (s *Service) UpdateEndpoints(entries []discovery.Entry, full bool) {
+	s.UpdateEndpointsAfter(entries, full, 0)
+}
 
-// ListAfter is List where it is known how long ago the list before was current; 0: it is not.
-func (s *Service) ListAfter(entries []discovery.Entry, full bool, since time.Duration) {
+// UpdateEndpointsAfter is UpdateEndpoints where it is known how long ago the list before was current; 0: it is not.
+func (s *Service) UpdateEndpointsAfter(entries []discovery.Entry, full bool, since time.Duration) {
 	s.event(func(b *policy.Balancer, now time.Duration) []policy.Action {
-		told := s.endpoints.apply(now, since, entries, full, s.pool.Forget)
+		told := s.endpoints.apply(now, since, entries, full, s.pool.RemoveEndpoint)
 		s.endUnsent()
 		s.endpointsMoved()
 		return s.tellEndpoints(b, now, told, full)
@@ -32,8 +34,8 @@
 	return actions
 }
 
-// Entries is the list as discovery has told it.
-func (s *Service) Entries() []discovery.Entry {
+// DiscoveryEntries is the list as discovery has told it.
+func (s *Service) DiscoveryEntries() []discovery.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]discovery.Entry, 0, len(s.endpoints.byName))
@@ -43,12 +45,12 @@
 	return all
 }
 
-// Members counts the endpoints as the registry lists them, and of them those
+// CountMembers counts the endpoints as the registry lists them, and of them those
 // that the module avoids for now.
-func (s *Service) Members() (m figures.Members) {
+func (s *Service) CountMembers() (m figures.Members) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	standings := learnt.Standings(s.now(), s.balancer)
+	standings := learnt.EndpointStatuses(s.now(), s.balancer)
 	for id, e := range s.endpoints.byID {
 		m.Listed++
 		if e.Readiness != policy.Ready || standings[id].Avoided() {
--- a/internal/core/measured.go
+++ b/internal/core/measured.go
@@ -18,26 +18,26 @@
 type measured struct {
 	of      *settled
 	classes []weights.Class // by place, of it
-	sums    map[policy.EndpointID]*weights.Sums
+	sums    map[policy.EndpointID]*weights.Stats
 	met     [metKeys]uint32 // keys that endpoints have met, by a hash of both
 	factors map[weights.ID]float64
-	inUse   bool         // factors are in force
-	asked   weights.Sums // what came to the door
-	door    *sites.Door  // nil: every site is met whole, and everybody let in
+	inUse   bool            // factors are in force
+	asked   weights.Stats   // what came to the door
+	door    *sites.Enforcer // nil: every site is met whole, and everybody let in
 }
 
 // metKeys bounds the keys that are remembered. One that is pushed out, or that another
 // gateway sent, counts as cold.
 const metKeys = 4096
 
-// Measure has the service sum up what it sees of endpoints. It is to be called before the
+// EnableMeasurement has the service sum up what it sees of endpoints. It is to be called before the
 // first request.
-func (s *Service) Measure() {
-	s.measured = &measured{sums: map[policy.EndpointID]*weights.Sums{}}
+func (s *Service) EnableMeasurement() {
+	s.measured = &measured{sums: map[policy.EndpointID]*weights.Stats{}}
 }
 
-var measuredEndings = map[policy.Result]weights.Ending{
-	policy.Served: weights.Served, policy.NoAnswer: weights.Silent, policy.CalledOff: weights.Abandoned, policy.TurnedAway: weights.Declined,
+var measuredEndings = map[policy.Result]weights.Outcome{
+	policy.Served: weights.Served, policy.NoAnswer: weights.TimedOut, policy.Cancelled: weights.Cancelled, policy.Declined: weights.Declined,
 	policy.Errored: weights.Failed, policy.ConnectionLost: weights.Unreached, policy.NoConnection: weights.Unreached,
 }
 
@@ -49,8 +49,8 @@
 	if m == nil || e == nil || !counts {
 		return
 	}
-	if told.Result == policy.CalledOff && c.by > a.n {
-		how = weights.Overtaken
+	if told.Result == policy.Cancelled && c.by > a.n {
+		how = weights.Superseded
 	}
 	m.name(s)
 	sums := m.sums[a.endpoint]
@@ -58,11 +58,11 @@
 		if len(m.sums) >= weights.MaxEndpoints { // nobody has asked for them, and lists went on
 			return
 		}
-		sums = &weights.Sums{ID: s.weightID(e)}
+		sums = &weights.Stats{ID: s.weightID(e)}
 		m.sums[a.endpoint] = sums
 	}
 	q := &c.exchange.request
-	sums.Ended(m.classes[c.class], m.warm(q.Key, a.endpoint, how), how, told.Elapsed, time.Duration(q.Cost*float64(time.Second)))
+	sums.Record(m.classes[c.class], m.warm(q.Key, a.endpoint, how), how, told.Elapsed, time.Duration(q.Cost*float64(time.Second)))
 }
 
 // name has the classes' names at hand.
@@ -90,22 +90,22 @@
 	defer s.mu.Unlock()
 	m.name(s)
 	class := m.classes[x.request.Class]
-	m.asked.Ended(class, x.request.Owed, weights.Served, 0, time.Duration(x.request.Cost*float64(time.Second)))
-	if m.door == nil || m.door.Admits(sites.Group{Class: uint16(class), Inside: x.request.Owed}, rand.Float64()) {
+	m.asked.Record(class, x.request.Guaranteed, weights.Served, 0, time.Duration(x.request.Cost*float64(time.Second)))
+	if m.door == nil || m.door.Admits(sites.Group{Class: uint16(class), Guaranteed: x.request.Guaranteed}, rand.Float64()) {
 		return nil
 	}
-	return &Answer{Status: http.StatusServiceUnavailable, Reason: siteLost, RetryAfter: m.door.After(rand.Float64())}
+	return &Answer{Status: http.StatusServiceUnavailable, Reason: siteLost, RetryAfter: m.door.RetryAfter(rand.Float64())}
 }
 
-// SetDoor puts in force what the fleet does about sites. nil: nothing.
-func (s *Service) SetDoor(d *sites.Door) {
+// SetSiteAdmission puts in force what the fleet does about sites. nil: nothing.
+func (s *Service) SetSiteAdmission(d *sites.Enforcer) {
 	s.event(func(b *policy.Balancer, now time.Duration) []policy.Action {
 		m := s.measured
 		if m == nil {
 			return nil
 		}
 		was := m.door
-		if m.door = d; d != nil && !d.Hurt() {
+		if m.door = d; d != nil && !d.Degraded() {
 			m.door = nil
 		}
 		var turned []policy.Endpoint
@@ -125,8 +125,8 @@
 }
 
 // meetsBy reports whether first attempts go to an endpoint by the fleet's plan.
-func (s *Service) meetsBy(d *sites.Door, e *endpoint) bool {
-	return d == nil || d.Meets(e.entry.Zone, uint64(s.weightID(e)))
+func (s *Service) meetsBy(d *sites.Enforcer, e *endpoint) bool {
+	return d == nil || d.RoutesTo(e.entry.Zone, uint64(s.weightID(e)))
 }
 
 // away changes those of a list that are not met by the fleet's plan: they get nothing new, as
@@ -145,27 +145,27 @@
 
 // warmth is the part of its capacity that an endpoint is sure to have, as the module has it.
 func (s *Service) warmth(e *endpoint) float64 {
-	cold, least, age := s.settled.policy.ColdTime, s.settled.policy.StartCapacity, s.now()-e.Started
+	cold, least, age := s.settled.policy.WarmupTime, s.settled.policy.StartCapacity, s.now()-e.Started
 	if e.Started <= 0 || age >= cold {
 		return 1
 	}
 	return least + (1-least)*max(0, age.Seconds()/cold.Seconds())
 }
 
-// Door names the sums of what came to the service's door, and tells what a request of each
+// SiteDemand names the sums of what came to the service's door, and tells what a request of each
 // class is worth.
-func (s *Service) Door() (weights.ID, map[weights.Class]float64) {
+func (s *Service) SiteDemand() (weights.ID, map[weights.Class]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	worth := map[weights.Class]float64{}
 	for _, p := range s.settled.classes {
 		worth[weights.NewClass(s.name, p.name)] = p.rules.Worth
 	}
-	return weights.DoorID(s.name), worth
+	return weights.AdmissionID(s.name), worth
 }
 
 // warm reports whether an endpoint had met a key, and notes that it has now.
-func (m *measured) warm(key string, endpoint policy.EndpointID, how weights.Ending) bool {
+func (m *measured) warm(key string, endpoint policy.EndpointID, how weights.Outcome) bool {
 	if key == "" || how != weights.Served {
 		return false
 	}
@@ -182,8 +182,8 @@
 	return weights.NewID(s.name, e.name, time.Duration(e.entry.StartedMS)*time.Millisecond)
 }
 
-// Seen is what was seen of endpoints since the last call.
-func (s *Service) Seen() (all []weights.Sums) {
+// TakeObservations is what was seen of endpoints since the last call.
+func (s *Service) TakeObservations() (all []weights.Stats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.measured
@@ -196,11 +196,11 @@
 			delete(m.sums, id)
 		}
 		all = append(all, *sums)
-		*sums = weights.Sums{ID: sums.ID}
+		*sums = weights.Stats{ID: sums.ID}
 	}
-	m.asked.ID = weights.DoorID(s.name)
+	m.asked.ID = weights.AdmissionID(s.name)
 	all = append(all, m.asked)
-	m.asked = weights.Sums{}
+	m.asked = weights.Stats{}
 	return all
 }
 
@@ -212,7 +212,7 @@
 	h.Write([]byte(s.name))
 	for _, e := range s.endpoints.byID {
 		ready := e.Readiness == policy.Ready
-		all = append(all, weights.Endpoint{ID: s.weightID(e), Kind: h.Sum32() + uint32(e.Kind), Nominal: e.Nominal, Site: e.entry.Zone, Ready: ready, Warmth: s.warmth(e)})
+		all = append(all, weights.Endpoint{ID: s.weightID(e), Kind: h.Sum32() + uint32(e.Kind), Nominal: e.NominalSize, Site: e.entry.Zone, Ready: ready, Warmth: s.warmth(e)})
 	}
 	return all
 }
@@ -235,12 +235,12 @@
 // each list.
 func (s *Service) resize(b *policy.Balancer, now time.Duration) {
 	m := s.measured
-	learnt.Resize(now, b, func(id policy.EndpointID) (int, float64) {
+	learnt.ApplyMeasuredSizes(now, b, func(id policy.EndpointID) (int, float64) {
 		e := s.endpoints.byID[id]
 		if e == nil { // something is out on it yet
 			return 0, 0
 		}
-		return e.Kind, e.Nominal
+		return e.Kind, e.NominalSize
 	}, func(id policy.EndpointID) (float64, bool) {
 		e := s.endpoints.byID[id]
 		if e == nil || !m.inUse {
@@ -253,9 +253,9 @@
 		if m.door != nil {
 			factor *= m.door.Factor(e.entry.Zone)
 		}
-		if e.Nominal <= 0 { // it is not told
+		if e.NominalSize <= 0 { // it is not told
 			return factor, true
 		}
-		return factor * e.Nominal, true
+		return factor * e.NominalSize, true
 	})
 }
--- a/internal/core/measured_test.go
+++ b/internal/core/measured_test.go
@@ -17,12 +17,12 @@
 // measuring is a service with two endpoints in each of two zones.
 func measuring(t testing.TB) (*Core, *Service) {
 	c, s := alone(t)
-	s.Measure()
+	s.EnableMeasurement()
 	var list []discovery.Entry
 	for i, zone := range []string{"a", "a", "b", "b"} {
 		list = append(list, discovery.Entry{ID: "s-" + strconv.Itoa(i), Addr: "127.0.0.1:1", Kind: "std", Zone: zone, State: "active", Weight: 1})
 	}
-	s.List(list, true)
+	s.UpdateEndpoints(list, true)
 	return c, s
 }
 
@@ -33,24 +33,24 @@
 	call := &call{exchange: open(t, c, "1"), by: 1}
 	s.mu.Lock()
 	to := s.endpoints.byName["s-1"].ID
-	for n, r := range []policy.Result{policy.CalledOff, policy.Served, policy.CalledOff, policy.NoAnswer, policy.Errored, policy.NoConnection, policy.TurnedAway, policy.NotSent} {
+	for n, r := range []policy.Result{policy.Cancelled, policy.Served, policy.Cancelled, policy.NoAnswer, policy.Errored, policy.NoConnection, policy.Declined, policy.NotSent} {
 		s.measure(call, &attempt{n: n, endpoint: to}, upstream.Answer{Result: r, Elapsed: time.Second})
 	}
 	s.mu.Unlock()
 	for range 2 {
-		for _, sums := range s.Seen() {
-			if sums.ID == weights.DoorID("") {
+		for _, sums := range s.TakeObservations() {
+			if sums.ID == weights.AdmissionID("") {
 				continue
 			}
-			if len(sums.Cells) != 1 || sums.Cells[0].Served != 1 || sums.Overtaken != 1 || sums.Silent != 1 || sums.Errors != 2 || sums.Unreached != 1 || sums.Declined != 1 || sums.Lost != 3e6 {
-				if sums.Lost > 0 {
+			if len(sums.Cells) != 1 || sums.Cells[0].Served != 1 || sums.Superseded != 1 || sums.TimedOut != 1 || sums.Errors != 2 || sums.Unreached != 1 || sums.Declined != 1 || sums.LostTime != 3e6 {
+				if sums.LostTime > 0 {
 					t.Errorf("%+v", sums)
 				}
 			}
 		}
 	}
 	for i := range 3 * weights.MaxEndpoints {
-		s.List([]discovery.Entry{{ID: "n-" + strconv.Itoa(i), Addr: "127.0.0.1:1", Kind: "std", State: "active"}}, false)
+		s.UpdateEndpoints([]discovery.Entry{{ID: "n-" + strconv.Itoa(i), Addr: "127.0.0.1:1", Kind: "std", State: "active"}}, false)
 		s.mu.Lock()
 		s.measure(call, &attempt{endpoint: s.endpoints.byName["n-"+strconv.Itoa(i)].ID}, upstream.Answer{Result: policy.Errored})
 		held := len(s.measured.sums)
@@ -68,8 +68,8 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.lastID++
-		s.balancer.Request(s.now(), policy.Request{ID: s.lastID, Left: time.Second})
-		for _, st := range learnt.Standings(s.now(), s.balancer) {
+		s.balancer.Request(s.now(), policy.Request{ID: s.lastID, TimeLeft: time.Second})
+		for _, st := range learnt.EndpointStatuses(s.now(), s.balancer) {
 			return st.Speed
 		}
 		return 0
@@ -84,7 +84,7 @@
 	if x := speeds(); math.Abs(x-4) > 1e-9 {
 		t.Errorf("speed %v with factors of 4", x)
 	}
-	s.List(s.Entries(), true)
+	s.UpdateEndpoints(s.DiscoveryEntries(), true)
 	if x := speeds(); math.Abs(x-4) > 1e-9 {
 		t.Errorf("speed %v after another list", x)
 	}
@@ -95,13 +95,13 @@
 }
 
 // lostPlan is one in which a site is lost and half of a class is let in.
-func lostPlan(now time.Duration, site string, admit float64) *sites.Door {
-	d := sites.NewDoor("g", "elsewhere", 1000) // of which few look
-	h := sites.Plan{Return: 4 * time.Second, Sites: []sites.Standing{{Site: sites.Hash(site), State: sites.Lost}}}
+func lostPlan(now time.Duration, site string, admit float64) *sites.Enforcer {
+	d := sites.NewEnforcer("g", "elsewhere", 1000) // of which few look
+	h := sites.Plan{RetryAfter: 4 * time.Second, Sites: []sites.SitePlan{{Site: sites.Hash(site), State: sites.Lost}}}
 	if admit < 1 {
-		h.Admit = []sites.Admitted{{Group: sites.Group{Class: uint16(weights.NewClass("", "tile"))}, Part: admit}}
+		h.Admit = []sites.Admission{{Group: sites.Group{Class: uint16(weights.NewClass("", "tile"))}, Fraction: admit}}
 	}
-	d.Step(now, h, nil)
+	d.Apply(now, h, nil)
 	return d
 }
 
@@ -114,9 +114,9 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.lastID++
-		s.balancer.Request(s.now(), policy.Request{ID: s.lastID, Left: time.Second})
-		for _, st := range learnt.Standings(s.now(), s.balancer) {
-			if st.Chance > 0 {
+		s.balancer.Request(s.now(), policy.Request{ID: s.lastID, TimeLeft: time.Second})
+		for _, st := range learnt.EndpointStatuses(s.now(), s.balancer) {
+			if st.SelectionWeight > 0 {
 				n++
 			}
 		}
@@ -125,24 +125,24 @@
 	if n := usable(); n != 4 {
 		t.Fatalf("%d of 4 are met", n)
 	}
-	s.SetDoor(lostPlan(time.Second, "b", 1))
+	s.SetSiteAdmission(lostPlan(time.Second, "b", 1))
 	if n := usable(); n != 2 {
 		t.Errorf("%d are met while a site of two is lost", n)
 	}
-	s.List(s.Entries(), true)
+	s.UpdateEndpoints(s.DiscoveryEntries(), true)
 	if n := usable(); n != 2 {
 		t.Errorf("%d are met after another list", n)
 	}
-	s.SetDoor(nil)
+	s.SetSiteAdmission(nil)
 	if n := usable(); n != 4 {
 		t.Errorf("%d are met when it is whole", n)
 	}
-	s.SetDoor(lostPlan(time.Second, "b", 0))
+	s.SetSiteAdmission(lostPlan(time.Second, "b", 0))
 	_, refused := c.Open(&Head{Method: "GET", Target: "/tile/1", Host: "b", Header: map[string][]string{"Req-Id": {"1"}, "Req-Deadline": {"30m"}}})
 	if refused == nil || refused.Status != 503 || refused.RetryAfter < 2*time.Second || refused.RetryAfter > 6*time.Second {
 		t.Errorf("%+v", refused)
 	}
-	if seen := s.Seen(); len(seen) != 1 || seen[0].Cells[0].Served != 1 {
+	if seen := s.TakeObservations(); len(seen) != 1 || seen[0].Cells[0].Served != 1 {
 		t.Errorf("what is refused is not counted as asked for: %+v", seen)
 	}
 }
@@ -162,7 +162,7 @@
 func BenchmarkDoor(b *testing.B) {
 	c, s := measuring(b)
 	x := open(b, c, "1")
-	s.SetDoor(lostPlan(time.Second, "b", 0.999999))
+	s.SetSiteAdmission(lostPlan(time.Second, "b", 0.999999))
 	b.ReportAllocs()
 	for b.Loop() {
 		s.letIn(x)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -16,9 +16,9 @@
 type Member struct {
 	ID, Addr, Kind, State string
 	Disabled              bool    // by an operator
-	Why                   string  // it is avoided; "": it is not
-	Part                  float64 // of the requests that it is drawn for
-	learnt.Standing
+	AvoidedReason         string  // it is avoided; "": it is not
+	Share                 float64 // of the requests that it is drawn for
+	learnt.EndpointStatus
 }
 
 // MemberList is every endpoint in the list, by id.
@@ -30,22 +30,22 @@
 
 func (s *Service) memberList() (all []Member) {
 	const none = math.SmallestNonzeroFloat64
-	standings, sum := learnt.Standings(s.now(), s.balancer), none
+	standings, sum := learnt.EndpointStatuses(s.now(), s.balancer), none
 	for _, st := range standings {
-		sum += st.Chance
+		sum += st.SelectionWeight
 	}
 	for id, e := range s.endpoints.byID {
 		st := standings[id]
-		m := Member{ID: e.name, Addr: e.addr, Kind: e.entry.Kind, State: e.entry.State, Disabled: s.endpoints.disabled[e.name], Part: st.Chance / sum, Standing: st}
+		m := Member{ID: e.name, Addr: e.addr, Kind: e.entry.Kind, State: e.entry.State, Disabled: s.endpoints.disabled[e.name], Share: st.SelectionWeight / sum, EndpointStatus: st}
 		switch {
 		case m.Disabled:
-			m.Why = "disabled"
+			m.AvoidedReason = "disabled"
 		case e.Readiness != policy.Ready:
-			m.Why = "leaving"
+			m.AvoidedReason = "leaving"
 		case st.Avoided():
-			m.Why = "failed"
-		case m.Part == 0 && sum > none: // else nothing was drawn yet, and any may be
-			m.Why = "no part"
+			m.AvoidedReason = "failed"
+		case m.Share == 0 && sum > none: // else nothing was drawn yet, and any may be
+			m.AvoidedReason = "no part"
 		}
 		all = append(all, m)
 	}
@@ -76,7 +76,7 @@
 			delete(s.endpoints.disabled, id)
 		}
 		s.log.Info("endpoint by an operator", "id", id, "disabled", disabled)
-		told := s.endpoints.apply(now, 0, []discovery.Entry{e.entry}, false, s.pool.Forget)
+		told := s.endpoints.apply(now, 0, []discovery.Entry{e.entry}, false, s.pool.RemoveEndpoint)
 		s.endUnsent()
 		s.endpointsMoved()
 		return s.tellEndpoints(b, now, told, false)
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -21,7 +21,7 @@
 // MovePlan is a move between two pools of a service as an operator wants it.
 type MovePlan struct {
 	moves.Config                                 // without Guards
-	GuardsOf     func(class string) moves.Guards // by the name of a class
+	GuardsFor    func(class string) moves.Guards // by the name of a class
 }
 
 // pools are the moves over a service. Each has a bit, which it keeps.
@@ -85,7 +85,7 @@
 		var g moves.Guards
 		var w moves.ClassWorth
 		if name != "" {
-			g = plan.GuardsOf(name)
+			g = plan.GuardsFor(name)
 			rules := &s.settled.places[i].rules
 			w = moves.ClassWorth{InTime: rules.Worth, Late: rules.Worth * rules.LateWorth}
 		}
@@ -201,9 +201,9 @@
 	switch result.Result {
 	case policy.Served:
 		o.Took, o.Late = result.Elapsed, p.Aim > 0 && result.Elapsed > p.Aim
-	case policy.TurnedAway:
+	case policy.Declined:
 		o.Turned = true
-	case policy.CalledOff: // another attempt was sooner, or its client has left
+	case policy.Cancelled: // another attempt was sooner, or its client has left
 		if o.Late = p.Aim > 0 && result.Elapsed > p.Aim; !o.Late {
 			return
 		}
@@ -219,7 +219,7 @@
 			continue
 		}
 		o.New = e.pools.To&bit != 0
-		o.Cold = age < max(m.Warming, s.settled.policy.ColdTime)
+		o.Cold = age < max(m.Warming, s.settled.policy.WarmupTime)
 		m.See(&o)
 	}
 }
@@ -233,7 +233,7 @@
 		return
 	}
 	now, names := s.now(), s.settled.names()
-	standings := learnt.Standings(now, s.balancer)
+	standings := learnt.EndpointStatuses(now, s.balancer)
 	over := len(p.next) > 0
 	for i, m := range p.moves {
 		if m == nil {
@@ -251,7 +251,7 @@
 }
 
 // poolMembers are the endpoints of both pools of a move.
-func (s *Service) poolMembers(i int, standings map[policy.EndpointID]learnt.Standing) (all []moves.Member) {
+func (s *Service) poolMembers(i int, standings map[policy.EndpointID]learnt.EndpointStatus) (all []moves.Member) {
 	bit := uint8(1) << i
 	for id, e := range s.endpoints.byID {
 		if (e.pools.From|e.pools.To)&bit == 0 {
@@ -259,7 +259,7 @@
 		}
 		all = append(all, moves.Member{
 			ID: uint32(id), From: e.pools.From&bit != 0, To: e.pools.To&bit != 0,
-			Ready: e.Readiness == policy.Ready, Weight: cmp.Or(standings[id].Speed, e.Nominal), Warmth: standings[id].Warmth,
+			Ready: e.Readiness == policy.Ready, Weight: cmp.Or(standings[id].Speed, e.NominalSize), Warmth: standings[id].Warmth,
 			InFlight: standings[id].InFlight,
 		})
 	}
@@ -276,14 +276,14 @@
 
 // MoveState is a move as an operator is shown it.
 type MoveState struct {
-	Name, Service string
-	From, To      string
-	Course        moves.Course
-	Plan          moves.Plan
-	For, Left     time.Duration // that it has been in this phase or step, and until it is done at least
-	Got           float64       // part of the requests that met the new pool of late
-	Ready         [2]int        // endpoints of the old pool and the new
-	Evidence      []moves.Evidence
+	Name, Service       string
+	From, To            string
+	Course              moves.Course
+	Plan                moves.Plan
+	PhaseAge, Remaining time.Duration // that it has been in this phase or step, and until it is done at least
+	NewShare            float64       // part of the requests that met the new pool of late
+	Ready               [2]int        // endpoints of the old pool and the new
+	Evidence            []moves.Evidence
 }
 
 // Moves are the moves over the service, by their bits.
@@ -297,9 +297,9 @@
 		}
 		st := MoveState{
 			Name: m.Name, Service: s.name, From: m.From.String(), To: m.To.String(), Course: m.Course(), Plan: m.Plan,
-			For: now - m.Course().Since, Got: m.Got(), Evidence: m.Evidence(names),
+			PhaseAge: now - m.Course().Since, NewShare: m.Got(), Evidence: m.Evidence(names),
 		}
-		st.Left = st.Course.Left(now, &m.Plan)
+		st.Remaining = st.Course.Left(now, &m.Plan)
 		for _, e := range s.poolMembers(i, nil) {
 			if e.Ready && e.From {
 				st.Ready[0]++
@@ -315,8 +315,8 @@
 // ErrNoMove tells that a service has no move of a name.
 var ErrNoMove = errors.New("there is no such move")
 
-// MoveWord is an operator's word on a move: begin, hold, go-on or undo.
-func (s *Service) MoveWord(name, word string) error {
+// CommandMove is an operator's word on a move: begin, hold, go-on or undo.
+func (s *Service) CommandMove(name, word string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i := s.pools.named(name)
@@ -324,7 +324,7 @@
 		return ErrNoMove
 	}
 	now, m := s.now(), s.pools.moves[i]
-	m.Conditions(s.poolMembers(i, learnt.Standings(now, s.balancer)))
+	m.Conditions(s.poolMembers(i, learnt.EndpointStatuses(now, s.balancer)))
 	var err error
 	switch word {
 	case "begin":
@@ -350,8 +350,8 @@
 	return slices.IndexFunc(p.moves[:], func(m *moves.Move) bool { return m != nil && m.Name == name })
 }
 
-// MoveTold tells a move what others have seen of its two pools.
-func (s *Service) MoveTold(name, class string, k moves.Kind, b judge.Block) error {
+// AddMoveEvidence tells a move what others have seen of its two pools.
+func (s *Service) AddMoveEvidence(name, class string, k moves.Kind, b judge.Block) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i := s.pools.named(name)
--- a/internal/core/order_test.go
+++ b/internal/core/order_test.go
@@ -48,10 +48,10 @@
 func orders(t *testing.T, window, aim time.Duration, addrs ...string) (*Core, *Service) {
 	t.Helper()
 	s, err := NewService(ServiceConfig{
-		Kinds: []string{"std"}, Rooms: []Room{{Bodies: budget.New(1<<20).Join(1, nil)}}, Seed: 1, Figures: figures.New(),
-		Pool: upstream.NewPool(upstream.Shares{Slots: budget.New(4).Join(1, nil), Long: budget.New(1<<20).Join(1, nil)}, 10*time.Second, time.Minute),
+		Kinds: []string{"std"}, Limits: []FrontLimits{{Bodies: budget.New(1<<20).Join(1, nil)}}, Seed: 1, Figures: figures.New(),
+		Pool: upstream.NewPool(upstream.Resources{Slots: budget.New(4).Join(1, nil), StreamBytes: budget.New(1<<20).Join(1, nil)}, 10*time.Second, time.Minute),
 		Settings: Settings{Classes: []string{"order"}, Policy: policy.Settings{
-			FleetSize: 1, MaxAttempts: 2, SecondCopies: true, Cancel: true, HostRetries: true, ConnIdle: time.Minute,
+			FleetSize: 1, MaxAttempts: 2, HedgedAttempts: true, Cancel: true, HostRetryBudget: true, ConnIdleTimeout: time.Minute,
 			Classes: []policy.Class{{Aim: aim, Deadline: 20 * time.Second, Worth: 1, Effect: policy.Keyed, DedupWindow: window}},
 		}},
 	})
@@ -62,8 +62,8 @@
 	for i, addr := range addrs {
 		entries = append(entries, discovery.Entry{ID: string(rune('a' + i)), Addr: addr, Kind: "std", State: "active", Weight: 1})
 	}
-	s.List(entries, true)
-	table, err := NewTable(false, Mount{Service: s, Classes: []Class{PlainClass("order", policy.Keyed)}})
+	s.UpdateEndpoints(entries, true)
+	table, err := NewTable(false, Mount{Service: s, Classes: []Class{DefaultClass("order", policy.Keyed)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 // no other. waits is closed when it does.
 func firstWaits(s *Service) (waits, goesOn chan struct{}) {
 	waits, goesOn = make(chan struct{}), make(chan struct{})
-	s.OnDurable(func(context.Context, keyed.Note) error {
+	s.SetKeyWriter(func(context.Context, keyed.Note) error {
 		select {
 		case <-waits: // the hedged one does not wait
 		default:
@@ -110,7 +110,7 @@
 // leaves is a client that closes its connection, which nobody tells.
 type leaves struct{ atomic.Bool }
 
-func (c *leaves) Left() bool { return c.Load() }
+func (c *leaves) Disconnected() bool { return c.Load() }
 
 // A client closes its connection while its request waits for the disk, as while the process
 // stands still: nothing is sent for it, though word of its leaving comes later.
@@ -118,7 +118,7 @@
 	addr, came := silent(t)
 	c, s := orders(t, time.Minute, time.Second, addr)
 	client := new(leaves)
-	s.OnDurable(func(context.Context, keyed.Note) error {
+	s.SetKeyWriter(func(context.Context, keyed.Note) error {
 		client.Store(true)
 		<-time.After(2 * lookAgain)
 		return nil
@@ -129,7 +129,7 @@
 	case <-answered:
 	case <-came:
 		t.Error("an attempt was begun for a client that had left")
-		x.Leave()
+		x.ClientDisconnected()
 		<-answered
 	}
 }
@@ -147,8 +147,8 @@
 			}
 		}
 		x := openOrder(t, c, "1", nil)
-		x.Came(0)
-		latest := time.Now().Add(x.request.Left)
+		x.SetReceived(0)
+		latest := time.Now().Add(x.request.TimeLeft)
 		if !decided {
 			<-time.After(pause)
 		}
@@ -160,7 +160,7 @@
 		if over > 0 {
 			t.Errorf("stood still after the decision: %t: the attempt may last for %v more than its request", decided, over)
 		}
-		x.Leave()
+		x.ClientDisconnected()
 		<-answered
 	}
 }
@@ -175,12 +175,12 @@
 		<-came
 		s.mu.Lock()
 		a := x.call.attempts[0]
-		if end, repeat := s.keys.RepeatBy(x.key); repeat != (id == "2") || repeat && !a.repeatBy.Equal(s.start.Add(end-s.unixStart)) {
+		if end, repeat := s.keys.DedupUntil(x.key); repeat != (id == "2") || repeat && !a.repeatBy.Equal(s.start.Add(end-s.unixStart)) {
 			t.Errorf("request %s: repeat %t, by %v", id, repeat, a.repeatBy)
 		}
 		s.mu.Unlock()
 		defer func() {
-			x.Leave()
+			x.ClientDisconnected()
 			<-answered
 		}()
 	}
@@ -189,7 +189,7 @@
 // The first attempt of a key waits, a hedged one is sent before it and may have run: by now
 // the first is the repeat, and it is not written once the window of the other is over.
 func TestFirstAttemptIsTheRepeat(t *testing.T) {
-	const window = 2 * permit.HoldUp
+	const window = 2 * permit.MaxStall
 	first, came := silent(t)
 	second, cameToo := silent(t)
 	c, s := orders(t, window, 10*time.Millisecond, first, second)
@@ -220,7 +220,7 @@
 	if len(again) > 0 {
 		t.Errorf("the key came again %v after the first time, the window is %v", again[0].Sub(ran), window)
 	}
-	x.Leave()
+	x.ClientDisconnected()
 	<-answered
 }
 
@@ -275,7 +275,7 @@
 	c, s := orders(t, time.Minute, 10*time.Second, addr)
 	s.testHookNoted = func() { <-time.After(pause) }
 	age := make(chan time.Duration, 1)
-	s.OnDurable(func(_ context.Context, n keyed.Note) error {
+	s.SetKeyWriter(func(_ context.Context, n keyed.Note) error {
 		age <- n.Age
 		return nil
 	})
@@ -285,7 +285,7 @@
 	if was := <-age; was < pause {
 		t.Errorf("it was sent %v ago at least, and is kept as %v old", pause, was)
 	}
-	x.Leave()
+	x.ClientDisconnected()
 	<-answered
 }
 
@@ -297,9 +297,9 @@
 	asked   int
 }
 
-func (o *others) Any() bool { return true }
+func (o *others) Exist() bool { return true }
 
-func (o *others) Tell(n keyed.Note) error {
+func (o *others) Publish(n keyed.Note) error {
 	o.told = append(o.told, n)
 	return o.fails
 }
@@ -321,7 +321,7 @@
 		c, s := orders(t, time.Minute, time.Second, addr)
 		s.settled.places[0].rules.Scope = policy.ScopeCell
 		o := &others{service: s, fails: fails}
-		s.UsePeers(o)
+		s.SetPeers(o)
 		x := openOrder(t, c, "1", nil)
 		answered := do(x)
 		select {
@@ -331,7 +331,7 @@
 			}
 		case <-came:
 			t.Error("it was sent here as well")
-			x.Leave()
+			x.ClientDisconnected()
 			<-answered
 		}
 		if n := len(o.told); n == 0 || o.asked == 0 {
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -28,10 +28,10 @@
 	}
 	to := e.upstream()
 	head := fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nReq-Deadline: ", path, to.Addr)
-	terms := upstream.Terms{Until: time.Now().Add(probePatience), Gate: probing{e.listing}}
+	terms := upstream.Constraints{Deadline: time.Now().Add(probePatience), Gate: probing{e.listing}}
 	go func() {
 		defer logPanic("probe")
-		a, _ := s.pool.Begin(new(upstream.Ending), to, &upstream.Request{Head: head}, terms, nil)
+		a, _ := s.pool.Begin(new(upstream.Cancellation), to, &upstream.Request{Head: head}, terms, nil)
 		defer a.Free()
 		r := policy.ProbeResult{Endpoint: id, Result: a.Result}
 		if a.Result == policy.Served {
@@ -44,13 +44,13 @@
 // probing is a probe as upstream asks about it. No client waits for it, and it has no effect.
 type probing struct{ of *listing }
 
-// Look fills in how the endpoint stands now.
-func (p probing) Look(facts *permit.Attempt) {
-	facts.Endpoint = permit.Listing(p.of.now.Load())
+// FillFacts fills in how the endpoint stands now.
+func (p probing) FillFacts(facts *permit.Attempt) {
+	facts.Endpoint = permit.EndpointStatus(p.of.now.Load())
 }
 
-// Wrote is told of what no rule is about.
-func (probing) Wrote(time.Duration) {}
+// FirstByteWritten is told of what no rule is about.
+func (probing) FirstByteWritten(time.Duration) {}
 
 // reportNames are the names that a load report may use for a field of the
 // settings.
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -29,8 +29,8 @@
 	figures   *figures.Figures
 	report    []string // fields of a load report
 	pool      *upstream.Pool
-	rooms     []Room // by front
-	subscribe func() // asks for a watch on discovery
+	rooms     []FrontLimits // by front
+	subscribe func()        // asks for a watch on discovery
 	unixStart time.Duration
 	start     time.Time
 
@@ -69,14 +69,14 @@
 	Seed         uint64
 	Figures      *figures.Figures
 	Pool         *upstream.Pool
-	Rooms        []Room // by front
+	Limits       []FrontLimits // by front
 }
 
-// Room is what requests of one front may take up of a service: a flood on one
+// FrontLimits is what requests of one front may take up of a service: a flood on one
 // takes nothing from the other that is in its reserve.
-type Room struct {
-	Bodies *budget.Part // bytes of bodies
-	Places *budget.Part // requests that are open; asked where there are contracts
+type FrontLimits struct {
+	Bodies   *budget.Partition // bytes of bodies
+	Requests *budget.Partition // requests that are open; asked where there are contracts
 }
 
 // NewService makes a service. It is asleep until it is told of endpoints.
@@ -98,7 +98,7 @@
 	}
 	return &Service{
 		name: c.Name, log: log, figures: c.Figures, settled: first, report: c.Report, pool: c.Pool,
-		rooms: c.Rooms, subscribe: func() {},
+		rooms: c.Limits, subscribe: func() {},
 		unixStart: time.Duration(now.UnixNano()), start: now,
 		balancer: b, grace: c.Policy.DrainGrace, endpoints: newEndpoints(log, c.Kinds, c.Zones),
 		calls: map[policy.RequestID]*call{}, keys: keyed.New(), timers: timers{queue: wheel.NewQueue[policy.Token](timerTick)},
@@ -196,9 +196,9 @@
 	case policy.Send:
 		s.send(a)
 	case policy.Refuse:
-		s.calls[a.Request].tell("module", "refuses, best after %v", a.After)
+		s.calls[a.Request].tell("module", "refuses, best after %v", a.RetryAfter)
 		s.unsent(s.calls[a.Request])
-		s.conclude(s.calls[a.Request], Answer{Status: http.StatusServiceUnavailable, RetryAfter: a.After})
+		s.conclude(s.calls[a.Request], Answer{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter})
 	case policy.Fail:
 		c, status := s.calls[a.Request], http.StatusBadGateway
 		if c != nil && c.slow {
@@ -210,7 +210,7 @@
 	case policy.Cancel:
 		if c := s.calls[a.Request]; c != nil && a.Attempt < len(c.attempts) {
 			c.tell("module", "calls off attempt %d", a.Attempt)
-			c.attempts[a.Attempt].end.End(upstream.ErrCalledOff)
+			c.attempts[a.Attempt].end.Cancel(upstream.ErrCancelled)
 		}
 	case policy.SetTimer:
 		s.setTimer(s.calls[a.Token.Request], a)
@@ -231,7 +231,7 @@
 	defer logPanic("event")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.here = s.settled.policy.Cancel && c.req.Rest == nil
+	c.here = s.settled.policy.Cancel && c.req.Stream == nil
 	defer func() { c.here = false }()
 	event(s, c)
 	next := c.next
@@ -269,12 +269,12 @@
 	}
 	c.id, q.ID = s.lastID, s.lastID
 	s.calls[c.id] = c
-	q.Left -= now - s.clockAt(c.exchange.came)
-	c.until = s.at(now + q.Left)
-	s.guard(c, q.Left+answerOverdue) // first: what follows may panic
+	q.TimeLeft -= now - s.clockAt(c.exchange.came)
+	c.until = s.at(now + q.TimeLeft)
+	s.guard(c, q.TimeLeft+answerOverdue) // first: what follows may panic
 	s.pin(c, &q, now, c.exchange.head.Header)
 	if c.trace != nil {
-		c.trace.step("taken", "%v left, pools %b, owed by contract: %v, pinned: %v", q.Left.Round(time.Millisecond), c.mask, q.Owed, q.Only != nil)
+		c.trace.step("taken", "%v left, pools %b, owed by contract: %v, pinned: %v", q.TimeLeft.Round(time.Millisecond), c.mask, q.Guaranteed, q.Eligible != nil)
 	}
 	if c.exchange.call = c; c.exchange.left {
 		s.left(c)
@@ -290,7 +290,7 @@
 			return nil
 		}
 		s.left(x.call)
-		return b.Gone(now, x.call.id)
+		return b.ClientDisconnected(now, x.call.id)
 	})
 }
 
@@ -302,7 +302,7 @@
 
 // clientLeft reports whether the client has left, also where word of it is still on its
 // way: after a stall that and the end of an attempt wait together, in any order.
-func (x *Exchange) clientLeft() bool { return x.head.Client != nil && x.head.Client.Left() }
+func (x *Exchange) clientLeft() bool { return x.head.Client != nil && x.head.Client.Disconnected() }
 
 // conclude gives the final answer, once.
 func (s *Service) conclude(c *call, a Answer) {
@@ -319,7 +319,7 @@
 func (c *call) end() {
 	c.over = true
 	for _, a := range c.attempts {
-		a.end.EndUnsent(upstream.ErrCalledOff)
+		a.end.CancelUnsent(upstream.ErrCancelled)
 	}
 }
 
--- a/internal/core/soak_test.go
+++ b/internal/core/soak_test.go
@@ -32,8 +32,8 @@
 				t.Fatalf("id %s was new once, and not twice", id)
 			}
 			key := seen.hash(id)
-			keys.Sent(now, key, class, policy.Endpoint{Cell: n}, 0)
-			keys.Ended(key, n%2 == 0)
+			keys.RecordSent(now, key, class, policy.Endpoint{Cell: n}, 0)
+			keys.RecordEnded(key, n%2 == 0)
 		}
 		gone := entry(s - listed)
 		gone.State = "left"
@@ -54,11 +54,11 @@
 	if forgotten != seconds-listed {
 		t.Errorf("connections to %d endpoints were given up, of %d that left", forgotten, seconds-listed)
 	}
-	for n := range 2 * keyed.Most { // a flood within one window
-		keys.Sent(seconds*time.Second, uint64(n)+1, class, policy.Endpoint{}, 0)
+	for n := range 2 * keyed.MaxKeys { // a flood within one window
+		keys.RecordSent(seconds*time.Second, uint64(n)+1, class, policy.Endpoint{}, 0)
 	}
-	if keys.Len() != keyed.Most {
-		t.Errorf("%d keys are held of a flood, the bound is %d", keys.Len(), keyed.Most)
+	if keys.Len() != keyed.MaxKeys {
+		t.Errorf("%d keys are held of a flood, the bound is %d", keys.Len(), keyed.MaxKeys)
 	}
 }
 
--- a/internal/core/started_test.go
+++ b/internal/core/started_test.go
@@ -23,24 +23,24 @@
 				return s.now() - s.endpoints.byName[id].Started
 			}
 			just := time.Now().UnixMilli()
-			s.ListAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "active", just)}, false, time.Second)
+			s.UpdateEndpointsAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "active", just)}, false, time.Second)
 			if got := age("new"); got < 0 || got > time.Second+2*listedWithin {
 				t.Errorf("an endpoint that is listed for the first time is taken to be %v old", got)
 			}
-			s.ListAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "leaving", just)}, false, time.Second)
-			s.ListAfter([]discovery.Entry{entryOf("s-0", "127.0.0.1:1", "left", 0)}, false, time.Second)
-			s.ListAfter([]discovery.Entry{entryOf("s-0", "127.0.0.1:1", "active", 0)}, false, time.Second)
+			s.UpdateEndpointsAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "leaving", just)}, false, time.Second)
+			s.UpdateEndpointsAfter([]discovery.Entry{entryOf("s-0", "127.0.0.1:1", "left", 0)}, false, time.Second)
+			s.UpdateEndpointsAfter([]discovery.Entry{entryOf("s-0", "127.0.0.1:1", "active", 0)}, false, time.Second)
 			if got := age("s-0"); got < hour {
 				t.Errorf("an endpoint that started long ago is taken to be %v old", got)
 			}
 			before := age("new")
-			s.ListAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "left", just)}, false, time.Second)
-			s.ListAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "active", just)}, false, time.Second)
+			s.UpdateEndpointsAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "left", just)}, false, time.Second)
+			s.UpdateEndpointsAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "active", just)}, false, time.Second)
 			if got := age("new"); got < before || got > before+time.Minute {
 				t.Errorf("an endpoint that is back as it was is taken to be %v old, it was %v", got, before)
 			}
 			again := just + 1
-			s.ListAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "active", again)}, false, time.Second)
+			s.UpdateEndpointsAfter([]discovery.Entry{entryOf("new", "127.0.0.1:2", "active", again)}, false, time.Second)
 			if got := age("new"); got < 0 || got > time.Second+2*listedWithin {
 				t.Errorf("an endpoint that started anew is taken to be %v old", got)
 			}
--- a/internal/core/table.go
+++ b/internal/core/table.go
@@ -22,8 +22,8 @@
 // Mount is a service with how requests of its classes are known.
 type Mount struct {
 	*Service
-	Classes  []Class   // by position in the service's settings
-	Retuning *Retuning // the change of its settings that comes with the table; nil: none
+	Classes []Class         // by position in the service's settings
+	Update  *SettingsUpdate // the change of its settings that comes with the table; nil: none
 
 	settled *settled
 }
@@ -42,8 +42,8 @@
 	t := &Table{Contracts: contracts, routes: route.New(), mounts: mounts}
 	for i := range mounts {
 		m := &mounts[i]
-		if m.Retuning != nil {
-			m.settled = m.Retuning.to
+		if m.Update != nil {
+			m.settled = m.Update.to
 		} else {
 			m.Service.mu.Lock()
 			m.settled = m.Service.settled
@@ -54,7 +54,7 @@
 		}
 		for j, c := range m.Classes {
 			for _, p := range c.Paths {
-				if err := t.routes.Add(p, route.Class{Service: i, Class: j}); err != nil {
+				if err := t.routes.Add(p, route.Destination{Service: i, Class: j}); err != nil {
 					return nil, fmt.Errorf("class %q: %w", c.Name, err)
 				}
 			}
@@ -63,17 +63,17 @@
 	return t, nil
 }
 
-// Deadline is the longest that a client of any class waits for an answer.
-func (c *Core) Deadline() (longest time.Duration) {
+// MaxDeadline is the longest that a client of any class waits for an answer.
+func (c *Core) MaxDeadline() (longest time.Duration) {
 	for _, s := range c.table.Load().mounts {
 		longest = max(longest, s.Service.deadline())
 	}
 	return longest
 }
 
-// UseTerms puts a table in place together with the contracts of its services,
+// SetTableAndTerms puts a table in place together with the contracts of its services,
 // by their order in it. No service decides anything while that is done.
-func (c *Core) UseTerms(t *Table, terms []broker.Terms) {
+func (c *Core) SetTableAndTerms(t *Table, terms []broker.Terms) {
 	for _, s := range t.mounts {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -81,5 +81,5 @@
 	for i, s := range t.mounts {
 		s.setTerms(terms[i])
 	}
-	c.Use(t)
+	c.SetTable(t)
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -31,7 +31,7 @@
 
 // setTimer sets one; c, which may be nil, takes it back when nothing is left of it.
 func (s *Service) setTimer(c *call, a policy.SetTimer) {
-	id := s.timers.queue.Add(time.Since(s.start)+a.In, a.Token)
+	id := s.timers.queue.Add(time.Since(s.start)+a.Delay, a.Token)
 	if c != nil && c.set < len(c.timers) {
 		c.timers[c.set] = id
 		c.set++
@@ -92,7 +92,7 @@
 
 // guard has a request answered that the module has not answered in its time.
 func (s *Service) guard(c *call, in time.Duration) {
-	s.setTimer(c, policy.SetTimer{Token: policy.Token{Purpose: guarded, Request: c.id}, In: in})
+	s.setTimer(c, policy.SetTimer{Token: policy.Token{Purpose: guarded, Request: c.id}, Delay: in})
 }
 
 // unanswered answers a request that the module was to answer before.
@@ -103,8 +103,8 @@
 	slog.Error("the module gave no answer", "request", c.exchange.head.Header.Get("Req-Id"))
 	s.unsent(c)
 	for _, a := range c.attempts {
-		a.end.End(upstream.ErrCalledOff)
+		a.end.Cancel(upstream.ErrCancelled)
 	}
 	s.conclude(c, *malformed(http.StatusGatewayTimeout, "no answer"))
-	s.tell(func(b *policy.Balancer, now time.Duration) []policy.Action { return b.Gone(now, c.id) })
+	s.tell(func(b *policy.Balancer, now time.Duration) []policy.Action { return b.ClientDisconnected(now, c.id) })
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -24,7 +24,7 @@
 	Team    string        `json:"team,omitempty"`
 	Aim     time.Duration `json:"aim_ns,omitempty"` // of its class
 	Steps   []Step        `json:"steps"`
-	Sent    []Sending     `json:"sent,omitempty"` // its attempts, in order
+	Sent    []SentAttempt `json:"sent,omitempty"` // its attempts, in order
 	Status  int           `json:"status"`         // 0: its client left
 	Took    time.Duration `json:"took_ns"`
 
@@ -40,8 +40,8 @@
 	Detail string        `json:"detail,omitempty"`
 }
 
-// Sending is one attempt of a request.
-type Sending struct {
+// SentAttempt is one attempt of a request.
+type SentAttempt struct {
 	N        int           `json:"n"` // from 0; those that the contract had no room for are left out
 	After    time.Duration `json:"after_ns"`
 	Endpoint string        `json:"endpoint"`
@@ -74,8 +74,8 @@
 // Traces are those that fit, as their requests end.
 func (t *Tap) Traces() <-chan *Trace { return t.traces }
 
-// Missed is how many fitted and found no room.
-func (t *Tap) Missed() int64 { return t.missed.Load() }
+// Dropped is how many fitted and found no room.
+func (t *Tap) Dropped() int64 { return t.missed.Load() }
 
 // taps are who looks on. Without any a request costs one load.
 type taps struct {
@@ -189,8 +189,8 @@
 }
 
 var resultNames = map[policy.Result]string{
-	policy.Served: "served", policy.Errored: "errored", policy.TurnedAway: "turned away", policy.NoAnswer: "no answer",
-	policy.NoConnection: "no connection", policy.ConnectionLost: "connection lost", policy.CalledOff: "called off", policy.NotSent: "not sent",
+	policy.Served: "served", policy.Errored: "errored", policy.Declined: "turned away", policy.NoAnswer: "no answer",
+	policy.NoConnection: "no connection", policy.ConnectionLost: "connection lost", policy.Cancelled: "called off", policy.NotSent: "not sent",
 }
 
 // tell notes a decision on a call, if somebody looks on. There may be no such call.
@@ -208,7 +208,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.over && len(t.Sent) < mostSteps {
-		t.Sent = append(t.Sent, Sending{N: n, After: time.Since(t.At), Endpoint: endpoint})
+		t.Sent = append(t.Sent, SentAttempt{N: n, After: time.Since(t.At), Endpoint: endpoint})
 	}
 }
 
@@ -219,7 +219,7 @@
 	if t.over {
 		return
 	}
-	if i := slices.IndexFunc(t.Sent, func(s Sending) bool { return s.N == n }); i >= 0 {
+	if i := slices.IndexFunc(t.Sent, func(s SentAttempt) bool { return s.N == n }); i >= 0 {
 		s := &t.Sent[i]
 		s.Result, s.Took, s.Dialled = resultNames[result.Result], result.Elapsed, result.Dialled
 	}
--- a/internal/discovery/age.go
+++ b/internal/discovery/age.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// CurrentFor is how old a list may be: what discovery had for longer, and could be had,
+// MaxListAge is how old a list may be: what discovery had for longer, and could be had,
 // counts as notified.
-const CurrentFor = 6 * time.Second
+const MaxListAge = 6 * time.Second
 
 // clockStart is what ages are counted from: the clock of the day may be set meanwhile.
 var clockStart = time.Now()
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -153,7 +153,7 @@
 	at map[int64]time.Time
 }
 
-func (k *knower) List(entries []Entry, _ bool) {
+func (k *knower) EndpointsUpdated(entries []Entry, _ bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, e := range entries {
@@ -176,7 +176,7 @@
 }
 
 // watched plays with a watcher of an agent, in virtual time.
-func watched(t *testing.T, way Way, again time.Duration, silent bool, play func(a *agent, k *knower)) {
+func watched(t *testing.T, way Mode, again time.Duration, silent bool, play func(a *agent, k *knower)) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newAgent()
 		a.silent = silent
@@ -205,7 +205,7 @@
 	const slack = 350 * time.Millisecond // a call that finds it silent still, and the pause
 	for _, begun := range []time.Duration{time.Millisecond, 250 * time.Millisecond, 499 * time.Millisecond, 900 * time.Millisecond} {
 		for _, lasted := range []time.Duration{time.Second, 1300 * time.Millisecond, 8 * time.Second, time.Minute} {
-			watched(t, Pushed, 0, false, func(a *agent, k *knower) {
+			watched(t, LocalAgent, 0, false, func(a *agent, k *knower) {
 				time.Sleep(10*time.Second + begun)
 				a.set(1, true)
 				time.Sleep(lasted / 2)
@@ -232,9 +232,9 @@
 func TestSilenceIsNoticed(t *testing.T) {
 	const clock = 6 * time.Second
 	for name, c := range map[string]struct {
-		way   Way
+		way   Mode
 		again time.Duration
-	}{"pushed": {Pushed, 0}, "remote": {Remote, 0}, "asked": {Asked, 3 * time.Second}} {
+	}{"pushed": {LocalAgent, 0}, "remote": {Remote, 0}, "asked": {OnDemand, 3 * time.Second}} {
 		for _, into := range []time.Duration{time.Millisecond, time.Second, 1999 * time.Millisecond, 2001 * time.Millisecond} {
 			t.Run(name+" "+into.String(), func(t *testing.T) {
 				watched(t, c.way, c.again, false, func(a *agent, k *knower) {
@@ -258,9 +258,9 @@
 // A new process has asked the agent before it serves, and does not wait for a silent one.
 func TestCalledBeforeServing(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		watched(t, Pushed, 0, silent, func(a *agent, k *knower) {
+		watched(t, LocalAgent, 0, silent, func(a *agent, k *knower) {
 			begun := time.Now()
-			<-k.w.Called()
+			<-k.w.FirstCallDone()
 			if k.knew(1).IsZero() != silent || time.Since(begun) > time.Second {
 				t.Errorf("silent %t: known %v, after %v", silent, k.knew(1), time.Since(begun))
 			}
@@ -273,10 +273,10 @@
 func TestSlowDiscoveryIsHeard(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
-		way   Way
+		way   Mode
 		again time.Duration
 		most  int
-	}{"pushed": {Pushed, 0, maxCalls}, "remote": {Remote, 0, 3}, "asked": {Asked, 400 * time.Millisecond, 3}} {
+	}{"pushed": {LocalAgent, 0, maxCalls}, "remote": {Remote, 0, 3}, "asked": {OnDemand, 400 * time.Millisecond, 3}} {
 		for slow, within := range map[time.Duration]time.Duration{
 			second / 2: 6 * second, 3 * second / 2: 6 * second, 5 * second / 2: 6 * second, 4 * second: 7 * second, 8 * second: 30 * second, 20 * second: 90 * second,
 		} {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,8 +13,8 @@
 	"spokegw/internal/permit"
 )
 
-// Way is how a registry is come to.
-type Way struct {
+// Mode is how a registry is come to.
+type Mode struct {
 	// wait is how long a call may be silent when nothing changes; of the first call of a
 	// watch, first. What a watch that fell silent would have told counts as told 6 s after
 	// it did, or 2 s after its wait is over, so that is short.
@@ -29,21 +29,21 @@
 }
 
 var (
-	// Asked is discovery that is asked by all: each call costs it work. The first call of a
+	// OnDemand is discovery that is asked by all: each call costs it work. The first call of a
 	// watch need not wait: no answer then tells that discovery can't be reached.
-	Asked = Way{wait: 2 * time.Second, first: time.Millisecond, patience: 500 * time.Millisecond, waits: 2 * time.Second, most: 3}
+	OnDemand = Mode{wait: 2 * time.Second, first: time.Millisecond, patience: 500 * time.Millisecond, waits: 2 * time.Second, most: 3}
 	// Remote is a registry of an installation's own, which nobody counts calls at.
-	Remote = Way{wait: 2 * time.Second, first: 2 * time.Second, patience: 500 * time.Millisecond, waits: 2 * time.Second, pause: 250 * time.Millisecond, most: 3}
-	// Pushed is an agent on this machine, which answers at once and costs nothing. What it
+	Remote = Mode{wait: 2 * time.Second, first: 2 * time.Second, patience: 500 * time.Millisecond, waits: 2 * time.Second, pause: 250 * time.Millisecond, most: 3}
+	// LocalAgent is an agent on this machine, which answers at once and costs nothing. What it
 	// has counts as told whether or not it was asked, also right after an outage. So a
 	// silence is noticed soon, and a watch begins with a call that need not wait: no answer
 	// then tells that the agent is silent, and not that there is nothing new.
-	Pushed = Way{wait: 500 * time.Millisecond, first: time.Millisecond, patience: 200 * time.Millisecond, waits: 200 * time.Millisecond, pause: 100 * time.Millisecond, most: maxCalls}
+	LocalAgent = Mode{wait: 500 * time.Millisecond, first: time.Millisecond, patience: 200 * time.Millisecond, waits: 200 * time.Millisecond, pause: 100 * time.Millisecond, most: maxCalls}
 )
 
-// Members is told what discovery says of the endpoints.
-type Members interface {
-	List(entries []Entry, full bool)
+// UpdateHandler is told what discovery says of the endpoints.
+type UpdateHandler interface {
+	EndpointsUpdated(entries []Entry, full bool)
 	// DiscoveryLost tells that a call has failed, or is late, when the list was last known
 	// to be current (zero: it never was), and whether discovery may have more calls than it
 	// can answer in time.
@@ -54,12 +54,12 @@
 // fails, and tells its members what comes.
 type Watcher struct {
 	client  *Client // of Run alone, as are the fields after it
-	members Members
+	members UpdateHandler
 	version atomic.Int64 // set by Run alone, once it runs
 	known   bool         // version is that of a list
 	failing bool
 	stale   bool // the list is older than it should be
-	way     Way
+	way     Mode
 	called  chan struct{} // closed when the first call has ended
 	ended   bool          // it is closed
 	calls   []*call       // that are out, the oldest first; at most maxCalls
@@ -113,7 +113,7 @@
 // NewWatcher makes a watcher of the registry at addr. version is that of the
 // list that the members know, if they know one: only what is newer is asked for
 // then, which costs the registry a fraction of the whole.
-func NewWatcher(addr string, version int64, known bool, m Members) *Watcher {
+func NewWatcher(addr string, version int64, known bool, m UpdateHandler) *Watcher {
 	w := &Watcher{
 		client: NewClient(addr), members: m, known: known, called: make(chan struct{}), giveUp: shortestGiveUp,
 		events: make(chan event), asked: make(chan struct{}, 1), moved: make(chan string, 1), learnt: make(chan int64, 1),
@@ -125,10 +125,10 @@
 // Version is that of a list that the members have been told, and maybe more.
 func (w *Watcher) Version() int64 { return w.version.Load() }
 
-// Learn tells that the members know the list up to a version by another way: a
+// SetKnownVersion tells that the members know the list up to a version by another way: a
 // watch that begins after that asks for what is newer. It does not wait, and is
 // for one caller at a time.
-func (w *Watcher) Learn(version int64) {
+func (w *Watcher) SetKnownVersion(version int64) {
 	select {
 	case <-w.learnt: // not taken yet, and out of date
 	default:
@@ -154,11 +154,11 @@
 	w.moved <- addr
 }
 
-// Called is closed once the first call has ended, with an answer or without, or is late.
-func (w *Watcher) Called() <-chan struct{} { return w.called }
+// FirstCallDone is closed once the first call has ended, with an answer or without, or is late.
+func (w *Watcher) FirstCallDone() <-chan struct{} { return w.called }
 
 // Run watches until ctx ends. Discovery that all ask waits to be subscribed to.
-func (w *Watcher) Run(ctx context.Context, way Way) {
+func (w *Watcher) Run(ctx context.Context, way Mode) {
 	w.way = way
 	if way.pause > 0 {
 		w.Subscribe()
@@ -187,9 +187,9 @@
 
 // ask begins a watch where one may begin now.
 func (w *Watcher) ask(ctx context.Context) {
-	facts := permit.Call{Out: len(w.calls), InTime: w.watching(), Most: w.way.most}
+	facts := permit.Call{InFlight: len(w.calls), AnyTimely: w.watching(), MaxInFlight: w.way.most}
 	switch facts.Check() {
-	case permit.CallOut:
+	case permit.CallInFlight:
 		return
 	case permit.TooManyCalls: // the youngest is the one whose answer is furthest away
 		w.drop(w.calls[len(w.calls)-1])
@@ -282,7 +282,7 @@
 	case e.late:
 		w.isLate(e.of)
 	case !e.ended:
-		w.members.List(e.entries, false)
+		w.members.EndpointsUpdated(e.entries, false)
 	case e.err != nil:
 		w.failed(e)
 	default:
@@ -313,7 +313,7 @@
 	w.traceCall(e)
 	w.tellFailing(e.err, e.of)
 	if len(e.list.Servers) > 0 {
-		w.members.List(e.list.Servers, false)
+		w.members.EndpointsUpdated(e.list.Servers, false)
 	}
 	w.client.CloseIdle()
 	if !e.of.late {
@@ -334,7 +334,7 @@
 	if w.watching() {
 		return
 	}
-	if age := w.Age(); age > CurrentFor && !w.stale {
+	if age := w.Age(); age > MaxListAge && !w.stale {
 		w.stale = true
 		slog.Warn("the list of endpoints is out of date", "age", age.Round(time.Millisecond), "version", w.version.Load())
 	}
@@ -358,7 +358,7 @@
 		w.usual = max(took, time.Duration(usualKeeps*float64(w.usual)+(1-usualKeeps)*float64(took)))
 	}
 	if e.list.Full || len(e.list.Servers) > 0 || e.of.first {
-		w.members.List(e.list.Servers, e.list.Full)
+		w.members.EndpointsUpdated(e.list.Servers, e.list.Full)
 	}
 	w.version.Store(e.list.Version)
 	w.known = true
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -20,7 +20,7 @@
 	return members{make(chan []Entry, 64), make(chan struct{}, 64)}
 }
 
-func (m members) List(entries []Entry, _ bool) {
+func (m members) EndpointsUpdated(entries []Entry, _ bool) {
 	select {
 	case m.lists <- entries:
 	default:
@@ -60,7 +60,7 @@
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			w := NewWatcher(s.Listener.Addr().String(), c.version, c.known, newMembers())
-			go func() { w.Run(ctx, Asked); close(done) }()
+			go func() { w.Run(ctx, OnDemand); close(done) }()
 			w.Subscribe()
 			for _, want := range []string{c.since, "42"} {
 				select {
@@ -113,7 +113,7 @@
 	done := make(chan struct{})
 	m := newMembers()
 	w := NewWatcher(s.Listener.Addr().String(), 3, true, m)
-	go func() { w.Run(ctx, Asked); close(done) }()
+	go func() { w.Run(ctx, OnDemand); close(done) }()
 	for i := range answers {
 		w.Subscribe()
 		if since := await(t, asked); since != "3" {
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -95,8 +95,8 @@
 	Reloads      atomic.Uint64 // files taken at SIGHUP
 	ReloadErrors atomic.Uint64 // and turned down
 
-	NotSent    [permit.Reasons]atomic.Uint64 // attempts that were decided and not sent, by why
-	Violations [permit.Rules]atomic.Uint64   // rules that were broken, as far as this process sees
+	NotSent    [permit.NumReasons]atomic.Uint64 // attempts that were decided and not sent, by why
+	Violations [permit.NumRules]atomic.Uint64   // rules that were broken, as far as this process sees
 
 	mu      sync.Mutex
 	classes map[string]*Class
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/council/council.go
@@ -15,26 +15,26 @@
 
 // Message is one message. One of its fields is told.
 type Message struct {
-	DutyReport *duty.Report
-	DutyReply  *duty.Reply
-	Report     *weights.Report
-	Answer     *weights.Answer
+	LeaderReport *duty.Report
+	LeaderReply  *duty.Reply
+	Report       *weights.Report
+	Answer       *weights.Answer
 }
 
-// Out is a message that a gateway has to send.
-type Out struct {
+// Outgoing is a message that a gateway has to send.
+type Outgoing struct {
 	To string
 	Message
 }
 
-// Sight is what a gateway sees by itself.
-type Sight interface {
-	// Seen is what was seen since the last call.
-	Seen() []weights.Sums
+// Observer is what a gateway sees by itself.
+type Observer interface {
+	// Observations is what was seen since the last call.
+	Observations() []weights.Stats
 	// Endpoints are those of the list.
 	Endpoints() []weights.Endpoint
-	// Doors name the sums of what was asked for, and what a request of each class is worth.
-	Doors() (map[weights.ID]bool, map[weights.Class]float64)
+	// Admission name the sums of what was asked for, and what a request of each class is worth.
+	Admission() (map[weights.ID]bool, map[weights.Class]float64)
 }
 
 // Node is one gateway.
@@ -44,10 +44,10 @@
 	planner *planner // the latest; nil: there was none
 	duty    *duty.Node
 	weights *weights.Node
-	sight   Sight
-	next    time.Duration // when weights are next
-	sites   *Sites        // nil: there are none
-	door    *sites.Door   // nil: there are none
+	sight   Observer
+	next    time.Duration   // when weights are next
+	sites   *Sites          // nil: there are none
+	door    *sites.Enforcer // nil: there are none
 	changes []sites.Change
 }
 
@@ -75,21 +75,21 @@
 
 // NewNode makes a gateway that has just started, one of the plan. incarnation is to be drawn
 // at random, and below 2^32. of are the fleet's sites; nil: it has none.
-func NewNode(now time.Duration, set duty.Settings, name string, incarnation uint64, plan []string, sight Sight, of *Sites) *Node {
+func NewNode(now time.Duration, set duty.Settings, name string, incarnation uint64, plan []string, sight Observer, of *Sites) *Node {
 	n := &Node{name: name, plan: plan, duty: duty.NewNode(now, set, name, incarnation, plan), sight: sight, next: now, sites: of}
 	if of == nil {
 		n.weights = weights.NewNode(name, set.Lease, nil)
 		return n
 	}
 	n.weights = weights.NewNode(name, set.Lease, n.newPlanner)
-	n.door = sites.NewDoor(name, of.Home[name], len(plan))
+	n.door = sites.NewEnforcer(name, of.Home[name], len(plan))
 	return n
 }
 
-// SetPlan takes the names of other gateways, and their sites. Whether there are sites at all
+// SetGateways takes the names of other gateways, and their sites. Whether there are sites at all
 // is of the start.
-func (n *Node) SetPlan(plan []string, of *Sites) {
-	n.duty.SetPlan(plan)
+func (n *Node) SetGateways(plan []string, of *Sites) {
+	n.duty.SetGateways(plan)
 	n.plan = plan
 	if n.sites == nil || of == nil {
 		return
@@ -101,36 +101,36 @@
 	}
 }
 
-// Door is what this gateway does about sites from now on. It is not changed; nil: there are
+// Enforcer is what this gateway does about sites from now on. It is not changed; nil: there are
 // no sites.
-func (n *Node) Door(now time.Duration) *sites.Door {
+func (n *Node) Enforcer(now time.Duration) *sites.Enforcer {
 	if n.door == nil {
 		return nil
 	}
 	plan, _ := sites.Parse(n.weights.Plan(now)) // what can't be meant is none
-	var listed []sites.Listed
-	if len(plan.Sites) > 0 || n.door.Hurt() {
+	var listed []sites.Endpoint
+	if len(plan.Sites) > 0 || n.door.Degraded() {
 		for _, e := range n.sight.Endpoints() {
 			if e.Ready {
-				listed = append(listed, sites.Listed{ID: uint64(e.ID), Site: e.Site})
+				listed = append(listed, sites.Endpoint{ID: uint64(e.ID), Site: e.Site})
 			}
 		}
 	}
-	n.door.Step(now, plan, listed)
+	n.door.Apply(now, plan, listed)
 	return n.door.Clone()
 }
 
 // standing is where the duty stands.
-func (n *Node) standing(now time.Duration) weights.Duty {
-	holder, term := n.duty.Holder(now)
-	return weights.Duty{Holder: holder, Term: uint64(term), Holds: uint64(n.duty.Holds(now)), Incarnation: n.duty.Incarnation()}
+func (n *Node) standing(now time.Duration) weights.Leadership {
+	holder, term := n.duty.Leader(now)
+	return weights.Leadership{Leader: holder, Term: uint64(term), LeadingTerm: uint64(n.duty.LeaderTerm(now)), Incarnation: n.duty.Incarnation()}
 }
 
 // Tick is to be called several times a lease, with those that may hold the duty, the best
 // first.
-func (n *Node) Tick(now time.Duration, candidates []string) (out []Out) {
+func (n *Node) Tick(now time.Duration, candidates []string) (out []Outgoing) {
 	for _, o := range n.duty.Tick(now, candidates) {
-		out = append(out, Out{To: o.To, Message: Message{DutyReport: o.Report}})
+		out = append(out, Outgoing{To: o.To, Message: Message{LeaderReport: o.Report}})
 	}
 	if now < n.next {
 		return out
@@ -138,31 +138,31 @@
 	if n.next += weights.Period; n.next <= now { // it stood still
 		n.next = now + weights.Period
 	}
-	for _, o := range n.weights.Tick(now, n.sight.Seen(), n.sight.Endpoints(), n.standing(now)) {
-		out = append(out, Out{To: o.To, Message: Message{Report: o.Report}})
+	for _, o := range n.weights.Tick(now, n.sight.Observations(), n.sight.Endpoints(), n.standing(now)) {
+		out = append(out, Outgoing{To: o.To, Message: Message{Report: o.Report}})
 	}
 	return out
 }
 
-// Take takes a message. false: it was impossible.
-func (n *Node) Take(now time.Duration, m Message) (out []Out, meant bool) {
+// Handle takes a message. false: it was impossible.
+func (n *Node) Handle(now time.Duration, m Message) (out []Outgoing, meant bool) {
 	switch {
-	case m.DutyReport != nil:
-		if o, ok := n.duty.TakeReport(now, *m.DutyReport); ok {
-			out = append(out, Out{To: o.To, Message: Message{DutyReply: o.Reply}})
+	case m.LeaderReport != nil:
+		if o, ok := n.duty.HandleReport(now, *m.LeaderReport); ok {
+			out = append(out, Outgoing{To: o.To, Message: Message{LeaderReply: o.Reply}})
 		}
-	case m.DutyReply != nil:
-		n.duty.Take(now, *m.DutyReply)
+	case m.LeaderReply != nil:
+		n.duty.HandleReply(now, *m.LeaderReply)
 	case m.Report != nil && !slices.Contains(n.plan, m.Report.From): // a stranger's measurements count for nothing
 		return nil, false
 	case m.Report != nil:
-		answers, ok := n.weights.TakeReport(now, *m.Report, n.standing(now))
+		answers, ok := n.weights.HandleReport(now, *m.Report, n.standing(now))
 		for _, o := range answers {
-			out = append(out, Out{To: o.To, Message: Message{Answer: o.Answer}})
+			out = append(out, Outgoing{To: o.To, Message: Message{Answer: o.Answer}})
 		}
 		return out, ok
 	case m.Answer != nil:
-		return nil, n.weights.TakeAnswer(now, *m.Answer, n.standing(now))
+		return nil, n.weights.HandleAnswer(now, *m.Answer, n.standing(now))
 	}
 	return out, true
 }
@@ -173,28 +173,28 @@
 	return n.weights.Factors(now)
 }
 
-// InForce reports whether a table that is fresh enough is in force.
-func (n *Node) InForce(now time.Duration) bool { return !n.weights.Status(now).Stale }
+// HasFreshTable reports whether a table that is fresh enough is in force.
+func (n *Node) HasFreshTable(now time.Duration) bool { return !n.weights.Status(now).Stale }
 
 // Status is where a gateway stands.
 type Status struct {
-	Holder string // of the duty; "": nobody, as far as is known
-	Holds  bool   // this one does
+	Leader  string // of the duty; "": nobody, as far as is known
+	Leading bool   // this one does
 	weights.Status
 	Sites []SiteStatus // by name; none: there are no sites
 }
 
 // SiteStatus is where a site stands by the plan in force here.
 type SiteStatus struct {
-	Name  string
-	State sites.State
-	Part  float64 // of its endpoints that this gateway meets
+	Name     string
+	State    sites.State
+	Fraction float64 // of its endpoints that this gateway meets
 }
 
 // Status tells where this gateway stands.
 func (n *Node) Status(now time.Duration) Status {
 	d := n.standing(now)
-	s := Status{Holder: d.Holder, Holds: d.Holds > 0, Status: n.weights.Status(now)}
+	s := Status{Leader: d.Leader, Leading: d.LeadingTerm > 0, Status: n.weights.Status(now)}
 	if n.sites != nil {
 		for _, name := range slices.Sorted(maps.Keys(n.sites.Near)) {
 			state, part := n.door.Site(name)
--- a/internal/fleet/council/council_test.go
+++ b/internal/fleet/council/council_test.go
@@ -27,7 +27,7 @@
 
 func newFleet(gateways, endpoints, per int) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(1, 1)), per: per}
-	of := &Sites{Settings: sites.Usual, Home: map[string]string{}, Near: map[string][]string{"a": nil, "b": nil, "c": nil}}
+	of := &Sites{Settings: sites.DefaultSettings, Home: map[string]string{}, Near: map[string][]string{"a": nil, "b": nil, "c": nil}}
 	for i := range gateways {
 		f.names = append(f.names, fmt.Sprint("g", i))
 		of.Home[f.names[i]] = string(rune('a' + i%3))
@@ -45,14 +45,14 @@
 	return weights.Endpoint{ID: weights.NewID("", fmt.Sprint(i, f.rng.Uint64()), 0), Kind: uint32(i % 4), Nominal: 1, Site: string(rune('a' + i%3)), Ready: true, Warmth: 1}
 }
 
-// Seen, Endpoints and Doors are every gateway's sight.
-func (f *fleet) Seen() (all []weights.Sums) {
-	door := weights.Sums{ID: weights.DoorID("")}
+// Observations, Endpoints and Admission are every gateway's sight.
+func (f *fleet) Observations() (all []weights.Stats) {
+	door := weights.Stats{ID: weights.AdmissionID("")}
 	for range f.per {
-		s := weights.Sums{ID: f.list[f.rng.IntN(len(f.list))].ID}
+		s := weights.Stats{ID: f.list[f.rng.IntN(len(f.list))].ID}
 		for c := range 2 {
-			s.Ended(weights.Class(c), false, weights.Served, time.Duration(5+f.rng.IntN(20))*time.Millisecond, 10*time.Millisecond)
-			door.Ended(weights.Class(c), c == 0, weights.Served, 0, 10*time.Millisecond)
+			s.Record(weights.Class(c), false, weights.Served, time.Duration(5+f.rng.IntN(20))*time.Millisecond, 10*time.Millisecond)
+			door.Record(weights.Class(c), c == 0, weights.Served, 0, 10*time.Millisecond)
 		}
 		all = append(all, s)
 	}
@@ -61,8 +61,8 @@
 
 func (f *fleet) Endpoints() []weights.Endpoint { return f.list }
 
-func (f *fleet) Doors() (map[weights.ID]bool, map[weights.Class]float64) {
-	return map[weights.ID]bool{weights.DoorID(""): true}, map[weights.Class]float64{0: 1, 1: 3}
+func (f *fleet) Admission() (map[weights.ID]bool, map[weights.Class]float64) {
+	return map[weights.ID]bool{weights.AdmissionID(""): true}, map[weights.Class]float64{0: 1, 1: 3}
 }
 
 // tick has all gateways report, and takes what follows.
@@ -76,19 +76,19 @@
 		}
 		f.deliver(out)
 		n.Factors(f.now)
-		n.Door(f.now)
+		n.Enforcer(f.now)
 		n.Changes()
 	}
 }
 
-func (f *fleet) deliver(out []Out) {
+func (f *fleet) deliver(out []Outgoing) {
 	for _, o := range out {
 		for i, name := range f.names {
 			if name != o.To {
 				continue
 			}
 			begin := time.Now()
-			next, _ := f.nodes[i].Take(f.now, o.Message)
+			next, _ := f.nodes[i].Handle(f.now, o.Message)
 			if i == 0 {
 				f.spent += time.Since(begin)
 			}
@@ -128,7 +128,7 @@
 	if t.Logf("%d KB after five minutes, %d after two hours", early>>10, late>>10); late > early+early/2+1<<20 {
 		t.Errorf("%d KB are held after five minutes and %d after two hours", early>>10, late>>10)
 	}
-	if s := f.nodes[1].Status(f.now); s.Holder == "" || s.Stale {
+	if s := f.nodes[1].Status(f.now); s.Leader == "" || s.Stale {
 		t.Errorf("%+v", s)
 	}
 	runtime.KeepAlive(f)
@@ -140,11 +140,11 @@
 	for range 30 {
 		f.tick()
 	}
-	if s := f.nodes[0].Status(f.now); s.Heard != 3 {
+	if s := f.nodes[0].Status(f.now); s.Reporting != 3 {
 		t.Fatalf("%+v", s)
 	}
 	for _, from := range []string{"g1", "nobody"} {
-		out, meant := f.nodes[0].Take(f.now, Message{Report: &weights.Report{From: from, To: "g0", Incarnation: 1 << 40, Seq: 1}})
+		out, meant := f.nodes[0].Handle(f.now, Message{Report: &weights.Report{From: from, To: "g0", Incarnation: 1 << 40, Seq: 1}})
 		if known := from == "g1"; meant != known || (len(out) > 0) != known {
 			t.Errorf("of %s: %v, %d answers", from, meant, len(out))
 		}
--- a/internal/fleet/council/plan.go
+++ b/internal/fleet/council/plan.go
@@ -33,7 +33,7 @@
 // weights.Planner.
 type planner struct {
 	*sites.Planner
-	sight Sight
+	sight Observer
 	log   func(sites.Change)
 	at    map[weights.ID]string // sites of endpoints
 	doors map[weights.ID]bool
@@ -46,8 +46,8 @@
 	return n.planner
 }
 
-// Take takes what a gateway saw.
-func (p *planner) Take(gateway string, seen []weights.Sums, standard func(weights.Class, bool) float64) {
+// Observe takes what a gateway saw.
+func (p *planner) Observe(gateway string, seen []weights.Stats, standard func(weights.Class, bool) float64) {
 	for i := range seen {
 		s := &seen[i]
 		served, work := 0.0, 0.0
@@ -55,13 +55,13 @@
 			w := float64(c.Work) / 1e6 * standard(c.Class, c.Warm && !p.doors[s.ID])
 			if p.doors[s.ID] {
 				n := math.Max(float64(c.Served), 1)
-				p.Asked(sites.Group{Class: uint16(c.Class), Inside: c.Warm}, n, w, p.worth[c.Class]*n/math.Max(w, 1e-9))
+				p.AddDemand(sites.Group{Class: uint16(c.Class), Guaranteed: c.Warm}, n, w, p.worth[c.Class]*n/math.Max(w, 1e-9))
 				continue
 			}
 			served, work = served+float64(c.Served), work+w
 		}
 		if at, known := p.at[s.ID]; known {
-			p.Planner.Take(gateway, at, uint64(s.ID), served, float64(s.Silent+s.Unreached+s.Overtaken), work)
+			p.Planner.Observe(gateway, at, uint64(s.ID), served, float64(s.TimedOut+s.Unreached+s.Superseded), work)
 		}
 	}
 }
@@ -89,12 +89,12 @@
 			s.Cold = s.Cold || e.Warmth < 1
 		}
 	}
-	p.doors, p.worth = p.sight.Doors()
+	p.doors, p.worth = p.sight.Admission()
 	list := make([]sites.Site, 0, len(names))
 	for _, name := range sortedNames(names) {
 		list = append(list, *by[name])
 	}
-	plan, changes := p.Period(now, list)
+	plan, changes := p.Next(now, list)
 	for _, c := range changes {
 		p.log(c)
 	}
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -4,7 +4,7 @@
 // in, messages go out; there is no I/O, no clock, no goroutine.
 //
 // Each gateway promises itself to one other at a time (Voter). One holds the duty while more
-// than half of all gateways of the plan are promised to it (Seat). The argument needs no
+// than half of all gateways of the plan are promised to it (Candidate). The argument needs no
 // clock to be compared with another:
 //
 //   - A voter that promised itself in a report promises nobody else anything until a lease
@@ -38,7 +38,7 @@
 	Drift float64       // by which a clock's rate may differ from the true one, at most
 }
 
-func (s Settings) surely() time.Duration { return lease.Surely(s.Lease, s.Drift) }
+func (s Settings) surely() time.Duration { return lease.SafeWait(s.Lease, s.Drift) }
 
 // Term numbers holders: a round, and below it what tells one holder of a round from another.
 type Term uint64
@@ -51,8 +51,8 @@
 
 func (t Term) round() uint64 { return uint64(t) >> idBits }
 
-// Meant reports whether a term can be one.
-func (t Term) Meant() bool { return t.round() <= mostRounds }
+// Valid reports whether a term can be one.
+func (t Term) Valid() bool { return t.round() <= mostRounds }
 
 // Report is what a gateway tells the one that it would have hold the duty.
 type Report struct {
@@ -61,22 +61,22 @@
 	Seq           uint64 // of this incarnation's reports, from 1
 	To            string
 	ToIncarnation uint64 // 0: not known yet
-	Heard         uint64 // the latest Reply taken from that incarnation; 0: none
-	Promise       bool   // nobody else is promised anything for a lease
+	Ack           uint64 // the latest Reply taken from that incarnation; 0: none
+	Vote          bool   // nobody else is promised anything for a lease
 	Term          Term   // the highest that is known
 }
 
 // Reply is what it is answered.
 type Reply struct {
-	From          string
-	Incarnation   uint64
-	Seq           uint64 // of the replies to this gateway, from 1
-	To            string
-	ToIncarnation uint64
-	Heard         uint64 // the latest Report taken
-	Term          Term   // in which From holds the duty; 0: it does not
-	Holder        string // who does, as far as From knows; a hint of whom to ask
-	Known         uint64 // over 0: so late an incarnation of To is known, and nothing else is told
+	From             string
+	Incarnation      uint64
+	Seq              uint64 // of the replies to this gateway, from 1
+	To               string
+	ToIncarnation    uint64
+	Ack              uint64 // the latest Report taken
+	Term             Term   // in which From holds the duty; 0: it does not
+	Leader           string // who does, as far as From knows; a hint of whom to ask
+	KnownIncarnation uint64 // over 0: so late an incarnation of To is known, and nothing else is told
 }
 
 // Voter is the side of a gateway that promises itself.
@@ -86,9 +86,9 @@
 	incarnation uint64
 	fresh       time.Duration // until then a former self may be promised
 
-	choice  lease.Choice
-	replies lease.Replies // the choice's
-	sent    lease.Sent
+	choice  lease.PeerSelector
+	replies lease.ReplyFilter // the choice's
+	sent    lease.SendTimes
 	term    Term // the highest known
 
 	promisedTo string // the latest, and until when
@@ -106,7 +106,7 @@
 // NewVoter makes the side of a gateway that has just started. incarnation is to be drawn at
 // random.
 func NewVoter(now time.Duration, set Settings, name string, incarnation uint64) *Voter {
-	return &Voter{set: set, name: name, incarnation: max(incarnation, 1), fresh: now + set.surely(), choice: lease.NewChoice(set.Lease)}
+	return &Voter{set: set, name: name, incarnation: max(incarnation, 1), fresh: now + set.surely(), choice: lease.NewPeerSelector(set.Lease)}
 }
 
 // Incarnation is the gateway's: later than that of any former self that others know of.
@@ -115,8 +115,8 @@
 // Term is the highest that is known.
 func (v *Voter) Term() Term { return v.term }
 
-// Holder is who holds the duty, as far as this gateway knows, and its term; "": nobody.
-func (v *Voter) Holder(now time.Duration) (string, Term) {
+// Leader is who holds the duty, as far as this gateway knows, and its term; "": nobody.
+func (v *Voter) Leader(now time.Duration) (string, Term) {
 	if v.holds == 0 || now >= v.until {
 		return "", 0
 	}
@@ -129,23 +129,23 @@
 // says so, whoever would be better: a gateway that was away finds out whom the others have.
 func (v *Voter) Tick(now time.Duration, candidates []string) (all []Report) {
 	v.candidates = candidates
-	holder, _ := v.Holder(now)
+	holder, _ := v.Leader(now)
 	if away := !slices.Contains(candidates, v.choice.Name); away || holder == "" && now >= v.hinted {
-		if v.choice.Take(now, candidates) {
+		if v.choice.Select(now, candidates) {
 			v.turn()
 		}
 	}
 	if v.choice.Name == "" {
 		return nil
 	}
-	r := Report{From: v.name, Incarnation: v.incarnation, To: v.choice.Name, ToIncarnation: v.replies.Is, Heard: v.replies.Latest, Term: v.term}
-	r.Promise = v.promise(now)
-	r.Seq = v.sent.Next(now)
+	r := Report{From: v.name, Incarnation: v.incarnation, To: v.choice.Name, ToIncarnation: v.replies.Incarnation, Ack: v.replies.Latest, Term: v.term}
+	r.Vote = v.promise(now)
+	r.Seq = v.sent.Record(now)
 	all = append(all, r)
 	if now-v.until > v.set.Lease && len(candidates) > 1 {
 		v.asked = (v.asked + 1) % len(candidates)
 		if to := candidates[v.asked]; to != v.choice.Name {
-			all = append(all, Report{From: v.name, Incarnation: v.incarnation, To: to, Term: v.term, Seq: v.sent.Next(now)})
+			all = append(all, Report{From: v.name, Incarnation: v.incarnation, To: to, Term: v.term, Seq: v.sent.Record(now)})
 		}
 	}
 	return all
@@ -153,57 +153,57 @@
 
 // turn forgets what was of the choice before.
 func (v *Voter) turn() {
-	v.replies.Turn()
+	v.replies.Reset()
 	v.holds = 0
 }
 
 // hint takes another's word of who holds the duty, while this gateway knows of nobody. It is
 // only asked: what it says itself counts.
 func (v *Voter) hint(now time.Duration, r Reply) {
-	name := r.Holder
+	name := r.Leader
 	if r.Term > 0 {
 		name = r.From
 	}
-	if holder, _ := v.Holder(now); holder != "" || name == v.choice.Name || !slices.Contains(v.candidates, name) || now < v.hinted {
+	if holder, _ := v.Leader(now); holder != "" || name == v.choice.Name || !slices.Contains(v.candidates, name) || now < v.hinted {
 		return
 	}
-	v.choice.Name, v.choice.HeardAt, v.hinted = name, now, now+v.set.Lease
+	v.choice.Name, v.choice.LastActive, v.hinted = name, now, now+v.set.Lease
 	v.turn()
 }
 
 // promise reports whether the next report promises, and notes that.
 func (v *Voter) promise(now time.Duration) bool {
-	other := v.promisedTo != v.choice.Name || v.promisedIs != v.replies.Is
+	other := v.promisedTo != v.choice.Name || v.promisedIs != v.replies.Incarnation
 	if v.replies.Latest == 0 || now < v.fresh || other && now < v.promised {
 		return false
 	}
-	v.promisedTo, v.promisedIs, v.promised = v.choice.Name, v.replies.Is, now+v.set.surely()
+	v.promisedTo, v.promisedIs, v.promised = v.choice.Name, v.replies.Incarnation, now+v.set.surely()
 	return true
 }
 
-// Take takes a reply. It reports whether it was used: what comes with one that is not is
+// HandleReply takes a reply. It reports whether it was used: what comes with one that is not is
 // late, or another's.
-func (v *Voter) Take(now time.Duration, r Reply) bool {
+func (v *Voter) HandleReply(now time.Duration, r Reply) bool {
 	if r.To != v.name {
 		return false
 	}
-	if r.Known > 0 {
-		if r.Known >= v.incarnation && r.Known < 1<<63 {
-			v.incarnation = r.Known + 1
+	if r.KnownIncarnation > 0 {
+		if r.KnownIncarnation >= v.incarnation && r.KnownIncarnation < 1<<63 {
+			v.incarnation = r.KnownIncarnation + 1
 		}
 		return false
 	}
-	at, known := v.sent.When(r.Heard)
-	if r.ToIncarnation != v.incarnation || !known || now-at > v.set.Lease || !r.Term.Meant() {
+	at, known := v.sent.At(r.Ack)
+	if r.ToIncarnation != v.incarnation || !known || now-at > v.set.Lease || !r.Term.Valid() {
 		return false
 	}
 	if v.hint(now, r); r.From != v.choice.Name {
 		return false
 	}
-	if !v.replies.Take(r.Incarnation, r.Seq, r.Heard) {
+	if !v.replies.Accept(r.Incarnation, r.Seq, r.Ack) {
 		return false
 	}
-	v.choice.HeardAt = now
+	v.choice.LastActive = now
 	if v.holds = 0; r.Term >= v.term && r.Term > 0 {
 		v.term, v.holds, v.until = r.Term, r.Term, at+v.set.Lease
 	}
@@ -215,12 +215,12 @@
 	name        string
 	incarnation uint64
 	heard       uint64
-	sent        lease.Sent
+	sent        lease.SendTimes
 	promised    time.Duration // it is, until then
 }
 
-// Seat is the side of a gateway that others promise themselves to.
-type Seat struct {
+// Candidate is the side of a gateway that others promise themselves to.
+type Candidate struct {
 	set         Settings
 	name        string
 	incarnation uint64
@@ -232,16 +232,16 @@
 	ends        []time.Duration // scratch
 }
 
-// NewSeat makes a seat that nobody has promised anything yet. incarnation is one that no
+// NewCandidate makes a seat that nobody has promised anything yet. incarnation is one that no
 // seat of this gateway had before.
-func NewSeat(now time.Duration, set Settings, name string, incarnation uint64, plan []string) *Seat {
-	s := &Seat{set: set, name: name, incarnation: max(incarnation, 1), heardAt: now}
-	s.SetPlan(plan)
+func NewCandidate(now time.Duration, set Settings, name string, incarnation uint64, plan []string) *Candidate {
+	s := &Candidate{set: set, name: name, incarnation: max(incarnation, 1), heardAt: now}
+	s.SetGateways(plan)
 	return s
 }
 
-// SetPlan takes the names of all gateways.
-func (s *Seat) SetPlan(plan []string) {
+// SetGateways takes the names of all gateways.
+func (s *Candidate) SetGateways(plan []string) {
 	old := s.voices
 	s.voices = nil
 	for _, name := range plan {
@@ -254,7 +254,7 @@
 	slices.SortFunc(s.voices, func(a, b *voice) int { return strings.Compare(a.name, b.name) })
 }
 
-func (s *Seat) voice(name string) *voice {
+func (s *Candidate) voice(name string) *voice {
 	i, found := slices.BinarySearchFunc(s.voices, name, func(v *voice, n string) int { return strings.Compare(v.name, n) })
 	if !found {
 		return nil
@@ -262,11 +262,11 @@
 	return s.voices[i]
 }
 
-// Over reports whether nobody has told the seat anything for so long that it may be forgotten.
-func (s *Seat) Over(now time.Duration) bool { return now-s.heardAt > 3*s.set.surely() }
+// Expired reports whether nobody has told the seat anything for so long that it may be forgotten.
+func (s *Candidate) Expired(now time.Duration) bool { return now-s.heardAt > 3*s.set.surely() }
 
-// Until is how long the duty is held if nothing more is heard.
-func (s *Seat) Until() time.Duration {
+// LeaderUntil is how long the duty is held if nothing more is heard.
+func (s *Candidate) LeaderUntil() time.Duration {
 	s.ends = s.ends[:0]
 	for _, v := range s.voices {
 		s.ends = append(s.ends, v.promised)
@@ -278,8 +278,8 @@
 	return s.ends[(len(s.ends)-1)/2] // more than half end no sooner
 }
 
-// Heard is how many gateways have been heard of within a lease, with their names.
-func (s *Seat) Heard(now time.Duration) (names []string) {
+// Voters is how many gateways have been heard of within a lease, with their names.
+func (s *Candidate) Voters(now time.Duration) (names []string) {
 	for _, v := range s.voices {
 		if v.promised > now {
 			names = append(names, v.name)
@@ -288,44 +288,44 @@
 	return names
 }
 
-// Holds is the term in which the duty is held now; 0: it is not.
-func (s *Seat) Holds(now time.Duration) Term {
-	if now >= s.Until() {
+// LeaderTerm is the term in which the duty is held now; 0: it is not.
+func (s *Candidate) LeaderTerm(now time.Duration) Term {
+	if now >= s.LeaderUntil() {
 		return 0
 	}
 	return s.term
 }
 
-// Hear takes a report. false: it is none of its own, or late.
-func (s *Seat) Hear(now time.Duration, r Report) (Reply, bool) {
+// HandleReport takes a report. false: it is none of its own, or late.
+func (s *Candidate) HandleReport(now time.Duration, r Report) (Reply, bool) {
 	v := s.voice(r.From)
-	if v == nil || r.To != s.name || r.Seq == 0 || !r.Term.Meant() {
+	if v == nil || r.To != s.name || r.Seq == 0 || !r.Term.Valid() {
 		return Reply{}, false
 	}
 	if r.Incarnation < v.incarnation {
-		return Reply{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, Known: v.incarnation}, true
+		return Reply{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, KnownIncarnation: v.incarnation}, true
 	}
 	if r.Incarnation > v.incarnation { // what its former self promised lasts to its end
 		v.incarnation, v.heard = r.Incarnation, 0
-		v.sent.Forget()
+		v.sent.Reset()
 	}
 	if r.Seq <= v.heard {
 		return Reply{}, false
 	}
 	v.heard, s.heardAt = r.Seq, now
 	s.known = max(s.known, r.Term)
-	if at, known := v.sent.When(r.Heard); known && r.Promise && r.ToIncarnation == s.incarnation {
+	if at, known := v.sent.At(r.Ack); known && r.Vote && r.ToIncarnation == s.incarnation {
 		v.promised = max(v.promised, at+s.set.Lease)
 	}
 	s.settle(now)
-	reply := Reply{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, Heard: r.Seq, Term: s.Holds(now)}
-	reply.Seq = v.sent.Next(now)
+	reply := Reply{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, Ack: r.Seq, Term: s.LeaderTerm(now)}
+	reply.Seq = v.sent.Record(now)
 	return reply, true
 }
 
 // settle takes a term where the duty is held anew, or another one's later is known.
-func (s *Seat) settle(now time.Duration) {
-	until := s.Until()
+func (s *Candidate) settle(now time.Duration) {
+	until := s.LeaderUntil()
 	if now < until && (now >= s.held || s.term < s.known) {
 		h := fnv.New32a()
 		h.Write([]byte(s.name))
@@ -335,8 +335,8 @@
 	s.held = until
 }
 
-// Out is a message that a gateway has to send. One of Report and Reply is told.
-type Out struct {
+// Outgoing is a message that a gateway has to send. One of Report and Reply is told.
+type Outgoing struct {
 	To     string
 	Report *Report
 	Reply  *Reply
@@ -345,7 +345,7 @@
 // Node is both sides of a gateway.
 type Node struct {
 	*Voter
-	seat        *Seat // nil: nobody reports here
+	seat        *Candidate // nil: nobody reports here
 	incarnation uint64
 	plan        []string
 }
@@ -356,56 +356,56 @@
 	return &Node{Voter: NewVoter(now, set, name, incarnation), incarnation: incarnation, plan: plan}
 }
 
-// SetPlan takes the names of other gateways.
-func (n *Node) SetPlan(plan []string) {
+// SetGateways takes the names of other gateways.
+func (n *Node) SetGateways(plan []string) {
 	n.plan = plan
 	if n.seat != nil {
-		n.seat.SetPlan(plan)
+		n.seat.SetGateways(plan)
 	}
 }
 
 // Tick is to be called each period, with those that may hold the duty, the best first.
-func (n *Node) Tick(now time.Duration, candidates []string) (out []Out) {
-	if n.seat != nil && n.seat.Over(now) {
+func (n *Node) Tick(now time.Duration, candidates []string) (out []Outgoing) {
+	if n.seat != nil && n.seat.Expired(now) {
 		n.seat = nil
 	}
 	for _, r := range n.Voter.Tick(now, candidates) {
-		out = append(out, Out{To: r.To, Report: &r})
+		out = append(out, Outgoing{To: r.To, Report: &r})
 	}
 	return out
 }
 
-// TakeReport takes another's report; false: it is not used.
-func (n *Node) TakeReport(now time.Duration, r Report) (Out, bool) {
+// HandleReport takes another's report; false: it is not used.
+func (n *Node) HandleReport(now time.Duration, r Report) (Outgoing, bool) {
 	if n.seat == nil { // an incarnation of its own: what another one said counts for nothing
-		n.seat = NewSeat(now, n.set, n.name, n.incarnation, n.plan)
+		n.seat = NewCandidate(now, n.set, n.name, n.incarnation, n.plan)
 		n.incarnation += 1 << 32
 	}
-	reply, ok := n.seat.Hear(now, r)
-	reply.Holder, _ = n.Holder(now)
-	return Out{To: reply.To, Reply: &reply}, ok
+	reply, ok := n.seat.HandleReport(now, r)
+	reply.Leader, _ = n.Leader(now)
+	return Outgoing{To: reply.To, Reply: &reply}, ok
 }
 
-// Holds is the term in which this gateway itself holds the duty; 0: it does not.
-func (n *Node) Holds(now time.Duration) Term {
+// LeaderTerm is the term in which this gateway itself holds the duty; 0: it does not.
+func (n *Node) LeaderTerm(now time.Duration) Term {
 	if n.seat == nil {
 		return 0
 	}
-	return n.seat.Holds(now)
+	return n.seat.LeaderTerm(now)
 }
 
-// HoldsUntil is how long it does if nothing more is heard.
-func (n *Node) HoldsUntil() time.Duration {
+// LeaderUntil is how long it does if nothing more is heard.
+func (n *Node) LeaderUntil() time.Duration {
 	if n.seat == nil {
 		return 0
 	}
-	return n.seat.Until()
+	return n.seat.LeaderUntil()
 }
 
-// Promised are the gateways that are promised to this one now.
-func (n *Node) Promised(now time.Duration) []string {
+// Voters are the gateways that are promised to this one now.
+func (n *Node) Voters(now time.Duration) []string {
 	if n.seat == nil {
 		return nil
 	}
-	return n.seat.Heard(now)
+	return n.seat.Voters(now)
 }
