--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -24,7 +24,7 @@
 	now      time.Duration
 	nodes    [3]*Node
 	turned   [3]bool // they take a to be down, and would have b
-	flight   []Out
+	flight   []Outgoing
 	restarts int
 	last     Term
 	holder   int
@@ -133,7 +133,7 @@
 }
 
 // send puts a message on its way; one to itself is there at once.
-func (s *small) send(from int, o Out) {
+func (s *small) send(from int, o Outgoing) {
 	if smallNames[from] == o.To {
 		s.take(from, o)
 	} else if len(s.flight) < mostFlight {
@@ -141,10 +141,10 @@
 	}
 }
 
-func (s *small) take(i int, o Out) {
+func (s *small) take(i int, o Outgoing) {
 	if o.Reply != nil {
-		s.nodes[i].Take(s.now, *o.Reply)
-	} else if reply, ok := s.nodes[i].TakeReport(s.now, *o.Report); ok {
+		s.nodes[i].HandleReply(s.now, *o.Reply)
+	} else if reply, ok := s.nodes[i].HandleReport(s.now, *o.Report); ok {
 		s.send(i, reply)
 	}
 }
@@ -153,7 +153,7 @@
 func (s *small) check() error {
 	holder := -1
 	for i, n := range s.nodes {
-		term := n.Holds(s.now)
+		term := n.LeaderTerm(s.now)
 		if term == 0 {
 			continue
 		}
@@ -230,14 +230,14 @@
 
 // What was promised to a seat's former self counts for nothing.
 func TestPromiseToFormerSelf(t *testing.T) {
-	seat := NewSeat(0, smallSet, "a", 2, smallNames)
-	seat.Hear(0, Report{From: "b", Incarnation: 1, Seq: 1, To: "a"})
-	seat.Hear(0, Report{From: "b", Incarnation: 1, Seq: 2, To: "a", ToIncarnation: 1, Heard: 1, Promise: true})
-	if len(seat.Heard(0)) > 0 {
+	seat := NewCandidate(0, smallSet, "a", 2, smallNames)
+	seat.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 1, To: "a"})
+	seat.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 2, To: "a", ToIncarnation: 1, Ack: 1, Vote: true})
+	if len(seat.Voters(0)) > 0 {
 		t.Fatal("then: a promise to another counts")
 	}
-	seat.Hear(0, Report{From: "b", Incarnation: 1, Seq: 3, To: "a", ToIncarnation: 2, Heard: 1, Promise: true})
-	if len(seat.Heard(0)) != 1 || len(seat.Heard(smallSet.Lease)) > 0 {
+	seat.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 3, To: "a", ToIncarnation: 2, Ack: 1, Vote: true})
+	if len(seat.Voters(0)) != 1 || len(seat.Voters(smallSet.Lease)) > 0 {
 		t.Error("a promise does not count for a lease")
 	}
 }
--- a/internal/fleet/duty/schedule_test.go
+++ b/internal/fleet/duty/schedule_test.go
@@ -40,19 +40,19 @@
 }
 
 func (w way) Take(now time.Duration, body any) []gateways.Message {
-	out := body.(duty.Out)
+	out := body.(duty.Outgoing)
 	if out.Reply != nil {
-		w.node.Take(now, *out.Reply)
+		w.node.HandleReply(now, *out.Reply)
 		return nil
 	}
-	reply, ok := w.node.TakeReport(now, *out.Report)
+	reply, ok := w.node.HandleReport(now, *out.Report)
 	if !ok {
 		return nil
 	}
-	return messages([]duty.Out{reply})
+	return messages([]duty.Outgoing{reply})
 }
 
-func messages(all []duty.Out) (out []gateways.Message) {
+func messages(all []duty.Outgoing) (out []gateways.Message) {
 	for _, o := range all {
 		out = append(out, gateways.Message{To: o.To, Body: o})
 	}
@@ -60,10 +60,10 @@
 }
 
 func (w way) Limit(now time.Duration) quota.Limit {
-	if w.node.Holds(now) == 0 {
+	if w.node.LeaderTerm(now) == 0 {
 		return quota.Limit{}
 	}
-	return quota.Limit{Grant: quota.Whole, Until: w.node.HoldsUntil()}
+	return quota.Limit{Grant: quota.Whole, Until: w.node.LeaderUntil()}
 }
 
 // Whatever happens, at most one holds the duty; and when it is over one does again, whom
@@ -96,7 +96,7 @@
 		}
 		known := map[string]bool{}
 		for _, n := range w.Nodes {
-			holder, _ := f[n.Name].node.Holder(w.Clock(n))
+			holder, _ := f[n.Name].node.Leader(w.Clock(n))
 			known[holder] = true
 		}
 		if len(known) != 1 || known[""] {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,9 +60,9 @@
 
 // Account is what draws on one contract's quota in this process.
 type Account interface {
-	// Asked is what was asked for since the start, admitted or not, in quotas times
+	// Requested is what was asked for since the start, admitted or not, in quotas times
 	// seconds: of requests and of work.
-	Asked() (requests, work float64)
+	Requested() (requests, work float64)
 	// SetLimit puts a limit in force before it returns. left is how long its grant lasts
 	// from when it is called; a time by another clock is to be read before that.
 	SetLimit(l quota.Limit, left func() time.Duration)
@@ -76,12 +76,12 @@
 
 // Pool is what the fleet's weights are of in this process.
 type Pool interface {
-	council.Sight
+	council.Observer
 	// SetFactors puts factors of the list's weights in force; what is not there has 1. nil:
 	// there are none, and each process goes by its own sight.
 	SetFactors(map[weights.ID]float64)
-	// SetDoor puts in force what is done about sites, until the next call. nil: nothing.
-	SetDoor(*sites.Door)
+	// SetEnforcer puts in force what is done about sites, until the next call. nil: nothing.
+	SetEnforcer(*sites.Enforcer)
 }
 
 // Config is what a fleet is made of.
@@ -100,12 +100,12 @@
 // Status is a snapshot, which is not changed.
 type Status struct {
 	Up        []string // gateways, by name
-	Contracts map[string]Standing
+	Contracts map[string]ContractStatus
 	Council   council.Status
 }
 
-// Standing is where one contract stands here.
-type Standing struct {
+// ContractStatus is where one contract stands here.
+type ContractStatus struct {
 	quota.Limit
 	Steward string
 	Demand  quota.Part
@@ -114,7 +114,7 @@
 // Counts are what was counted since the start.
 type Counts struct {
 	Dropped      uint64 // messages for which there was no room
-	Broken       uint64 // that could not be read, or were impossible
+	Malformed    uint64 // that could not be read, or were impossible
 	OtherVersion uint64
 }
 
@@ -166,7 +166,7 @@
 // contract is one, under its shard's lock.
 type contract struct {
 	Contract
-	meter  quota.Meter
+	meter  quota.DemandMeter
 	node   *quota.Node
 	order  order
 	demand quota.Part
@@ -184,7 +184,7 @@
 	f := &Fleet{config: c, begun: time.Now(), up: map[string]bool{}, version: 1, stopping: make(chan struct{})}
 	f.members = rank.Mutex{Rank: rankMembers, Name: "members"}
 	f.publishing = rank.Mutex{Rank: rankPublished, Name: "published"}
-	f.published.Store(&Status{Contracts: map[string]Standing{}})
+	f.published.Store(&Status{Contracts: map[string]ContractStatus{}})
 	f.plan.Store(&plan{c.Gateways, c.Addresses})
 	if _, known := f.plan.Load().part(c.Name); !known {
 		return nil, fmt.Errorf("fleet: this gateway, %q, is none of the fleet's", c.Name)
@@ -224,7 +224,7 @@
 
 // Counts are those since the start.
 func (f *Fleet) Counts() Counts {
-	return Counts{Dropped: f.dropped.Load() + f.transport.dropped.Load(), Broken: f.broken.Load(), OtherVersion: f.otherVersion.Load()}
+	return Counts{Dropped: f.dropped.Load() + f.transport.dropped.Load(), Malformed: f.broken.Load(), OtherVersion: f.otherVersion.Load()}
 }
 
 // Start puts the limits of a process that has just started in force: before it serves.
@@ -245,10 +245,10 @@
 	return addr, known
 }
 
-// Replace takes other gateways, parts, addresses and sites, among them this one's. What was given
+// Reconfigure takes other gateways, parts, addresses and sites, among them this one's. What was given
 // under those before is counted to its end. Parts that grow may be used at once: those that
 // become less are to be in force everywhere before.
-func (f *Fleet) Replace(gateways []quota.Gateway, addresses map[string]string, of *council.Sites) error {
+func (f *Fleet) Reconfigure(gateways []quota.Gateway, addresses map[string]string, of *council.Sites) error {
 	next := &plan{gateways, addresses}
 	part, known := next.part(f.config.Name)
 	if !known || len(gateways) > quota.MaxGateways {
@@ -277,7 +277,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.contracts {
-		c.node.SetPlan(f.now(), gateways)
+		c.node.SetGateways(f.now(), gateways)
 		f.enforce(c)
 	}
 }
@@ -314,7 +314,7 @@
 func (f *Fleet) release() {
 	if f.config.Pool != nil {
 		f.config.Pool.SetFactors(nil)
-		f.config.Pool.SetDoor(nil)
+		f.config.Pool.SetEnforcer(nil)
 	}
 	for i := range f.shards {
 		s := &f.shards[i]
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestMain(m *testing.M) {
-	rank.Check()
+	rank.EnableChecks()
 	goleak.VerifyTestMain(m)
 }
 
@@ -33,7 +33,7 @@
 	until time.Time
 }
 
-func (c *caller) Asked() (requests, work float64) {
+func (c *caller) Requested() (requests, work float64) {
 	return quota.Part(c.demand.Load()).Fraction() * time.Since(c.begun).Seconds(), 0
 }
 
@@ -170,7 +170,7 @@
 		return has > quota.Whole*13/20 && has < quota.Whole*4/5
 	})
 	for _, m := range all {
-		if c := m.Counts(); c.Broken+c.OtherVersion > 0 {
+		if c := m.Counts(); c.Malformed+c.OtherVersion > 0 {
 			t.Errorf("%s: %+v", m.config.Name, c)
 		}
 	}
@@ -204,7 +204,7 @@
 		d.NotifyMsg(b)
 	}
 	c := f.Counts()
-	if c.Broken < 2 || c.OtherVersion != 1 || c.Dropped < shardQueue {
+	if c.Malformed < 2 || c.OtherVersion != 1 || c.Dropped < shardQueue {
 		t.Errorf("%+v", c)
 	}
 	await(t, all, "goes on", func() bool { return all[0].caller.has() == quota.Whole })
@@ -213,7 +213,7 @@
 // BenchmarkStatus is a reader's look at the snapshot while a writer puts another one there
 // all the time, beside the same under a lock.
 func BenchmarkStatus(b *testing.B) {
-	standing := Status{Contracts: map[string]Standing{"maps/a/": {}}}
+	standing := Status{Contracts: map[string]ContractStatus{"maps/a/": {}}}
 	var published atomic.Pointer[Status]
 	published.Store(&standing)
 	var mu sync.Mutex
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -18,52 +18,52 @@
 	shunLeases   = 3
 )
 
-// Surely is how long one has to wait on one's own clock until a time has surely passed on
+// SafeWait is how long one has to wait on one's own clock until a time has surely passed on
 // another's. drift is by how much the rate of each may differ from the true one.
-func Surely(d time.Duration, drift float64) time.Duration {
+func SafeWait(d time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(d)*(1+drift)/(1-drift)) + time.Microsecond // and what rounding leaves
 }
 
-// Sent are the times at which the latest messages went out.
-type Sent struct {
+// SendTimes are the times at which the latest messages went out.
+type SendTimes struct {
 	seq   uint64
 	first uint64 // the earliest that counts
 	at    [marks]time.Duration
 }
 
-// Next numbers a message that goes out now, from 1.
-func (s *Sent) Next(now time.Duration) uint64 {
+// Record numbers a message that goes out now, from 1.
+func (s *SendTimes) Record(now time.Duration) uint64 {
 	s.seq++
 	s.at[s.seq%marks] = now
 	return s.seq
 }
 
-// When is the time at which a message went out; false: it is not remembered.
-func (s *Sent) When(seq uint64) (time.Duration, bool) {
+// At is the time at which a message went out; false: it is not remembered.
+func (s *SendTimes) At(seq uint64) (time.Duration, bool) {
 	if seq == 0 || seq < s.first || seq > s.seq || s.seq-seq >= marks {
 		return 0, false
 	}
 	return s.at[seq%marks], true
 }
 
-// Forget has what went out so far count for nothing.
-func (s *Sent) Forget() { s.first = s.seq + 1 }
+// Reset has what went out so far count for nothing.
+func (s *SendTimes) Reset() { s.first = s.seq + 1 }
 
-// Replies tells which replies of the one that is reported to are news, however many are late,
+// ReplyFilter tells which replies of the one that is reported to are news, however many are late,
 // repeated or out of order, and whether it starts anew.
-type Replies struct {
-	Is     uint64 // its incarnation; 0: not known
-	Latest uint64 // the latest reply that was taken; 0: none
-	anchor uint64 // the latest report that a reply taken has answered, whoever's
+type ReplyFilter struct {
+	Incarnation uint64 // its incarnation; 0: not known
+	Latest      uint64 // the latest reply that was taken; 0: none
+	anchor      uint64 // the latest report that a reply taken has answered, whoever's
 }
 
-// Take takes the number of a reply, and that of the report that it answers. false: it is late.
-func (r *Replies) Take(incarnation, seq, answers uint64) bool {
-	if incarnation != r.Is { // it has started anew, unless this is late
+// Accept takes the number of a reply, and that of the report that it answers. false: it is late.
+func (r *ReplyFilter) Accept(incarnation, seq, answers uint64) bool {
+	if incarnation != r.Incarnation { // it has started anew, unless this is late
 		if answers <= r.anchor {
 			return false
 		}
-		r.Is, r.Latest = incarnation, 0
+		r.Incarnation, r.Latest = incarnation, 0
 	}
 	if seq <= r.Latest {
 		return false
@@ -72,39 +72,39 @@
 	return true
 }
 
-// Turn notes that another one is reported to from now on.
-func (r *Replies) Turn() { r.Is, r.Latest = 0, 0 }
+// Reset notes that another one is reported to from now on.
+func (r *ReplyFilter) Reset() { r.Incarnation, r.Latest = 0, 0 }
 
-// Choice is whom a gateway reports to: the best candidate that is not silent.
-type Choice struct {
-	Name    string        // "": nobody
-	HeardAt time.Duration // when it was last heard, or chosen
-	lease   time.Duration
-	shunned map[string]time.Duration // those that were silent, until when; as many as candidates
+// PeerSelector is whom a gateway reports to: the best candidate that is not silent.
+type PeerSelector struct {
+	Name       string        // "": nobody
+	LastActive time.Duration // when it was last heard, or chosen
+	lease      time.Duration
+	shunned    map[string]time.Duration // those that were silent, until when; as many as candidates
 }
 
-// NewChoice is a choice of nobody yet.
-func NewChoice(lease time.Duration) Choice {
-	return Choice{lease: lease, shunned: map[string]time.Duration{}}
+// NewPeerSelector is a choice of nobody yet.
+func NewPeerSelector(lease time.Duration) PeerSelector {
+	return PeerSelector{lease: lease, shunned: map[string]time.Duration{}}
 }
 
 // Clone is a copy that shares nothing.
-func (c Choice) Clone() Choice {
+func (c PeerSelector) Clone() PeerSelector {
 	c.shunned = maps.Clone(c.shunned)
 	return c
 }
 
-// Shunned is how many are not tried for now, as they were silent.
-func (c *Choice) Shunned() int { return len(c.shunned) }
+// NumSilent is how many are not tried for now, as they were silent.
+func (c *PeerSelector) NumSilent() int { return len(c.shunned) }
 
-// Take chooses among candidates, the best first. It reports whether another one was chosen.
-func (c *Choice) Take(now time.Duration, candidates []string) (changed bool) {
+// Select chooses among candidates, the best first. It reports whether another one was chosen.
+func (c *PeerSelector) Select(now time.Duration, candidates []string) (changed bool) {
 	for name, until := range c.shunned {
 		if now >= until || !slices.Contains(candidates, name) {
 			delete(c.shunned, name)
 		}
 	}
-	if c.Name != "" && now-c.HeardAt > times(c.lease, silentLeases) && len(candidates) > 1 {
+	if c.Name != "" && now-c.LastActive > times(c.lease, silentLeases) && len(candidates) > 1 {
 		c.shunned[c.Name] = now + times(c.lease, shunLeases)
 	}
 	best := ""
@@ -117,7 +117,7 @@
 	if best == c.Name {
 		return false
 	}
-	c.Name, c.HeardAt = best, now
+	c.Name, c.LastActive = best, now
 	return true
 }
 
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -7,21 +7,21 @@
 
 // A message's time is known while it is among the latest, and until it is forgotten.
 func TestSent(t *testing.T) {
-	var s Sent
+	var s SendTimes
 	for i := range 40 {
-		s.Next(time.Duration(i) * time.Second)
+		s.Record(time.Duration(i) * time.Second)
 	}
 	for seq, want := range map[uint64]bool{0: false, 8: false, 9: true, 40: true, 41: false} {
-		at, known := s.When(seq)
+		at, known := s.At(seq)
 		if known != want || known && at != time.Duration(seq-1)*time.Second {
 			t.Errorf("%d: %v, %v", seq, at, known)
 		}
 	}
-	s.Forget()
-	if _, known := s.When(40); known {
+	s.Reset()
+	if _, known := s.At(40); known {
 		t.Error("40 is known after it was forgotten")
 	}
-	if _, known := s.When(s.Next(0)); !known {
+	if _, known := s.At(s.Record(0)); !known {
 		t.Error("what came after is not known")
 	}
 }
@@ -29,7 +29,7 @@
 // One that is silent is passed over for a time, and tried again then; the only one is never
 // passed over.
 func TestChoice(t *testing.T) {
-	c := NewChoice(time.Second)
+	c := NewPeerSelector(time.Second)
 	both := []string{"a", "b"}
 	for _, step := range []struct {
 		at         time.Duration
@@ -46,9 +46,9 @@
 		{9 * time.Second, nil, false, ""},
 	} {
 		if step.heard {
-			c.HeardAt = step.at
+			c.LastActive = step.at
 		}
-		if c.Take(step.at, step.candidates); c.Name != step.want {
+		if c.Select(step.at, step.candidates); c.Name != step.want {
 			t.Errorf("%v: %q is chosen, not %q", step.at, c.Name, step.want)
 		}
 	}
--- a/internal/fleet/message/message.go
+++ b/internal/fleet/message/message.go
@@ -108,12 +108,12 @@
 	switch {
 	case m.Report != nil:
 		r := m.Report
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = report, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Heard
-		w.Demand, w.Cede = r.Demand, r.Cede
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = report, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
+		w.Demand, w.Cede = r.Demand, r.Lend
 	case m.Reply != nil:
 		r := m.Reply
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = reply, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Heard
-		w.Grant, w.For, w.Ask, w.Relied, w.Known = r.Grant, r.For, r.Ask, r.Relied, r.Known
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = reply, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
+		w.Grant, w.For, w.Ask, w.Relied, w.Known = r.Grant, r.GrantTTL, r.LendTarget, r.LoanInUse, r.KnownIncarnation
 	default:
 		if !w.setCouncil(&m.Council) {
 			return b, errors.New("message: there is nothing in it")
@@ -150,9 +150,9 @@
 	m := Message{Contract: w.Contract, Council: w.council()}
 	switch w.Kind {
 	case report:
-		m.Report = &quota.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Heard: w.Heard, Demand: w.Demand, Cede: w.Cede}
+		m.Report = &quota.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Demand: w.Demand, Lend: w.Cede}
 	case reply:
-		m.Reply = &quota.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Heard: w.Heard, Grant: w.Grant, For: w.For, Ask: w.Ask, Relied: w.Relied, Known: w.Known}
+		m.Reply = &quota.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Grant: w.Grant, GrantTTL: w.For, LendTarget: w.Ask, LoanInUse: w.Relied, KnownIncarnation: w.Known}
 	}
 	return m, nil
 }
@@ -183,7 +183,7 @@
 		return fmt.Errorf("message: a time of 0 to 1m is expected, not %v", w.For)
 	case w.Incarnation == 0 && w.Kind != weightsAnswer:
 		return errors.New("message: an incarnation over 0 is expected")
-	case w.Part < 0 || w.Part > weights.MaxParts || w.Index < 0 || w.Index > weights.MaxEndpoints:
+	case w.Part < 0 || w.Part > weights.MaxReportParts || w.Index < 0 || w.Index > weights.MaxEndpoints:
 		return errors.New("message: a part that is none")
 	}
 	return nil
@@ -192,22 +192,22 @@
 // setCouncil fills in a message of the council's; false: there is none.
 func (w *body) setCouncil(m *council.Message) bool {
 	switch {
-	case m.DutyReport != nil:
-		r := m.DutyReport
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = dutyReport, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Heard
-		w.Promise, w.Term = r.Promise, uint64(r.Term)
-	case m.DutyReply != nil:
-		r := m.DutyReply
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = dutyReply, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Heard
-		w.Term, w.Holder, w.Known = uint64(r.Term), r.Holder, r.Known
+	case m.LeaderReport != nil:
+		r := m.LeaderReport
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = dutyReport, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
+		w.Promise, w.Term = r.Vote, uint64(r.Term)
+	case m.LeaderReply != nil:
+		r := m.LeaderReply
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = dutyReply, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
+		w.Term, w.Holder, w.Known = uint64(r.Term), r.Leader, r.KnownIncarnation
 	case m.Report != nil:
 		r := m.Report
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.Beat = weightsReport, r.From, r.Incarnation, r.Seq, r.To, r.Beat
-		w.Part, w.Term, w.Number, w.Parts, w.Packed = r.Part, r.Has.Term, r.Has.N, r.Parts, r.Sums
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.Beat = weightsReport, r.From, r.Incarnation, r.Seq, r.To, r.Heartbeat
+		w.Part, w.Term, w.Number, w.Parts, w.Packed = r.Part, r.TableVersion.Term, r.TableVersion.Seq, r.TableParts, r.Stats
 	case m.Answer != nil:
 		a := m.Answer // part and index are from -1 on there
-		w.Kind, w.From, w.Seq, w.To, w.ToIncarnation, w.Beat = weightsAnswer, a.From, a.Seq, a.To, a.ToIncarnation, a.Beat
-		w.Part, w.Term, w.Number, w.Index, w.Parts, w.Packed = a.Part+1, a.Table.Term, a.Table.N, a.Index+1, uint64(a.Parts), a.Entries
+		w.Kind, w.From, w.Seq, w.To, w.ToIncarnation, w.Beat = weightsAnswer, a.From, a.Seq, a.To, a.ToIncarnation, a.Heartbeat
+		w.Part, w.Term, w.Number, w.Index, w.Parts, w.Packed = a.Part+1, a.Table.Term, a.Table.Seq, a.Index+1, uint64(a.Parts), a.Entries
 	default:
 		return false
 	}
@@ -221,15 +221,15 @@
 	}
 	switch w.Kind {
 	case dutyReport:
-		m.DutyReport = &duty.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Heard: w.Heard, Promise: w.Promise, Term: duty.Term(w.Term)}
+		m.LeaderReport = &duty.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Vote: w.Promise, Term: duty.Term(w.Term)}
 	case dutyReply:
-		m.DutyReply = &duty.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Heard: w.Heard, Term: duty.Term(w.Term), Holder: w.Holder, Known: w.Known}
+		m.LeaderReply = &duty.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Term: duty.Term(w.Term), Leader: w.Holder, KnownIncarnation: w.Known}
 	case weightsReport:
-		m.Report = &weights.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, Beat: w.Beat, Part: w.Part, Has: weights.Number{Term: w.Term, N: w.Number}, Parts: w.Parts, Sums: w.Packed}
+		m.Report = &weights.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, Heartbeat: w.Beat, Part: w.Part, TableVersion: weights.Version{Term: w.Term, Seq: w.Number}, TableParts: w.Parts, Stats: w.Packed}
 	case weightsAnswer:
 		m.Answer = &weights.Answer{
-			From: w.From, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Beat: w.Beat, Part: w.Part - 1,
-			Table: weights.Number{Term: w.Term, N: w.Number}, Index: w.Index - 1, Parts: int(min(w.Parts, weights.MaxEndpoints)), Entries: w.Packed,
+			From: w.From, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Heartbeat: w.Beat, Part: w.Part - 1,
+			Table: weights.Version{Term: w.Term, Seq: w.Number}, Index: w.Index - 1, Parts: int(min(w.Parts, weights.MaxEndpoints)), Entries: w.Packed,
 		}
 	}
 	return m
--- a/internal/fleet/message/message_test.go
+++ b/internal/fleet/message/message_test.go
@@ -16,16 +16,16 @@
 )
 
 var examples = []Message{
-	{Contract: "maps/bijela-kosa", Report: &quota.Report{From: "g1", Incarnation: 7, Seq: 3, To: "g2", ToIncarnation: 9, Heard: 2, Demand: quota.Whole, Cede: 5}},
+	{Contract: "maps/bijela-kosa", Report: &quota.Report{From: "g1", Incarnation: 7, Seq: 3, To: "g2", ToIncarnation: 9, Ack: 2, Demand: quota.Whole, Lend: 5}},
 	{Contract: "c", Report: &quota.Report{From: "g1", Incarnation: 1 << 63, Seq: 1, To: "g1"}},
-	{Contract: "c", Reply: &quota.Reply{From: "g2", Incarnation: 9, Seq: 1 << 40, To: "g1", ToIncarnation: 7, Heard: 3, Grant: 4, For: time.Second, Ask: 5, Relied: 6}},
-	{Contract: "c", Reply: &quota.Reply{From: "g2", Incarnation: 9, To: "g1", ToIncarnation: 7, Known: 8}},
-	{Council: council.Message{DutyReport: &duty.Report{From: "g1", Incarnation: 7, Seq: 3, To: "g2", ToIncarnation: 9, Heard: 2, Promise: true, Term: 1 << 40}}},
-	{Council: council.Message{DutyReply: &duty.Reply{From: "g2", Incarnation: 9, Seq: 4, To: "g1", ToIncarnation: 7, Heard: 3, Term: 1 << 40, Holder: "g2"}}},
-	{Council: council.Message{Report: &weights.Report{From: "g1", To: "g2", Incarnation: 7, Beat: 9, Seq: 3, Part: 2, Has: weights.Number{Term: 5, N: 6}, Parts: 3, Sums: []byte("sums")}}},
-	{Council: council.Message{Report: &weights.Report{From: "g1", To: "g2", Incarnation: 7, Beat: 9, Seq: 3}}},
-	{Council: council.Message{Answer: &weights.Answer{From: "g2", To: "g1", ToIncarnation: 7, Beat: 9, Seq: 3, Part: 2, Table: weights.Number{Term: 5, N: 6}, Index: 1, Parts: 4, Entries: []byte("factors")}}},
-	{Council: council.Message{Answer: &weights.Answer{From: "g2", To: "g1", ToIncarnation: 7, Beat: 9, Seq: 3, Part: -1, Index: -1, Parts: 1}}},
+	{Contract: "c", Reply: &quota.Reply{From: "g2", Incarnation: 9, Seq: 1 << 40, To: "g1", ToIncarnation: 7, Ack: 3, Grant: 4, GrantTTL: time.Second, LendTarget: 5, LoanInUse: 6}},
+	{Contract: "c", Reply: &quota.Reply{From: "g2", Incarnation: 9, To: "g1", ToIncarnation: 7, KnownIncarnation: 8}},
+	{Council: council.Message{LeaderReport: &duty.Report{From: "g1", Incarnation: 7, Seq: 3, To: "g2", ToIncarnation: 9, Ack: 2, Vote: true, Term: 1 << 40}}},
+	{Council: council.Message{LeaderReply: &duty.Reply{From: "g2", Incarnation: 9, Seq: 4, To: "g1", ToIncarnation: 7, Ack: 3, Term: 1 << 40, Leader: "g2"}}},
+	{Council: council.Message{Report: &weights.Report{From: "g1", To: "g2", Incarnation: 7, Heartbeat: 9, Seq: 3, Part: 2, TableVersion: weights.Version{Term: 5, Seq: 6}, TableParts: 3, Stats: []byte("sums")}}},
+	{Council: council.Message{Report: &weights.Report{From: "g1", To: "g2", Incarnation: 7, Heartbeat: 9, Seq: 3}}},
+	{Council: council.Message{Answer: &weights.Answer{From: "g2", To: "g1", ToIncarnation: 7, Heartbeat: 9, Seq: 3, Part: 2, Table: weights.Version{Term: 5, Seq: 6}, Index: 1, Parts: 4, Entries: []byte("factors")}}},
+	{Council: council.Message{Answer: &weights.Answer{From: "g2", To: "g1", ToIncarnation: 7, Heartbeat: 9, Seq: 3, Part: -1, Index: -1, Parts: 1}}},
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -69,7 +69,7 @@
 		"a part over all":      func(w *body) { w.Demand = quota.Whole + 1 },
 		"no kind":              func(w *body) { w.Kind = 0 },
 		"an unknown kind":      func(w *body) { w.Kind = 100 },
-		"a part of no report":  func(w *body) { w.Part = weights.MaxParts + 1 },
+		"a part of no report":  func(w *body) { w.Part = weights.MaxReportParts + 1 },
 		"a part of no table":   func(w *body) { w.Index = -1 },
 		"a time under 0":       func(w *body) { w.For = -1 },
 		"a time over a minute": func(w *body) { w.For = time.Minute + 1 },
--- a/internal/fleet/quota/bench_test.go
+++ b/internal/fleet/quota/bench_test.go
@@ -12,10 +12,10 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			set := Settings{Lease: 2 * time.Second, Period: 200 * time.Millisecond, Drift: 0.01}
 			var plan []Gateway
-			var holders []*Holder
+			var holders []*Participant
 			for i := range n {
 				plan = append(plan, Gateway{Name: fmt.Sprintf("g%03d", i), Partner: fmt.Sprint(i % 5), Part: Whole / Part(n)})
-				holders = append(holders, NewHolder(0, set, plan[i].Name, 1, plan[i].Part))
+				holders = append(holders, NewParticipant(0, set, plan[i].Name, 1, plan[i].Part))
 			}
 			s := NewSteward(0, set, "g000", 1, plan)
 			now, step := time.Duration(0), set.Period/time.Duration(n)
@@ -23,12 +23,12 @@
 			for i := range b.N {
 				now += step
 				h := holders[i%n]
-				demand := Of([]float64{2, 0.2, 0.5, 0, 1.5}[i%5] * (1 + 0.2*float64(i/n%3)) / float64(n))
+				demand := PartOf([]float64{2, 0.2, 0.5, 0, 1.5}[i%5] * (1 + 0.2*float64(i/n%3)) / float64(n))
 				r, _ := h.Tick(now, demand, []string{"g000"})
-				for _, reply := range s.Hear(now, r) {
+				for _, reply := range s.HandleReport(now, r) {
 					for j := range plan {
 						if plan[j].Name == reply.To {
-							holders[j].Take(now, reply)
+							holders[j].HandleReply(now, reply)
 							break
 						}
 					}
--- a/internal/fleet/quota/explore_test.go
+++ b/internal/fleet/quota/explore_test.go
@@ -22,7 +22,7 @@
 // way. Two of them lend to the third when it begins.
 type small struct {
 	now      time.Duration
-	holders  [3]*Holder
+	holders  [3]*Participant
 	steward  *Steward
 	limits   [3]Limit
 	demands  [3]Part
@@ -121,7 +121,7 @@
 		s.flight = append(s.flight, s.flight[m.n])
 	case "restart":
 		s.restarts--
-		s.holders[m.n] = NewHolder(s.now, smallSet, smallPlan[m.n].Name, s.holders[m.n].incarnation+100, smallPlan[m.n].Part)
+		s.holders[m.n] = NewParticipant(s.now, smallSet, smallPlan[m.n].Name, s.holders[m.n].incarnation+100, smallPlan[m.n].Part)
 		s.limits[m.n] = s.holders[m.n].Limit(s.now)
 	case "restart the steward":
 		s.restarts--
@@ -160,7 +160,7 @@
 func (s *small) take(m any) {
 	switch m := m.(type) {
 	case Report:
-		for _, r := range s.steward.Hear(s.now, m) {
+		for _, r := range s.steward.HandleReport(s.now, m) {
 			s.send(r)
 		}
 	case Reply:
@@ -168,7 +168,7 @@
 			if h.name != m.To {
 				continue
 			}
-			hurry := h.Take(s.now, m)
+			hurry := h.HandleReply(s.now, m)
 			if s.limits[i] = h.Limit(s.now); hurry {
 				s.tick(i)
 			}
@@ -180,7 +180,7 @@
 func lent() small {
 	s := small{steward: NewSteward(0, smallSet, "a", 1, smallPlan), demands: [3]Part{0, 0, Whole}, restarts: 1, turns: 1}
 	for i, g := range smallPlan {
-		s.holders[i] = NewHolder(0, smallSet, g.Name, 1, g.Part)
+		s.holders[i] = NewParticipant(0, smallSet, g.Name, 1, g.Part)
 	}
 	for range 12 {
 		s.now += smallSet.Period
--- a/internal/fleet/quota/late_test.go
+++ b/internal/fleet/quota/late_test.go
@@ -6,10 +6,10 @@
 )
 
 // tell has a steward and a holder exchange a report and its reply.
-func tell(s *Steward, h *Holder, now time.Duration, demand Part) Reply {
+func tell(s *Steward, h *Participant, now time.Duration, demand Part) Reply {
 	r, _ := h.Tick(now, demand, []string{s.name})
-	reply := s.Hear(now, r)[0]
-	h.Take(now, reply)
+	reply := s.HandleReport(now, r)[0]
+	h.HandleReply(now, reply)
 	return reply
 }
 
@@ -22,7 +22,7 @@
 
 	t.Run("of a steward that was left and come back to", func(t *testing.T) {
 		s := NewSteward(0, set, "a", 1, plan)
-		h, owner := NewHolder(0, set, "c", 1, Whole/4), NewHolder(0, set, "a", 1, Whole/2)
+		h, owner := NewParticipant(0, set, "c", 1, Whole/4), NewParticipant(0, set, "a", 1, Whole/2)
 		var large Reply
 		now := 1500 * ms // nothing is fresh any more
 		for range 4 {
@@ -38,14 +38,14 @@
 		}
 		h.Tick(now+2*ms, 0, []string{"b"})
 		h.Tick(now+3*ms, 0, []string{"a"})
-		h.Take(now+4*ms, large)
+		h.HandleReply(now+4*ms, large)
 		if l := h.Limit(now + 4*ms); l.Grant > 0 {
 			t.Errorf("  1. the steward is left and come back to, and then:\nthen: all together may admit more than the quota\nit holds %v again", l)
 		}
 	})
 	t.Run("to a steward that has started anew", func(t *testing.T) {
 		s := NewSteward(0, set, "a", 1, plan)
-		h, other := NewHolder(0, set, "b", 1, Whole/4), NewHolder(0, set, "c", 1, Whole/4)
+		h, other := NewParticipant(0, set, "b", 1, Whole/4), NewParticipant(0, set, "c", 1, Whole/4)
 		now := 1500 * ms
 		for range 3 {
 			now += 60 * ms
@@ -55,16 +55,16 @@
 		early, _ := h.Tick(now, 0, []string{"a"})
 		late, _ := h.Tick(now, 0, []string{"a"})
 		sent := now
-		if late.Cede == 0 {
+		if late.Lend == 0 {
 			t.Fatal("nothing is ceded")
 		}
 		now += 900 * ms
 		s = NewSteward(now, set, "a", 2, plan)
-		s.Hear(now, early)
-		for range late.Heard {
+		s.HandleReport(now, early)
+		for range late.Ack {
 			s.reply(now, s.account("b")) // as it does when others wait
 		}
-		s.Hear(now, late)
+		s.HandleReport(now, late)
 		if after := int64((sent + set.surely(set.Lease)) / s.slot); s.account("b").cessions.most(after) > 0 {
 			t.Errorf("  1. a report comes late, to a steward that has started anew:\nthen: all together may admit more than the quota\nit relies on %v in slot %d, when the owner has it back", s.account("b").cessions, after)
 		}
@@ -72,13 +72,13 @@
 	t.Run("of a gateway that has just started", func(t *testing.T) {
 		s := NewSteward(0, set, "a", 1, plan)
 		now := 1500 * ms
-		h, other := NewHolder(now, set, "b", 1, Whole/4), NewHolder(0, set, "c", 1, Whole/4)
+		h, other := NewParticipant(now, set, "b", 1, Whole/4), NewParticipant(0, set, "c", 1, Whole/4)
 		ceded := Part(0)
 		for ; now < 2500*ms; now += 100 * ms { // what its former self ceded may be in use, through another steward
 			tell(s, other, now, Whole)
 			tell(s, h, now, 0)
-			r, _ := h.Again(now)
-			ceded = max(ceded, r.Cede)
+			r, _ := h.NextReport(now)
+			ceded = max(ceded, r.Lend)
 		}
 		if ceded > 0 {
 			t.Errorf("  1. a gateway that may have ceded its part starts, and cedes it again:\nthen: all together may admit more than the quota\nit cedes %v", ceded)
@@ -86,8 +86,8 @@
 		for ; now < 4*time.Second && ceded == 0; now += 100 * ms {
 			tell(s, other, now, Whole)
 			tell(s, h, now, 0)
-			r, _ := h.Again(now)
-			ceded = r.Cede
+			r, _ := h.NextReport(now)
+			ceded = r.Lend
 		}
 		if ceded == 0 {
 			t.Error("nor does it cede anything later")
--- a/internal/fleet/quota/meter.go
+++ b/internal/fleet/quota/meter.go
@@ -9,9 +9,9 @@
 	slowMean = 2 * time.Second
 )
 
-// Meter tells a demand from what was asked for, admitted or not: of requests and of work,
+// DemandMeter tells a demand from what was asked for, admitted or not: of requests and of work,
 // of which a quota may limit either.
-type Meter struct {
+type DemandMeter struct {
 	begun bool
 	at    time.Duration
 	means [2]means
@@ -21,7 +21,7 @@
 
 // Add takes what was asked for since the beginning, in quotas times seconds, and returns
 // the demand. What goes backwards begins anew.
-func (m *Meter) Add(now time.Duration, requests, work float64) Part {
+func (m *DemandMeter) Add(now time.Duration, requests, work float64) Part {
 	passed := now - m.at
 	if !m.begun || passed <= 0 {
 		m.means[0].asked, m.means[1].asked = requests, work
@@ -34,8 +34,8 @@
 	return m.demand()
 }
 
-func (m *Meter) demand() Part {
-	return Of(max(m.means[0].fast, m.means[0].slow, m.means[1].fast, m.means[1].slow))
+func (m *DemandMeter) demand() Part {
+	return PartOf(max(m.means[0].fast, m.means[0].slow, m.means[1].fast, m.means[1].slow))
 }
 
 func (m *means) add(passed time.Duration, asked float64) {
--- a/internal/fleet/quota/node.go
+++ b/internal/fleet/quota/node.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Out is a message that a gateway has to send. One of Report and Reply is told.
-type Out struct {
+// Outgoing is a message that a gateway has to send. One of Report and Reply is told.
+type Outgoing struct {
 	To     string
 	Report *Report
 	Reply  *Reply
@@ -12,7 +12,7 @@
 // Node is both sides of a gateway on one quota: what it holds, and what it is steward of
 // while others report to it.
 type Node struct {
-	*Holder
+	*Participant
 	set         Settings
 	steward     *Steward // nil: nobody reports here
 	incarnation uint64   // of the next steward
@@ -23,7 +23,7 @@
 // drawn at random, and below 2^32.
 func NewNode(now time.Duration, set Settings, name string, incarnation uint64, plan []Gateway) *Node {
 	n := &Node{set: set, incarnation: incarnation, plan: plan}
-	n.Holder = NewHolder(now, set, name, incarnation, n.part(name))
+	n.Participant = NewParticipant(now, set, name, incarnation, n.part(name))
 	return n
 }
 
@@ -37,50 +37,50 @@
 	return 0
 }
 
-// SetPlan takes other gateways or parts, its own among them.
-func (n *Node) SetPlan(now time.Duration, plan []Gateway) {
+// SetGateways takes other gateways or parts, its own among them.
+func (n *Node) SetGateways(now time.Duration, plan []Gateway) {
 	n.plan = plan
 	n.SetPart(n.part(n.name))
 	if n.steward != nil {
-		n.steward.SetPlan(now, plan)
+		n.steward.SetGateways(now, plan)
 	}
 }
 
 // Tick is to be called each period: it takes the demand, and those that may be steward,
 // the best first. The limit is to be put in force before what it returns is sent.
-func (n *Node) Tick(now time.Duration, demand Part, candidates []string) []Out {
-	if n.steward != nil && n.steward.Over(now) {
+func (n *Node) Tick(now time.Duration, demand Part, candidates []string) []Outgoing {
+	if n.steward != nil && n.steward.Expired(now) {
 		n.steward = nil
 	}
-	r, ok := n.Holder.Tick(now, demand, candidates)
+	r, ok := n.Participant.Tick(now, demand, candidates)
 	return report(r, ok)
 }
 
-// TakeReport takes a report as steward.
-func (n *Node) TakeReport(now time.Duration, r Report) (out []Out) {
+// HandleReport takes a report as steward.
+func (n *Node) HandleReport(now time.Duration, r Report) (out []Outgoing) {
 	if n.steward == nil { // an incarnation of its own: what another one said counts for nothing
 		n.steward = NewSteward(now, n.set, n.name, n.incarnation, n.plan)
 		n.incarnation += 1 << 32
 	}
-	for _, reply := range n.steward.Hear(now, r) {
-		out = append(out, Out{To: reply.To, Reply: &reply})
+	for _, reply := range n.steward.HandleReport(now, r) {
+		out = append(out, Outgoing{To: reply.To, Reply: &reply})
 	}
 	return out
 }
 
-// TakeReply takes a steward's reply. The limit is to be put in force before what it returns
+// HandleReply takes a steward's reply. The limit is to be put in force before what it returns
 // is sent.
-func (n *Node) TakeReply(now time.Duration, r Reply) []Out {
-	if !n.Holder.Take(now, r) {
+func (n *Node) HandleReply(now time.Duration, r Reply) []Outgoing {
+	if !n.Participant.HandleReply(now, r) {
 		return nil
 	}
-	again, ok := n.Holder.Again(now)
+	again, ok := n.Participant.NextReport(now)
 	return report(again, ok)
 }
 
-func report(r Report, ok bool) []Out {
+func report(r Report, ok bool) []Outgoing {
 	if !ok {
 		return nil
 	}
-	return []Out{{To: r.To, Report: &r}}
+	return []Outgoing{{To: r.To, Report: &r}}
 }
--- a/internal/fleet/quota/partner_test.go
+++ b/internal/fleet/quota/partner_test.go
@@ -12,7 +12,7 @@
 	t       *testing.T
 	now     time.Duration
 	plan    []Gateway
-	holders []*Holder
+	holders []*Participant
 	steward *Steward
 	demands []Part
 	change  func(i int, r Report) Report // of a gateway that lies; nil: none does
@@ -21,7 +21,7 @@
 func newPool(t *testing.T, plan ...Gateway) *pool {
 	p := &pool{t: t, plan: plan, steward: NewSteward(0, smallSet, plan[0].Name, 1, plan), demands: make([]Part, len(plan))}
 	for _, g := range plan {
-		p.holders = append(p.holders, NewHolder(0, smallSet, g.Name, 1, g.Part))
+		p.holders = append(p.holders, NewParticipant(0, smallSet, g.Name, 1, g.Part))
 	}
 	return p
 }
@@ -53,10 +53,10 @@
 }
 
 func (p *pool) hear(r Report, depth int) {
-	for _, reply := range p.steward.Hear(p.now, r) {
+	for _, reply := range p.steward.HandleReport(p.now, r) {
 		for i, h := range p.holders {
-			if p.plan[i].Name == reply.To && h.Take(p.now, reply) && depth < 8 {
-				if again, ok := h.Again(p.now); ok {
+			if p.plan[i].Name == reply.To && h.HandleReply(p.now, reply) && depth < 8 {
+				if again, ok := h.NextReport(p.now); ok {
 					p.hear(again, depth+1)
 				}
 			}
@@ -86,7 +86,7 @@
 // A partner that doubles its gateways gains nothing by it, neither in a surge of all nor
 // of what an idle one lends.
 func TestDoubledGateways(t *testing.T) {
-	parts := map[string]Part{"a": Of(0.3), "b": Of(0.3), "c": Of(0.4)}
+	parts := map[string]Part{"a": PartOf(0.3), "b": PartOf(0.3), "c": PartOf(0.4)}
 	for name, idle := range map[string]bool{"all want all": false, "one lends": true} {
 		var got []float64
 		for _, n := range []int{2, 4, 8} {
@@ -111,9 +111,9 @@
 
 // One gateway of a partner has nine tenths of its demand: it has what the partner owns.
 func TestUnevenWithinPartner(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": Of(0.5), "b": Of(0.5)}, map[string]int{"a": 3, "b": 2}, "a", "b")
+	plan := partnersOf(map[string]Part{"a": PartOf(0.5), "b": PartOf(0.5)}, map[string]int{"a": 3, "b": 2}, "a", "b")
 	p := newPool(t, plan...)
-	p.demands = []Part{Of(0.02), Of(0.45), Of(0.02), Whole, Whole}
+	p.demands = []Part{PartOf(0.02), PartOf(0.45), PartOf(0.02), Whole, Whole}
 	p.run(5 * time.Second)
 	if mean := p.run(10 * time.Second); mean[1] < 0.43 {
 		t.Errorf("it has %.3f", mean[1])
@@ -123,7 +123,7 @@
 // Who has lived on another's part comes after those who lent, where there is something
 // left that both want; over a minute it evens out.
 func TestDebtors(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": Of(0.25), "b": Of(0.25), "c": Of(0.5)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
+	plan := partnersOf(map[string]Part{"a": PartOf(0.25), "b": PartOf(0.25), "c": PartOf(0.5)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
 	p := newPool(t, plan...)
 	p.demands = []Part{0, Whole, 0} // b lives on a and c
 	p.run(60 * time.Second)
@@ -142,18 +142,18 @@
 // A gateway that lies gets at most what the others do not use: all that it can say of its
 // demand takes nothing from an owner that wants its part.
 func TestLiar(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": Of(0.4), "b": Of(0.3), "c": Of(0.3)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
+	plan := partnersOf(map[string]Part{"a": PartOf(0.4), "b": PartOf(0.3), "c": PartOf(0.3)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
 	lies := map[string]func(Report) Report{
 		"wants all":           func(r Report) Report { r.Demand = Whole; return r },
-		"wants the same late": func(r Report) Report { r.Demand, r.Heard = Whole, r.Heard/2; return r },
-		"impossible":          func(r Report) Report { r.Demand, r.Cede, r.Heard = 1<<62, 1<<62, 1<<62; return r },
-		"under 0":             func(r Report) Report { r.Demand, r.Cede = -1<<62, -1<<62; return r },
+		"wants the same late": func(r Report) Report { r.Demand, r.Ack = Whole, r.Ack/2; return r },
+		"impossible":          func(r Report) Report { r.Demand, r.Lend, r.Ack = 1<<62, 1<<62, 1<<62; return r },
+		"under 0":             func(r Report) Report { r.Demand, r.Lend = -1<<62, -1<<62; return r },
 		"a later life":        func(r Report) Report { r.Incarnation = 1 << 62; return r },
 	}
 	for name, lie := range lies {
 		t.Run(name, func(t *testing.T) {
 			p := newPool(t, plan...)
-			p.demands = []Part{Of(0.35), Of(0.25), 0}
+			p.demands = []Part{PartOf(0.35), PartOf(0.25), 0}
 			p.change = func(i int, r Report) Report {
 				if i == 2 {
 					return lie(r)
@@ -165,7 +165,7 @@
 			if mean[0] < 0.35 || mean[1] < 0.25 {
 				t.Errorf("the others have %.3f and %.3f", mean[0], mean[1])
 			}
-			if used := p.holders[2].Limit(p.now).At(p.now); used > Of(0.42) {
+			if used := p.holders[2].Limit(p.now).At(p.now); used > PartOf(0.42) {
 				t.Errorf("it has %.3f", used.Fraction())
 			}
 		})
@@ -175,17 +175,17 @@
 // A flood of reports of one gateway, and of strangers, takes up no room and nothing from
 // the others.
 func TestFlood(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": Of(0.5), "b": Of(0.5)}, map[string]int{"a": 1, "b": 1}, "a", "b")
+	plan := partnersOf(map[string]Part{"a": PartOf(0.5), "b": PartOf(0.5)}, map[string]int{"a": 1, "b": 1}, "a", "b")
 	p := newPool(t, plan...)
-	p.demands = []Part{Of(0.1), Whole}
+	p.demands = []Part{PartOf(0.1), Whole}
 	flood := Report{From: "b0", Incarnation: 5, To: "a0", ToIncarnation: 1, Demand: Whole}
 	p.change = func(i int, r Report) Report {
 		for range 1000 {
 			flood.Seq++
-			flood.Heard = flood.Seq % 40
-			flood.Cede = Part(flood.Seq % 7 * 1e8)
-			p.steward.Hear(p.now, flood)
-			p.steward.Hear(p.now, Report{From: fmt.Sprint("x", flood.Seq), Incarnation: 1, Seq: 1, To: "a0"})
+			flood.Ack = flood.Seq % 40
+			flood.Lend = Part(flood.Seq % 7 * 1e8)
+			p.steward.HandleReport(p.now, flood)
+			p.steward.HandleReport(p.now, Report{From: fmt.Sprint("x", flood.Seq), Incarnation: 1, Seq: 1, To: "a0"})
 		}
 		return r
 	}
@@ -206,38 +206,38 @@
 
 // Two processes of one name find out, and each of the others keeps its part.
 func TestNameTwice(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": Of(0.5), "b": Of(0.5)}, map[string]int{"a": 1, "b": 1}, "a", "b")
+	plan := partnersOf(map[string]Part{"a": PartOf(0.5), "b": PartOf(0.5)}, map[string]int{"a": 1, "b": 1}, "a", "b")
 	s := NewSteward(0, smallSet, "a0", 1, plan)
-	one, two, other := NewHolder(0, smallSet, "b0", 10, Of(0.5)), NewHolder(0, smallSet, "b0", 20, Of(0.5)), NewHolder(0, smallSet, "a0", 1, Of(0.5))
+	one, two, other := NewParticipant(0, smallSet, "b0", 10, PartOf(0.5)), NewParticipant(0, smallSet, "b0", 20, PartOf(0.5)), NewParticipant(0, smallSet, "a0", 1, PartOf(0.5))
 	for now := time.Duration(0); now < 20*time.Second; now += smallSet.Period {
-		for _, h := range []*Holder{one, two, other} {
+		for _, h := range []*Participant{one, two, other} {
 			r, _ := h.Tick(now, Whole, []string{"a0"})
-			for _, reply := range s.Hear(now, r) {
-				h.Take(now, reply)
+			for _, reply := range s.HandleReport(now, r) {
+				h.HandleReply(now, reply)
 			}
 		}
-		if now > 2*time.Second && other.Limit(now).At(now) < Of(0.5) {
+		if now > 2*time.Second && other.Limit(now).At(now) < PartOf(0.5) {
 			t.Fatalf("at %v another has %.3f of its 0.5", now, other.Limit(now).At(now).Fraction())
 		}
 	}
-	if one.Bumped() < 2 || two.Bumped() < 2 {
-		t.Errorf("they found out %d and %d times", one.Bumped(), two.Bumped())
+	if one.IncarnationBumps() < 2 || two.IncarnationBumps() < 2 {
+		t.Errorf("they found out %d and %d times", one.IncarnationBumps(), two.IncarnationBumps())
 	}
 }
 
 // An owner that comes back is told that what it ceded is not used any more, and has its
 // part by itself, well before the lease has ended.
 func TestGivenBack(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": Of(0.5), "b": Of(0.25), "c": Of(0.25)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
+	plan := partnersOf(map[string]Part{"a": PartOf(0.5), "b": PartOf(0.25), "c": PartOf(0.25)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
 	p := newPool(t, plan...)
 	p.demands = []Part{0, 0, Whole}
 	p.run(5 * time.Second)
-	if l := p.holders[1].Limit(p.now); l.Own > Of(0.01) {
+	if l := p.holders[1].Limit(p.now); l.Own > PartOf(0.01) {
 		t.Fatalf("it has not lent its part: %v", l)
 	}
-	p.demands[1] = Of(0.24)
+	p.demands[1] = PartOf(0.24)
 	p.run(3 * smallSet.Period)
-	if l := p.holders[1].Limit(p.now); l.Own < Of(0.24) {
+	if l := p.holders[1].Limit(p.now); l.Own < PartOf(0.24) {
 		t.Errorf("0.6 s after it has come back, of a lease of 1 s, it has %.3f by itself and %.3f granted", l.Own.Fraction(), l.Grant.Fraction())
 	}
 }
@@ -245,13 +245,13 @@
 // A plan that changes keeps what is known of those that stay, in whatever order it names
 // them, and counts what those that left were granted to its end.
 func TestPlanChanges(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": Of(0.4), "b": Of(0.3), "c": Of(0.3)}, map[string]int{"a": 2, "b": 1, "c": 1}, "a", "b", "c")
+	plan := partnersOf(map[string]Part{"a": PartOf(0.4), "b": PartOf(0.3), "c": PartOf(0.3)}, map[string]int{"a": 2, "b": 1, "c": 1}, "a", "b", "c")
 	p := newPool(t, plan...)
-	p.demands = []Part{0, Whole, Of(0.1), 0}
+	p.demands = []Part{0, Whole, PartOf(0.1), 0}
 	p.run(5 * time.Second)
 	granted := p.steward.granted
-	next := []Gateway{{"d0", "d", Of(0.1)}, {"c0", "c", Of(0.3)}, {"a0", "a", Of(0.2)}, {"0", "e", 0}, {"b0", "b", Of(0.3)}}
-	p.steward.SetPlan(p.now, next) // the one that holds the grant has left
+	next := []Gateway{{"d0", "d", PartOf(0.1)}, {"c0", "c", PartOf(0.3)}, {"a0", "a", PartOf(0.2)}, {"0", "e", 0}, {"b0", "b", PartOf(0.3)}}
+	p.steward.SetGateways(p.now, next) // the one that holds the grant has left
 	if p.steward.granted != granted {
 		t.Errorf("granted %v, before %v", p.steward.granted, granted)
 	}
@@ -267,7 +267,7 @@
 			t.Errorf("%s stands there %d times", g.Name, names[g.Name])
 		}
 	}
-	p.steward.SetPlan(p.now+2*smallSet.Lease, next)
+	p.steward.SetGateways(p.now+2*smallSet.Lease, next)
 	if len(p.steward.accounts) != len(next) {
 		t.Errorf("%d accounts, %d gateways", len(p.steward.accounts), len(next))
 	}
@@ -275,7 +275,7 @@
 
 // Hours of use leave nothing behind.
 func TestSoakOfLeases(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": Of(0.4), "b": Of(0.3), "c": Of(0.3)}, map[string]int{"a": 2, "b": 2, "c": 2}, "a", "b", "c")
+	plan := partnersOf(map[string]Part{"a": PartOf(0.4), "b": PartOf(0.3), "c": PartOf(0.3)}, map[string]int{"a": 2, "b": 2, "c": 2}, "a", "b", "c")
 	p := newPool(t, plan...)
 	for i := range 3 * 60 {
 		for j := range p.demands {
@@ -288,8 +288,8 @@
 		for _, c := range h.ceded {
 			n += len(c.entries)
 		}
-		if len(h.ceded) > 1 || n > mostEntries || h.steward.Shunned() > 0 {
-			t.Errorf("%s: %d stewards, %d entries, %d shunned", h.name, len(h.ceded), n, h.steward.Shunned())
+		if len(h.ceded) > 1 || n > mostEntries || h.steward.NumSilent() > 0 {
+			t.Errorf("%s: %d stewards, %d entries, %d shunned", h.name, len(h.ceded), n, h.steward.NumSilent())
 		}
 	}
 	p.demands = make([]Part, len(plan))
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -8,7 +8,7 @@
 // more. The argument for the sum is local, and needs no agreement on who is steward:
 //
 //   - An owner uses its part less all that it has ceded and that has not surely ended or
-//     been given back (Holder).
+//     been given back (Participant).
 //   - A steward grants no more than was ceded to it, and for no longer (Steward). Two
 //     stewards at once have each been ceded something else.
 //   - A holder of a grant uses it to its end and no longer.
@@ -43,8 +43,8 @@
 // Whole is all of the quota.
 const Whole Part = 1e9
 
-// Of turns a fraction into a part; what is none is the nearest.
-func Of(fraction float64) Part {
+// PartOf turns a fraction into a part; what is none is the nearest.
+func PartOf(fraction float64) Part {
 	if !(fraction > 0) {
 		return 0
 	}
@@ -88,7 +88,7 @@
 }
 
 // surely is how long a giver waits until a time has passed on another's clock.
-func (s Settings) surely(d time.Duration) time.Duration { return lease.Surely(d, s.Drift) }
+func (s Settings) surely(d time.Duration) time.Duration { return lease.SafeWait(d, s.Drift) }
 
 // times is so many times a duration.
 func times(d time.Duration, n float64) time.Duration { return time.Duration(float64(d) * n) }
@@ -100,24 +100,24 @@
 	Seq           uint64 // of this incarnation's reports, from 1
 	To            string
 	ToIncarnation uint64 // 0: not known yet
-	Heard         uint64 // the latest Reply taken from that incarnation; 0: none
+	Ack           uint64 // the latest Reply taken from that incarnation; 0: none
 	Demand        Part   // what the gateway could use
-	Cede          Part   // until a lease after Heard was sent
+	Lend          Part   // until a lease after Ack was sent
 }
 
 // Reply is what a steward tells a gateway.
 type Reply struct {
-	From          string
-	Incarnation   uint64
-	Seq           uint64 // of the replies to this gateway, from 1
-	To            string
-	ToIncarnation uint64
-	Heard         uint64        // the latest Report taken
-	Grant         Part          // for
-	For           time.Duration // after Heard was sent
-	Ask           Part          // what the steward would have ceded
-	Relied        Part          // of the cessions up to Heard no more is used any more
-	Known         uint64        // over 0: so late an incarnation of To is known, and nothing else is told
+	From             string
+	Incarnation      uint64
+	Seq              uint64 // of the replies to this gateway, from 1
+	To               string
+	ToIncarnation    uint64
+	Ack              uint64        // the latest Report taken
+	Grant            Part          // for
+	GrantTTL         time.Duration // after Ack was sent
+	LendTarget       Part          // what the steward would have ceded
+	LoanInUse        Part          // of the cessions up to Ack no more is used any more
+	KnownIncarnation uint64        // over 0: so late an incarnation of To is known, and nothing else is told
 }
 
 // Limit is what a gateway may admit: Own, and until a time Grant beside it. It may only
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -13,7 +13,7 @@
 // demands sets what gateways want, by number, as fractions; the last is of all others.
 func demands(w *gateways.World, of ...float64) {
 	for i, n := range w.Nodes {
-		n.Demand = quota.Of(of[min(i, len(of)-1)])
+		n.Demand = quota.PartOf(of[min(i, len(of)-1)])
 	}
 }
 
--- a/internal/fleet/quota/schedule_test.go
+++ b/internal/fleet/quota/schedule_test.go
@@ -28,7 +28,7 @@
 	}
 	w := gateways.New(seed, set, partners, each, gateways.Leases)
 	for _, n := range w.Nodes {
-		n.Demand = quota.Of(w.Rand.Float64())
+		n.Demand = quota.PartOf(w.Rand.Float64())
 	}
 	return w, gateways.Draw(w, lasts)
 }
--- a/internal/fleet/quota/steward.go
+++ b/internal/fleet/quota/steward.go
@@ -40,7 +40,7 @@
 	offered     Part // by the latest report
 	asked       Part // by the latest reply
 	target      Part
-	sent        lease.Sent
+	sent        lease.SendTimes
 	cessions    entries // ends in slots, rounded down
 	grants      entries // ends in slots, rounded up
 	owed        bool    // it has been told of more than it offers now
@@ -76,18 +76,18 @@
 func NewSteward(now time.Duration, set Settings, name string, incarnation uint64, plan []Gateway) *Steward {
 	s := &Steward{set: set, name: name, incarnation: max(incarnation, 1), slot: set.Lease / slotsOfLease, divided: now, heardAt: now}
 	s.now = int64(now / s.slot)
-	s.SetPlan(now, plan)
+	s.SetGateways(now, plan)
 	return s
 }
 
-// Over reports whether nobody has told the steward anything for so long that all that it
+// Expired reports whether nobody has told the steward anything for so long that all that it
 // was ceded and has granted has ended: it may be forgotten, and made anew under another
 // incarnation.
-func (s *Steward) Over(now time.Duration) bool { return now-s.heardAt > 3*s.set.surely(s.set.Lease) }
+func (s *Steward) Expired(now time.Duration) bool { return now-s.heardAt > 3*s.set.surely(s.set.Lease) }
 
-// SetPlan takes other gateways or parts. What was granted to those that have left is
+// SetGateways takes other gateways or parts. What was granted to those that have left is
 // counted to its end.
-func (s *Steward) SetPlan(now time.Duration, plan []Gateway) {
+func (s *Steward) SetGateways(now time.Duration, plan []Gateway) {
 	s.advance(now)
 	named := make(map[string]*account, len(s.accounts))
 	for _, a := range s.accounts {
@@ -140,20 +140,20 @@
 	s.now = to
 }
 
-// Hear takes a report. It returns the replies that are to be sent at once, the first
+// HandleReport takes a report. It returns the replies that are to be sent at once, the first
 // to whom it came from.
-func (s *Steward) Hear(now time.Duration, r Report) (replies []Reply) {
+func (s *Steward) HandleReport(now time.Duration, r Report) (replies []Reply) {
 	s.advance(now)
 	a := s.account(r.From)
 	if a == nil || r.To != s.name || r.Seq == 0 {
 		return nil
 	}
 	if r.Incarnation < a.incarnation {
-		return []Reply{{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, Known: a.incarnation}}
+		return []Reply{{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, KnownIncarnation: a.incarnation}}
 	}
 	if r.Incarnation > a.incarnation { // what its former self has is counted to its end
 		a.incarnation, a.heard = r.Incarnation, 0
-		a.sent.Forget() // and what was told that one counts for nothing
+		a.sent.Reset() // and what was told that one counts for nothing
 	}
 	if r.Seq <= a.heard {
 		return nil
@@ -169,17 +169,17 @@
 
 // ack takes what a report says of the replies before it, and what it cedes.
 func (s *Steward) ack(a *account, r Report) {
-	at, known := a.sent.When(r.Heard)
+	at, known := a.sent.At(r.Ack)
 	if !known || r.ToIncarnation != s.incarnation {
 		a.offered = 0
 		return
 	}
 	most := a.grants.most(s.now)
 	s.change(a, func() { // it holds that reply's grant, and none before
-		a.grants = a.grants.drop(func(e entry) bool { return e.incarnation == r.Incarnation && e.seq < r.Heard })
+		a.grants = a.grants.drop(func(e entry) bool { return e.incarnation == r.Incarnation && e.seq < r.Ack })
 	})
 	s.freed = s.freed || a.grants.most(s.now) < most
-	a.offered = min(clamp(r.Cede), a.Part)
+	a.offered = min(clamp(r.Lend), a.Part)
 	if a.offered > 0 && len(a.cessions) < mostEntries {
 		s.change(a, func() {
 			a.cessions = a.cessions.add(entry{r.Incarnation, r.Seq, a.offered, int64((at + s.set.Lease) / s.slot)})
@@ -216,13 +216,13 @@
 func (s *Steward) reply(now time.Duration, a *account) Reply {
 	s.giveBack(a)
 	r := Reply{
-		From: s.name, Incarnation: s.incarnation, To: a.Name, ToIncarnation: a.incarnation, Heard: a.heard,
-		Ask: s.asks(a), Relied: a.cessions.most(s.now),
+		From: s.name, Incarnation: s.incarnation, To: a.Name, ToIncarnation: a.incarnation, Ack: a.heard,
+		LendTarget: s.asks(a), LoanInUse: a.cessions.most(s.now),
 	}
-	a.owed, a.asked = r.Relied > a.offered, r.Ask
-	r.Seq = a.sent.Next(now)
-	if want := a.target - (a.Part - r.Relied); want > 0 && !a.left {
-		r.Grant, r.For = s.grant(a, want, r.Seq)
+	a.owed, a.asked = r.LoanInUse > a.offered, r.LendTarget
+	r.Seq = a.sent.Record(now)
+	if want := a.target - (a.Part - r.LoanInUse); want > 0 && !a.left {
+		r.Grant, r.GrantTTL = s.grant(a, want, r.Seq)
 	}
 	return r
 }
--- a/internal/fleet/rank/rank.go
+++ b/internal/fleet/rank/rank.go
@@ -1,5 +1,5 @@
 // Package rank has locks that know their place in the one order in which they may be
-// taken. A test that sets Check finds a wrong order the first time that it is gone, not
+// taken. A test that sets EnableChecks finds a wrong order the first time that it is gone, not
 // when two goroutines meet in it.
 package rank
 
@@ -26,9 +26,9 @@
 	held  = map[int64][]*Mutex{} // by goroutine, of those that hold one
 )
 
-// Check has orders checked from now on, for tests: a wrong one panics. No lock may be held
+// EnableChecks has orders checked from now on, for tests: a wrong one panics. No lock may be held
 // meanwhile.
-func Check() { check.Store(true) }
+func EnableChecks() { check.Store(true) }
 
 // Lock takes the lock.
 func (m *Mutex) Lock() {
--- a/internal/fleet/rank/rank_test.go
+++ b/internal/fleet/rank/rank_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestOrder(t *testing.T) {
-	Check()
+	EnableChecks()
 	low, high, other := &Mutex{Rank: 1, Name: "low"}, &Mutex{Rank: 2, Name: "high"}, &Mutex{Rank: 2, Name: "other"}
 	takes := func(all ...*Mutex) (wrong bool) {
 		defer func() { wrong = recover() != nil }()
--- a/internal/fleet/sites/door.go
+++ b/internal/fleet/sites/door.go
@@ -22,10 +22,10 @@
 	doorRises = 0.1
 )
 
-// Door is a member's side: what it does about a plan. What gets worse is taken at once, and
+// Enforcer is a member's side: what it does about a plan. What gets worse is taken at once, and
 // what gets better in steps, also where the plan is no longer fresh: a member that is cut off
 // in the midst of a return does not meet the site whole at once.
-type Door struct {
+type Enforcer struct {
 	name    uint64
 	home    uint32
 	members int // of the fleet
@@ -35,28 +35,28 @@
 	looked  map[uint64]bool // endpoints of lost sites that are looked at now
 }
 
-// Listed is an endpoint of the list that takes new requests.
-type Listed struct {
+// Endpoint is an endpoint of the list that takes new requests.
+type Endpoint struct {
 	ID   uint64
 	Site string
 }
 
-// NewDoor makes that of a gateway of a site, one of so many.
-func NewDoor(name, home string, members int) *Door {
-	return &Door{name: uint64(Hash(name)), home: Hash(home), members: members, parts: map[uint32]float64{}}
+// NewEnforcer makes that of a gateway of a site, one of so many.
+func NewEnforcer(name, home string, members int) *Enforcer {
+	return &Enforcer{name: uint64(Hash(name)), home: Hash(home), members: members, parts: map[uint32]float64{}}
 }
 
 // SetHome takes another site of the gateway's, and how many there are.
-func (d *Door) SetHome(home string, members int) { d.home, d.members = Hash(home), members }
+func (d *Enforcer) SetHome(home string, members int) { d.home, d.members = Hash(home), members }
 
-// Step takes the plan in force, the zero one: there is none that is fresh, and the endpoints
+// Apply takes the plan in force, the zero one: there is none that is fresh, and the endpoints
 // that there are.
-func (d *Door) Step(now time.Duration, p Plan, listed []Listed) {
+func (d *Enforcer) Apply(now time.Duration, p Plan, listed []Endpoint) {
 	rise := doorRises * max(0, min((now-d.stepped).Seconds(), 4))
 	d.stepped, d.plan = now, p
 	to := map[uint32]float64{}
 	for _, s := range p.Sites {
-		if to[s.Site] = s.Part; s.Site == d.home { // it is here, and meets itself
+		if to[s.Site] = s.Fraction; s.Site == d.home { // it is here, and meets itself
 			to[s.Site] = 1
 		}
 	}
@@ -83,7 +83,7 @@
 // turns, at other endpoints each time and at one at least. Gateways begin at turns of their
 // own, drawn by their names; but none can be without a look for longer than lookCycle, so a
 // site of few endpoints that comes back is seen, in a small fleet too.
-func (d *Door) look(listed []Listed) {
+func (d *Enforcer) look(listed []Endpoint) {
 	d.looked = map[uint64]bool{}
 	for site, part := range d.parts {
 		if part >= firstPart {
@@ -117,14 +117,14 @@
 }
 
 // Clone is a copy for readers, which nobody steps.
-func (d *Door) Clone() *Door {
+func (d *Enforcer) Clone() *Enforcer {
 	c := *d
 	c.parts = maps.Clone(d.parts)
 	return &c
 }
 
 // Site is where a site stands by the plan, and which part of it this gateway meets.
-func (d *Door) Site(name string) (State, float64) {
+func (d *Enforcer) Site(name string) (State, float64) {
 	part, hurt := d.parts[Hash(name)]
 	if !hurt {
 		part = 1
@@ -134,16 +134,16 @@
 			return s.State, part
 		}
 	}
-	return Whole, part
+	return Healthy, part
 }
 
-// Hurt reports whether any site is not met whole, or anybody is turned away.
-func (d *Door) Hurt() bool { return len(d.parts)+len(d.plan.Admit) > 0 }
+// Degraded reports whether any site is not met whole, or anybody is turned away.
+func (d *Enforcer) Degraded() bool { return len(d.parts)+len(d.plan.Admit) > 0 }
 
-// Meets reports whether this gateway sends first attempts to an endpoint of a site. Of a site
+// RoutesTo reports whether this gateway sends first attempts to an endpoint of a site. Of a site
 // that returns each gateway meets a part of the endpoints, and each endpoint is met by a part
 // of the gateways: the same of both.
-func (d *Door) Meets(site string, endpoint uint64) bool {
+func (d *Enforcer) RoutesTo(site string, endpoint uint64) bool {
 	part, hurt := d.parts[Hash(site)]
 	if !hurt {
 		return true
@@ -155,7 +155,7 @@
 }
 
 // Factor is by which the weights of a site's endpoints are multiplied.
-func (d *Door) Factor(site string) float64 {
+func (d *Enforcer) Factor(site string) float64 {
 	if len(d.parts) == 0 {
 		return 1
 	}
@@ -169,19 +169,19 @@
 }
 
 // Admits reports whether a request of a group is let in; random is drawn from 0 to 1.
-func (d *Door) Admits(g Group, random float64) bool {
+func (d *Enforcer) Admits(g Group, random float64) bool {
 	for _, a := range d.plan.Admit {
 		if a.Group == g {
-			return random < a.Part
+			return random < a.Fraction
 		}
 	}
 	return true
 }
 
-// After is when a client that is refused may come back: spread over the time in which the
+// RetryAfter is when a client that is refused may come back: spread over the time in which the
 // site may return, so that those that are refused together do not come together.
-func (d *Door) After(random float64) time.Duration {
-	return time.Duration((0.5 + random) * float64(max(d.plan.Return, leastReturn)))
+func (d *Enforcer) RetryAfter(random float64) time.Duration {
+	return time.Duration((0.5 + random) * float64(max(d.plan.RetryAfter, leastReturn)))
 }
 
 // spread spreads numbers over [0, 1).
--- a/internal/fleet/sites/judge_test.go
+++ b/internal/fleet/sites/judge_test.go
@@ -14,7 +14,7 @@
 
 // world is what gateways of some sites see of endpoints of some sites, for tests.
 type world struct {
-	judge     *Judge
+	judge     *Detector
 	now       time.Duration
 	sites     []string
 	gateways  []string // g0 is of the first site, g1 of the second, and so on round
@@ -37,7 +37,7 @@
 		w.gateways = append(w.gateways, fmt.Sprint("g", i))
 		home[w.gateways[i]] = w.sites[i%sites]
 	}
-	w.judge = NewJudge(0, home, nil)
+	w.judge = NewDetector(0, home, nil)
 	return w
 }
 
@@ -53,15 +53,15 @@
 			}
 			for e := range w.endpoints {
 				if w.served(g, s, e) {
-					w.judge.Take(name, site, uint64(s*100+e), float64(w.tries), 0)
+					w.judge.Observe(name, site, uint64(s*100+e), float64(w.tries), 0)
 				} else {
-					w.judge.Take(name, site, uint64(s*100+e), 0, float64(w.tries))
+					w.judge.Observe(name, site, uint64(s*100+e), 0, float64(w.tries))
 				}
 			}
 		}
 	}
 	w.now += time.Second
-	for _, c := range w.judge.Period(w.now, w.ready, nil) {
+	for _, c := range w.judge.Step(w.now, w.ready, nil) {
 		w.told = append(w.told, fmt.Sprintf("%v %s %v", w.now, c.Site, c.To))
 	}
 }
@@ -134,15 +134,15 @@
 						switch {
 						case !c.tries(g, s, e):
 						case c.served(g, s, e):
-							w.judge.Take(gateway, site, uint64(s*100+e), 4, 0)
+							w.judge.Observe(gateway, site, uint64(s*100+e), 4, 0)
 						default:
-							w.judge.Take(gateway, site, uint64(s*100+e), 0, 4)
+							w.judge.Observe(gateway, site, uint64(s*100+e), 0, 4)
 						}
 					}
 				}
 			}
 			w.now += time.Second
-			w.judge.Period(w.now, w.ready, nil)
+			w.judge.Step(w.now, w.ready, nil)
 		}
 		if state := w.judge.State("s1"); state == Lost {
 			t.Errorf("%s: it is %v", name, state)
@@ -165,7 +165,7 @@
 		w := newWorld(3, 9, 6)
 		w.play(5, all, nil)
 		w.play(3, c.served, c.silent)
-		if w.judge.State("s1") != Lost || w.judge.Part("s1") != 0 || w.judge.State("s0") != Whole || w.judge.State("s2") != Whole {
+		if w.judge.State("s1") != Lost || w.judge.Fraction("s1") != 0 || w.judge.State("s0") != Healthy || w.judge.State("s2") != Healthy {
 			t.Errorf("%s: %v", name, w.told)
 		}
 	}
@@ -192,8 +192,8 @@
 		}
 		waits = append(waits, w.now-lost)
 		last = 0
-		for w.judge.State("s1") == Returning && (flap == 7 || w.judge.Part("s1") < 0.5) {
-			part := w.judge.Part("s1")
+		for w.judge.State("s1") == Returning && (flap == 7 || w.judge.Fraction("s1") < 0.5) {
+			part := w.judge.Fraction("s1")
 			if part < last || part > max(1.5*last, last+partStep)+1e-9 {
 				t.Fatalf("the part goes from %.2f to %.2f", last, part)
 			}
@@ -207,7 +207,7 @@
 			}
 		}
 	}
-	if w.judge.State("s1") != Whole || w.judge.Part("s1") != 1 {
+	if w.judge.State("s1") != Healthy || w.judge.Fraction("s1") != 1 {
 		t.Errorf("it is %v in the end", w.judge.State("s1"))
 	}
 	for i := 1; i < len(waits); i++ {
@@ -241,7 +241,7 @@
 	w = newWorld(3, 9, 6)
 	w.play(3, func(_, s, _ int) bool { return s == 0 }, nil)
 	w.play(20, func(_, s, _ int) bool { return s != 2 }, nil)
-	if w.judge.State("s1") != Whole || w.judge.State("s2") != Lost {
+	if w.judge.State("s1") != Healthy || w.judge.State("s2") != Lost {
 		t.Errorf("of two that were lost one answers: %v", w.told)
 	}
 	w = newWorld(3, 9, 6)
@@ -257,9 +257,9 @@
 		w.play(1, all, nil)
 	}
 	w.play(4, all, nil)
-	before := w.judge.Part("s1")
+	before := w.judge.Fraction("s1")
 	w.play(2, func(g, s, e int) bool { return s != 1 || (g+e)%5 > 1 }, nil)
-	if after := w.judge.Part("s1"); after >= before {
+	if after := w.judge.Fraction("s1"); after >= before {
 		t.Errorf("two in five fail, and the part goes from %.2f to %.2f", before, after)
 	}
 }
--- a/internal/fleet/sites/plan.go
+++ b/internal/fleet/sites/plan.go
@@ -10,25 +10,25 @@
 
 // Plan is what all members do about sites. The zero value is none: all sites are whole.
 type Plan struct {
-	Sites []Standing
-	Admit []Admitted // what is not there is let in whole
-	// Return is how long a client that is refused had better stay away.
-	Return time.Duration
+	Sites []SitePlan
+	Admit []Admission // what is not there is let in whole
+	// RetryAfter is how long a client that is refused had better stay away.
+	RetryAfter time.Duration
 }
 
-// Standing is where one site stands.
-type Standing struct {
-	Site  uint32 // by hash
-	State State
-	Part  float64 // of the fleet that meets it
+// SitePlan is where one site stands.
+type SitePlan struct {
+	Site     uint32 // by hash
+	State    State
+	Fraction float64 // of the fleet that meets it
 	// Factor is by which gateways of each site, by hash, weigh the site's endpoints.
 	Factor map[uint32]float64
 }
 
-// Admitted is the part of a group that is let in.
-type Admitted struct {
+// Admission is the part of a group that is let in.
+type Admission struct {
 	Group
-	Part float64
+	Fraction float64
 }
 
 // Site is what a planner is told of one.
@@ -50,7 +50,7 @@
 // Planner makes plans. It is the holder's.
 type Planner struct {
 	set   Settings
-	judge *Judge
+	judge *Detector
 	home  map[string]string
 	far   func(from, to string) float64
 	flow  map[[2]string]float64 // work a second from gateways' sites to endpoints' sites, fading
@@ -69,9 +69,9 @@
 			}
 		}
 	}
-	p := &Planner{set: set, judge: NewJudge(now, home, states), home: home, far: far, flow: map[[2]string]float64{}, asked: map[Group]*Demand{}, admit: map[Group]float64{}}
+	p := &Planner{set: set, judge: NewDetector(now, home, states), home: home, far: far, flow: map[[2]string]float64{}, asked: map[Group]*Demand{}, admit: map[Group]float64{}}
 	for _, a := range before.Admit {
-		p.admit[a.Group] = a.Part
+		p.admit[a.Group] = a.Fraction
 	}
 	return p
 }
@@ -79,10 +79,10 @@
 // SetHome takes other gateways' sites.
 func (p *Planner) SetHome(home map[string]string) { p.home, p.judge.home = home, home }
 
-// Take takes what a gateway saw of an endpoint in a period: attempts served, those with no
+// Observe takes what a gateway saw of an endpoint in a period: attempts served, those with no
 // answer or connection, and the work that was done.
-func (p *Planner) Take(gateway, site string, endpoint uint64, served, missed, work float64) {
-	p.judge.Take(gateway, site, endpoint, served, missed)
+func (p *Planner) Observe(gateway, site string, endpoint uint64, served, missed, work float64) {
+	p.judge.Observe(gateway, site, endpoint, served, missed)
 	from, known := p.home[gateway]
 	at := [2]string{from, site}
 	if _, flows := p.flow[at]; known && (flows || len(p.flow) < MaxSites*MaxSites) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Asked takes what came to some gateway's door of a group, in a period of a second.
-func (p *Planner) Asked(g Group, requests, work, worth float64) {
+// AddDemand takes what came to some gateway's door of a group, in a period of a second.
+func (p *Planner) AddDemand(g Group, requests, work, worth float64) {
 	d := p.asked[g]
 	if d == nil {
 		if len(p.asked) >= MaxGroups {
@@ -101,18 +101,18 @@
 		p.asked[g] = d
 	}
 	d.Worth = (d.Worth*d.Work + worth*work) / math.Max(d.Work+work, 1e-12)
-	d.Mean += requests
+	d.MeanWork += requests
 	d.Work += work
 }
 
-// Period makes the next plan, and tells what changed.
-func (p *Planner) Period(now time.Duration, all []Site) (Plan, []Change) {
+// Next makes the next plan, and tells what changed.
+func (p *Planner) Next(now time.Duration, all []Site) (Plan, []Change) {
 	all = all[:min(len(all), MaxSites)]
 	ready, cold := map[string]int{}, map[string]bool{}
 	for _, s := range all {
 		ready[s.Name], cold[s.Name] = s.Ready, s.Cold
 	}
-	changes := p.judge.Period(now, ready, cold)
+	changes := p.judge.Step(now, ready, cold)
 	plan := p.plan(now, all)
 	for k := range p.flow {
 		if p.flow[k] *= flowKeeps; p.flow[k] < 1e-9 {
@@ -133,10 +133,10 @@
 	rows := p.rows(all)
 	for j, s := range all {
 		state := p.judge.State(s.Name)
-		if state == Whole && !hurt {
+		if state == Healthy && !hurt {
 			continue
 		}
-		standing := Standing{Site: Hash(s.Name), State: state, Part: p.judge.Part(s.Name)}
+		standing := SitePlan{Site: Hash(s.Name), State: state, Fraction: p.judge.Fraction(s.Name)}
 		for i, from := range all {
 			if f := rows[i][j]; hurt && f != 1 {
 				if standing.Factor == nil {
@@ -150,14 +150,14 @@
 	p.let(all, hurt)
 	for _, g := range p.groups() {
 		if part := p.admit[g]; part < 1 {
-			plan.Admit = append(plan.Admit, Admitted{g, part})
+			plan.Admit = append(plan.Admit, Admission{g, part})
 		}
 	}
 	if hurt {
-		plan.Return = leastReturn
+		plan.RetryAfter = leastReturn
 		for _, s := range all {
 			if w := p.judge.sites[s.Name]; w != nil && w.state == Lost {
-				plan.Return = max(plan.Return, w.wait-(now-w.since))
+				plan.RetryAfter = max(plan.RetryAfter, w.wait-(now-w.since))
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 		if a.Class != b.Class {
 			return int(a.Class) - int(b.Class)
 		}
-		return btoi(a.Inside) - btoi(b.Inside)
+		return btoi(a.Guaranteed) - btoi(b.Guaranteed)
 	})
 	return all
 }
@@ -186,7 +186,7 @@
 
 // room is what may be planned for a site.
 func (p *Planner) room(s Site) float64 {
-	return p.set.Utilisation * s.Capacity * p.judge.Part(s.Name)
+	return p.set.Utilisation * s.Capacity * p.judge.Fraction(s.Name)
 }
 
 // let decides what is let in. Demand is what was asked for, so what is refused does not make
@@ -199,7 +199,7 @@
 	var demand []Demand
 	for _, d := range p.asked {
 		x := *d
-		x.Mean = d.Work / math.Max(d.Mean, 1)
+		x.MeanWork = d.Work / math.Max(d.MeanWork, 1)
 		demand = append(demand, x)
 	}
 	slices.SortFunc(demand, func(a, b Demand) int { return int(a.Class) - int(b.Class) })
@@ -233,14 +233,14 @@
 	rows := newFlow(n, n)
 	displaced, room := make([]float64, n), make([]float64, n)
 	for j, s := range all {
-		if p.judge.Part(s.Name) == 1 { // what returns is filled by its part alone, and never beyond
+		if p.judge.Fraction(s.Name) == 1 { // what returns is filled by its part alone, and never beyond
 			room[j] = p.room(s)
 		}
 	}
 	for i, from := range all {
 		for j, to := range all {
 			rows[i][j] = 1
-			f, part := p.flow[[2]string{from.Name, to.Name}], p.judge.Part(to.Name)
+			f, part := p.flow[[2]string{from.Name, to.Name}], p.judge.Fraction(to.Name)
 			if from.Name == to.Name { // within it is whole, for all that its gateways know
 				part = 1
 			}
@@ -252,13 +252,13 @@
 	for i, from := range all {
 		sum, base := 0.0, 0.0
 		for j, to := range all {
-			f := p.flow[[2]string{from.Name, to.Name}] * p.judge.Part(to.Name)
+			f := p.flow[[2]string{from.Name, to.Name}] * p.judge.Fraction(to.Name)
 			base += f
 			sum += f + placed[i][j]
 		}
 		for j, to := range all {
-			f := p.flow[[2]string{from.Name, to.Name}] * p.judge.Part(to.Name)
-			if f > 1e-6*base && sum > 0 && p.judge.Part(to.Name) == 1 {
+			f := p.flow[[2]string{from.Name, to.Name}] * p.judge.Fraction(to.Name)
+			if f > 1e-6*base && sum > 0 && p.judge.Fraction(to.Name) == 1 {
 				rows[i][j] = math.Max(leastTurn, math.Min((f+placed[i][j])/f*base/sum, mostTurn))
 			}
 		}
@@ -278,12 +278,12 @@
 
 // Append appends a plan's bytes.
 func (p Plan) Append(b []byte) []byte {
-	b = binary.AppendUvarint(b, uint64(p.Return.Milliseconds()))
+	b = binary.AppendUvarint(b, uint64(p.RetryAfter.Milliseconds()))
 	b = append(b, byte(len(p.Sites)))
 	for _, s := range p.Sites {
 		b = binary.BigEndian.AppendUint32(b, s.Site)
 		b = append(b, byte(s.State))
-		b = binary.BigEndian.AppendUint16(b, thousandths(s.Part))
+		b = binary.BigEndian.AppendUint16(b, thousandths(s.Fraction))
 		b = append(b, byte(len(s.Factor)))
 		var from []uint32
 		for h := range s.Factor {
@@ -298,8 +298,8 @@
 	b = append(b, byte(len(p.Admit)))
 	for _, a := range p.Admit {
 		b = binary.BigEndian.AppendUint16(b, a.Class)
-		b = append(b, byte(btoi(a.Inside)))
-		b = binary.BigEndian.AppendUint16(b, thousandths(a.Part))
+		b = append(b, byte(btoi(a.Guaranteed)))
+		b = binary.BigEndian.AppendUint16(b, thousandths(a.Fraction))
 	}
 	return b
 }
@@ -346,10 +346,10 @@
 	if n <= 0 || ms > uint64(time.Hour.Milliseconds()) || len(b) > MaxPacked {
 		return p, errPlan
 	}
-	p.Return = time.Duration(ms) * time.Millisecond
+	p.RetryAfter = time.Duration(ms) * time.Millisecond
 	r := &reader{b: b[n:]}
 	for range r.byte(MaxSites) {
-		s := Standing{Site: r.hash(), State: State(r.byte(int(Returning))), Part: r.part(1)}
+		s := SitePlan{Site: r.hash(), State: State(r.byte(int(Returning))), Fraction: r.part(1)}
 		for range r.byte(MaxSites) {
 			if s.Factor == nil {
 				s.Factor = map[uint32]float64{}
@@ -360,8 +360,8 @@
 		p.Sites = append(p.Sites, s)
 	}
 	for range r.byte(MaxGroups) {
-		g := Group{Class: binary.BigEndian.Uint16(r.next(2)), Inside: r.byte(1) == 1}
-		p.Admit = append(p.Admit, Admitted{g, r.part(1)})
+		g := Group{Class: binary.BigEndian.Uint16(r.next(2)), Guaranteed: r.byte(1) == 1}
+		p.Admit = append(p.Admit, Admission{g, r.part(1)})
 	}
 	if r.bad || len(r.b) > 0 {
 		return Plan{}, errPlan
--- a/internal/fleet/sites/plan_test.go
+++ b/internal/fleet/sites/plan_test.go
@@ -92,7 +92,7 @@
 		var all []Demand
 		want := 0.0
 		for i := range rapid.IntRange(1, 8).Draw(t, "groups") {
-			d := Demand{Group: Group{uint16(i), rapid.Bool().Draw(t, "inside")}, Work: rapid.Float64Range(0.01, 50).Draw(t, "work"), Worth: float64(rapid.IntRange(1, 4).Draw(t, "worth")), Mean: float64(rapid.IntRange(1, 4).Draw(t, "mean"))}
+			d := Demand{Group: Group{uint16(i), rapid.Bool().Draw(t, "inside")}, Work: rapid.Float64Range(0.01, 50).Draw(t, "work"), Worth: float64(rapid.IntRange(1, 4).Draw(t, "worth")), MeanWork: float64(rapid.IntRange(1, 4).Draw(t, "mean"))}
 			all, want = append(all, d), want+d.Work
 		}
 		room, floor := rapid.Float64Range(0, 200).Draw(t, "room"), rapid.Float64Range(0, 0.5).Draw(t, "floor")
@@ -105,7 +105,7 @@
 				t.Fatalf("%.3f of a group is let in", p)
 			}
 			for _, b := range all {
-				first := a.Inside && !b.Inside || a.Inside == b.Inside && (a.Worth > b.Worth || a.Worth == b.Worth && a.Mean < b.Mean)
+				first := a.Guaranteed && !b.Guaranteed || a.Guaranteed == b.Guaranteed && (a.Worth > b.Worth || a.Worth == b.Worth && a.MeanWork < b.MeanWork)
 				if first && a.Work > 0 && p < part[b.Group]-1e-9 {
 					t.Fatalf("%+v has %.3f, and %+v after it %.3f", a, p, b, part[b.Group])
 				}
@@ -119,10 +119,10 @@
 
 // A plan is what it was packed from, and no bytes do more than be refused.
 func TestPlanPacked(t *testing.T) {
-	p := Plan{Return: 3 * time.Second, Admit: []Admitted{{Group{7, true}, 0.5}, {Group{9, false}, 0.05}}}
+	p := Plan{RetryAfter: 3 * time.Second, Admit: []Admission{{Group{7, true}, 0.5}, {Group{9, false}, 0.05}}}
 	for i := range MaxSites {
-		s := Standing{Site: uint32(i), State: State(i % 4), Part: float64(i) / 16}
-		s.Part = math.Round(1000*s.Part) / 1000
+		s := SitePlan{Site: uint32(i), State: State(i % 4), Fraction: float64(i) / 16}
+		s.Fraction = math.Round(1000*s.Fraction) / 1000
 		for j := range MaxSites {
 			if s.Factor == nil {
 				s.Factor = map[uint32]float64{}
@@ -143,7 +143,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(Plan{Return: time.Second, Sites: []Standing{{Site: 1, State: Lost, Factor: map[uint32]float64{2: 1.5}}}, Admit: []Admitted{{Group{7, true}, 0.5}}}.Append(nil))
+	f.Add(Plan{RetryAfter: time.Second, Sites: []SitePlan{{Site: 1, State: Lost, Factor: map[uint32]float64{2: 1.5}}}, Admit: []Admission{{Group{7, true}, 0.5}}}.Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		p, err := Parse(b)
 		if err != nil {
@@ -155,22 +155,22 @@
 		if again, err := Parse(p.Append(nil)); err != nil || len(again.Sites) != len(p.Sites) {
 			t.Fatalf("%+v can't be read again: %v", p, err)
 		}
-		NewDoor("g", "s", 3).Step(time.Second, p, []Listed{{1, "s"}})
+		NewEnforcer("g", "s", 3).Apply(time.Second, p, []Endpoint{{1, "s"}})
 	})
 }
 
 // doors are those of a fleet that all have the same plan.
-func doors(n int) (all []*Door) {
+func doors(n int) (all []*Enforcer) {
 	for i := range n {
-		all = append(all, NewDoor(fmt.Sprint("g", i), "home", n))
+		all = append(all, NewEnforcer(fmt.Sprint("g", i), "home", n))
 	}
 	return all
 }
 
 // listed are endpoints of a site, numbered.
-func listed(site string, n uint64) (all []Listed) {
+func listed(site string, n uint64) (all []Endpoint) {
 	for e := range n {
-		all = append(all, Listed{e, site})
+		all = append(all, Endpoint{e, site})
 	}
 	return all
 }
@@ -184,16 +184,16 @@
 			cycle := time.Duration(lookCycle(members)) * lookTurn
 			met := 0
 			for g := range members {
-				d := NewDoor(fmt.Sprint("g", g), "home", members)
+				d := NewEnforcer(fmt.Sprint("g", g), "home", members)
 				seen := map[uint64]bool{}
 				clock := time.Duration(g) * 1300 * time.Millisecond
 				for n := range looksForAll {
 					looks := 0
 					for now := time.Duration(0); now < cycle; now += lookTurn {
 						at := clock + time.Duration(n)*cycle + now
-						d.Step(at, Plan{Sites: []Standing{{Site: Hash("s"), State: Lost}}}, listed("s", endpoints))
+						d.Apply(at, Plan{Sites: []SitePlan{{Site: Hash("s"), State: Lost}}}, listed("s", endpoints))
 						for e := range endpoints {
-							if d.Meets("s", e) {
+							if d.RoutesTo("s", e) {
 								looks++
 								seen[e] = true
 							}
@@ -224,17 +224,17 @@
 			all := doors(n)
 			for now := time.Second; now < 40*time.Second; now += time.Second {
 				for _, d := range all {
-					d.Step(now, Plan{Sites: []Standing{{Site: Hash("s"), State: Lost, Part: part}}}, listed("s", 50))
+					d.Apply(now, Plan{Sites: []SitePlan{{Site: Hash("s"), State: Lost, Fraction: part}}}, listed("s", 50))
 				}
 			}
 			met, lookers := 0, 0
 			for _, d := range all {
 				looks := false
 				for e := range uint64(50) {
-					if d.Meets("s", e) {
+					if d.RoutesTo("s", e) {
 						met, looks = met+1, true
 					}
-					if !d.Meets("other", e) {
+					if !d.RoutesTo("other", e) {
 						t.Fatal("another site is not met")
 					}
 				}
@@ -251,9 +251,9 @@
 			}
 		}
 	}
-	d := NewDoor("g", "s", 3)
-	d.Step(time.Second, Plan{Sites: []Standing{{Site: Hash("s"), State: Lost}}}, listed("s", 50))
-	if !d.Meets("s", 1) || d.Hurt() {
+	d := NewEnforcer("g", "s", 3)
+	d.Apply(time.Second, Plan{Sites: []SitePlan{{Site: Hash("s"), State: Lost}}}, listed("s", 50))
+	if !d.RoutesTo("s", 1) || d.Degraded() {
 		t.Error("a gateway within the lost site does not meet it")
 	}
 }
@@ -263,16 +263,16 @@
 // A member for which there is no plan any more in the midst of a return meets more of the
 // site in steps; what gets worse is taken at once.
 func TestDoorRises(t *testing.T) {
-	d := NewDoor("g", "home", 3)
+	d := NewEnforcer("g", "home", 3)
 	at := func(now time.Duration, p Plan) float64 {
-		d.Step(now, p, nil)
+		d.Apply(now, p, nil)
 		part, hurt := d.parts[Hash("s")]
 		if !hurt {
 			return 1
 		}
 		return part
 	}
-	if part := at(time.Second, Plan{Sites: []Standing{{Site: Hash("s"), Part: 0.2}}}); part != 0.2 {
+	if part := at(time.Second, Plan{Sites: []SitePlan{{Site: Hash("s"), Fraction: 0.2}}}); part != 0.2 {
 		t.Errorf("it goes down to %.2f", part)
 	}
 	last := 0.2
@@ -283,7 +283,7 @@
 		}
 		last = part
 	}
-	if last != 1 || d.Hurt() {
+	if last != 1 || d.Degraded() {
 		t.Errorf("it ends at %.2f", last)
 	}
 }
@@ -298,20 +298,20 @@
 	var now time.Duration
 	period := func(served func(site string) bool) Plan {
 		for g := range home {
-			p.Asked(Group{1, false}, 10, 2.5, 1)
-			p.Asked(Group{2, true}, 10, 1.25, 3)
+			p.AddDemand(Group{1, false}, 10, 2.5, 1)
+			p.AddDemand(Group{2, true}, 10, 1.25, 3)
 			for i, s := range list {
 				for e := range 4 {
 					if served(s.Name) {
-						p.Take(g, s.Name, uint64(i*10+e), 5, 0, 3.75/12)
+						p.Observe(g, s.Name, uint64(i*10+e), 5, 0, 3.75/12)
 					} else {
-						p.Take(g, s.Name, uint64(i*10+e), 0, 2, 0)
+						p.Observe(g, s.Name, uint64(i*10+e), 0, 2, 0)
 					}
 				}
 			}
 		}
 		now += time.Second
-		plan, _ := p.Period(now, list)
+		plan, _ := p.Next(now, list)
 		return plan
 	}
 	var plan Plan
@@ -325,13 +325,13 @@
 	}
 	admitted := map[Group]float64{{1, false}: 1, {2, true}: 1}
 	for _, a := range plan.Admit {
-		admitted[a.Group] = a.Part
+		admitted[a.Group] = a.Fraction
 	}
 	if in := 15*admitted[Group{1, false}] + 7.5*admitted[Group{2, true}]; admitted[Group{2, true}] < 1 || in > 16.01 || in < 15.5 {
 		t.Errorf("%v is let in, %.2f of work: 16 may be planned for", admitted, in)
 	}
-	if plan.Return < leastReturn {
-		t.Errorf("clients are to stay away for %v", plan.Return)
+	if plan.RetryAfter < leastReturn {
+		t.Errorf("clients are to stay away for %v", plan.RetryAfter)
 	}
 	for range 60 {
 		plan = period(func(string) bool { return true })
@@ -350,7 +350,7 @@
 		list = append(list, Site{Name: fmt.Sprint("s", i), Ready: 4, Capacity: 1})
 		home[fmt.Sprint("g", i)] = list[i].Name
 	}
-	p := NewPlanner(0, Usual, home, func(i, j string) float64 { return 1 }, Plan{})
+	p := NewPlanner(0, DefaultSettings, home, func(i, j string) float64 { return 1 }, Plan{})
 	for n := range 200 {
 		if f := p.flow[[2]string{"s1", "s2"}]; n == 6 && f < 0.5 {
 			t.Errorf("with all flows known one of 1 is followed as %.3f", f)
@@ -358,16 +358,16 @@
 		for g := range home {
 			for j, s := range list {
 				if n > 5 && j == 0 { // lost, so that groups are refused
-					p.Take(g, s.Name, uint64(n%4), 0, 5, 0)
+					p.Observe(g, s.Name, uint64(n%4), 0, 5, 0)
 				} else {
-					p.Take(g, s.Name, uint64(j*10+n%4), 5, 0, 1)
+					p.Observe(g, s.Name, uint64(j*10+n%4), 5, 0, 1)
 				}
 			}
 		}
 		for c := range MaxGroups {
-			p.Asked(Group{Class: uint16(n*MaxGroups + c)}, 10, 10, 1)
+			p.AddDemand(Group{Class: uint16(n*MaxGroups + c)}, 10, 10, 1)
 		}
-		plan, _ := p.Period(time.Duration(n)*time.Second, list)
+		plan, _ := p.Next(time.Duration(n)*time.Second, list)
 		if _, err := Parse(plan.Append(nil)); err != nil || len(p.admit) > MaxGroups || len(p.flow) > MaxSites*MaxSites {
 			t.Fatalf("%d groups, %d flows: %v", len(p.admit), len(p.flow), err)
 		}
@@ -376,7 +376,7 @@
 		t.Errorf("a flow of 1 is followed as %.3f", f)
 	}
 	for n := range 3 * MaxSites {
-		p.Period(time.Duration(200+n)*time.Second, []Site{{Name: fmt.Sprint("z", n), Ready: 4, Capacity: 1}, list[1]})
+		p.Next(time.Duration(200+n)*time.Second, []Site{{Name: fmt.Sprint("z", n), Ready: 4, Capacity: 1}, list[1]})
 	}
 	if p.judge.sites["z47"] == nil {
 		t.Error("a zone that is new has no place among those that are gone")
--- a/internal/fleet/sites/sites.go
+++ b/internal/fleet/sites/sites.go
@@ -3,11 +3,11 @@
 // I/O, no clock, no goroutine.
 //
 // The holder of the fleet's duty judges sites by what all gateways tell of their attempts
-// (Judge): a site is lost when several gateways that are not cut off themselves see it gone,
+// (Detector): a site is lost when several gateways that are not cut off themselves see it gone,
 // and most of its endpoints are among what they tried. It then says where the load of the
 // lost site goes (Spread), what is refused if the others can't carry all (Admit), and by
-// which part the site is met as it comes back (Judge.Part). Members do what the plan says
-// while it is fresh (Door), and go by their own sight else.
+// which part the site is met as it comes back (Detector.Fraction). Members do what the plan says
+// while it is fresh (Enforcer), and go by their own sight else.
 package sites
 
 import (
@@ -27,8 +27,8 @@
 type State uint8
 
 const (
-	Whole     State = iota
-	Doubted         // somebody sees it gone
+	Healthy   State = iota
+	Suspected       // somebody sees it gone
 	Lost            // nobody sends to it but a few that look
 	Returning       // it is met by a part of the fleet
 )
@@ -48,8 +48,8 @@
 	Floor float64
 }
 
-// Usual are settings that fit most.
-var Usual = Settings{Utilisation: 0.9, Floor: 0.05}
+// DefaultSettings are settings that fit most.
+var DefaultSettings = Settings{Utilisation: 0.9, Floor: 0.05}
 
 const (
 	// What a return is judged by is the evidence of the last periods. A loss is judged by
@@ -132,16 +132,16 @@
 	whole     time.Duration // when it was last whole again
 }
 
-// Judge says where sites stand. It is the holder's.
-type Judge struct {
+// Detector says where sites stand. It is the holder's.
+type Detector struct {
 	home   map[string]string // sites of gateways
 	sites  map[string]*site
 	period int
 }
 
-// NewJudge makes one that takes all sites to be whole, but for those told otherwise.
-func NewJudge(now time.Duration, home map[string]string, before map[string]State) *Judge {
-	j := &Judge{home: home, sites: map[string]*site{}}
+// NewDetector makes one that takes all sites to be whole, but for those told otherwise.
+func NewDetector(now time.Duration, home map[string]string, before map[string]State) *Detector {
+	j := &Detector{home: home, sites: map[string]*site{}}
 	for name, state := range before {
 		s := j.site(name)
 		if s == nil {
@@ -156,7 +156,7 @@
 }
 
 // site is one of a name; nil: there are too many.
-func (j *Judge) site(name string) *site {
+func (j *Detector) site(name string) *site {
 	s := j.sites[name]
 	if s == nil && len(j.sites) < MaxSites {
 		s = &site{name: name, part: 1, wait: firstWait, gateways: map[string]streak{}, endpoints: map[uint64]streak{}}
@@ -171,9 +171,9 @@
 // maxSeen bounds what is remembered of a site in a period.
 const maxSeen = 1024
 
-// Take takes what a gateway saw of an endpoint: attempts that were served, and those that
+// Observe takes what a gateway saw of an endpoint: attempts that were served, and those that
 // had no answer or no connection.
-func (j *Judge) Take(gateway, siteName string, endpoint uint64, served, missed float64) {
+func (j *Detector) Observe(gateway, siteName string, endpoint uint64, served, missed float64) {
 	s := j.site(siteName)
 	if _, known := j.home[gateway]; !known || s == nil || served+missed <= 0 {
 		return
@@ -226,7 +226,7 @@
 
 // verdicts are those on all sites. A gateway that is served nowhere else is cut off itself,
 // for all that it knows, and no observer.
-func (j *Judge) verdicts() map[string]verdict {
+func (j *Detector) verdicts() map[string]verdict {
 	served := map[string]map[string]bool{}
 	for name, s := range j.sites {
 		s.remember(j.period)
@@ -279,9 +279,9 @@
 	From, To State
 }
 
-// Period is to be called each period, with how many endpoints of each site the list has that
+// Step is to be called each period, with how many endpoints of each site the list has that
 // are ready, and which sites have cold ones. It returns what changed.
-func (j *Judge) Period(now time.Duration, ready map[string]int, cold map[string]bool) (changes []Change) {
+func (j *Detector) Step(now time.Duration, ready map[string]int, cold map[string]bool) (changes []Change) {
 	for name := range ready {
 		j.site(name)
 	}
@@ -301,7 +301,7 @@
 		if s.state != before {
 			changes = append(changes, Change{name, before, s.state})
 		}
-		if _, listed := ready[name]; !listed && s.state == Whole {
+		if _, listed := ready[name]; !listed && s.state == Healthy {
 			delete(j.sites, name) // a zone that the list no longer has
 			continue
 		}
@@ -321,14 +321,14 @@
 		s.stood = 0
 	}
 	switch s.state {
-	case Whole, Doubted:
+	case Healthy, Suspected:
 		switch {
 		case s.stood >= holds && others:
 			s.giveUp(now)
-		case v.gone > 0 && s.state == Whole:
-			s.become(now, Doubted)
-		case v.gone == 0 && s.state == Doubted:
-			s.become(now, Whole)
+		case v.gone > 0 && s.state == Healthy:
+			s.become(now, Suspected)
+		case v.gone == 0 && s.state == Suspected:
+			s.become(now, Healthy)
 		}
 	case Lost:
 		if !others || now-s.since < s.wait {
@@ -369,7 +369,7 @@
 	case tries < leastTries: // nobody knows
 	case v.all.served >= goodAt*tries:
 		if s.part = min(1, max(1.5*s.part, s.part+partStep)); s.part == 1 && !s.cold {
-			s.become(now, Whole)
+			s.become(now, Healthy)
 			s.whole = now
 		}
 	case v.all.served < badAt*tries:
@@ -377,15 +377,15 @@
 	}
 }
 
-// State is where a site stands, and Part the part of the fleet that meets it.
-func (j *Judge) State(name string) State {
+// State is where a site stands, and Fraction the part of the fleet that meets it.
+func (j *Detector) State(name string) State {
 	if s := j.sites[name]; s != nil {
 		return s.state
 	}
-	return Whole
+	return Healthy
 }
 
-func (j *Judge) Part(name string) float64 {
+func (j *Detector) Fraction(name string) float64 {
 	if s := j.sites[name]; s != nil {
 		return s.part
 	}
--- a/internal/fleet/sites/spread.go
+++ b/internal/fleet/sites/spread.go
@@ -105,16 +105,16 @@
 
 // Group is a kind of demand: a class, and whether it is owed by contract.
 type Group struct {
-	Class  uint16
-	Inside bool
+	Class      uint16
+	Guaranteed bool
 }
 
 // Demand is what is asked for of a group.
 type Demand struct {
 	Group
-	Work  float64 // a second
-	Worth float64 // of a second of work
-	Mean  float64 // work of one request
+	Work     float64 // a second
+	Worth    float64 // of a second of work
+	MeanWork float64 // work of one request
 }
 
 // Admit says which part of each group is let in where all that there is room for is so much:
@@ -123,13 +123,13 @@
 func Admit(all []Demand, room, floor float64) map[Group]float64 {
 	order := slices.Clone(all)
 	slices.SortStableFunc(order, func(a, b Demand) int {
-		if a.Inside != b.Inside {
-			if a.Inside {
+		if a.Guaranteed != b.Guaranteed {
+			if a.Guaranteed {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.Mean, b.Mean), cmp.Compare(a.Class, b.Class))
+		return cmp.Or(cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.MeanWork, b.MeanWork), cmp.Compare(a.Class, b.Class))
 	})
 	sum := 0.0
 	for _, d := range order {
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -49,7 +49,7 @@
 	f.council.mu.Lock()
 	defer f.council.mu.Unlock()
 	if f.council.node != nil {
-		f.council.node.SetPlan(names(gateways), of)
+		f.council.node.SetGateways(names(gateways), of)
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-func (f *Fleet) tickCouncil() []council.Out {
+func (f *Fleet) tickCouncil() []council.Outgoing {
 	t := f.council
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,11 +80,11 @@
 	return out
 }
 
-func (f *Fleet) takeCouncil(m council.Message) []council.Out {
+func (f *Fleet) takeCouncil(m council.Message) []council.Outgoing {
 	t := f.council
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out, meant := t.node.Take(f.now(), m)
+	out, meant := t.node.Handle(f.now(), m)
 	if !meant {
 		f.broken.Add(1)
 	}
@@ -104,29 +104,29 @@
 		f.config.Pool.SetFactors(nil)
 		t.inUse = false
 	}
-	if door := t.node.Door(now); door != nil {
-		if hurt := door.Hurt(); hurt || t.hurt {
-			f.config.Pool.SetDoor(door)
+	if door := t.node.Enforcer(now); door != nil {
+		if hurt := door.Degraded(); hurt || t.hurt {
+			f.config.Pool.SetEnforcer(door)
 			t.hurt = hurt
 		}
 	}
 	for _, c := range t.node.Changes() {
 		slog.Warn("fleet: site", "site", c.Site, "state", c.To.String(), "before", c.From.String())
 	}
-	if status.Holder != t.was.Holder {
-		slog.Info("fleet: duty", "holder", status.Holder, "before", t.was.Holder, "here", status.Holds)
+	if status.Leader != t.was.Leader {
+		slog.Info("fleet: duty", "holder", status.Leader, "before", t.was.Leader, "here", status.Leading)
 	}
-	if status.Stale != t.was.Stale && t.was.Table.N > 0 {
-		slog.Warn("fleet: weights", "stale", status.Stale, "age", status.Age, "term", status.Table.Term, "table", status.Table.N)
+	if status.Stale != t.was.Stale && t.was.Table.Seq > 0 {
+		slog.Warn("fleet: weights", "stale", status.Stale, "age", status.Age, "term", status.Table.Term, "table", status.Table.Seq)
 	}
 	t.was = status
 	f.publish(func(s *Status) { s.Council = status })
 }
 
 // sendCouncil sends what is to go out. Messages to this process itself are taken at once.
-func (f *Fleet) sendCouncil(out []council.Out) {
+func (f *Fleet) sendCouncil(out []council.Outgoing) {
 	for len(out) > 0 {
-		var next []council.Out // which ends: a report is answered, and an answer is not
+		var next []council.Outgoing // which ends: a report is answered, and an answer is not
 		for _, o := range out {
 			if o.To == f.config.Name {
 				next = append(next, f.takeCouncil(o.Message)...)
--- a/internal/fleet/weights/estimate.go
+++ b/internal/fleet/weights/estimate.go
@@ -187,11 +187,11 @@
 	return math.Exp(m.value)
 }
 
-// Standard is the same by name.
-func (e *Estimator) Standard(class Class, warm bool) float64 { return e.standard(key{class, warm}) }
+// WorkFactor is the same by name.
+func (e *Estimator) WorkFactor(class Class, warm bool) float64 { return e.standard(key{class, warm}) }
 
-// Take takes what a gateway saw. Endpoints that are not in the list are left out.
-func (e *Estimator) Take(gateway string, seen []Sums) {
+// Observe takes what a gateway saw. Endpoints that are not in the list are left out.
+func (e *Estimator) Observe(gateway string, seen []Stats) {
 	for i := range seen {
 		s := &seen[i]
 		k := e.endpoints[s.ID]
@@ -221,14 +221,14 @@
 			k.good += add.served
 			k.ratio(&c, e.standard(at))
 		}
-		k.lost += float64(s.Lost) / 1e6
-		k.bad += float64(s.Errors + s.Silent)
+		k.lost += float64(s.LostTime) / 1e6
+		k.bad += float64(s.Errors + s.TimedOut)
 		k.declined += float64(s.Declined)
 	}
 }
 
-// Window is to be called each period: it looks at what came since.
-func (e *Estimator) Window(now time.Duration) {
+// Update is to be called each period: it looks at what came since.
+func (e *Estimator) Update(now time.Duration) {
 	e.compare()
 	for _, k := range e.ordered() {
 		k.variance += drift * drift * indicator(k.variance > 0)
--- a/internal/fleet/weights/meter.go
+++ b/internal/fleet/weights/meter.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// MaxParts is how many messages a report has at most. What does not fit waits.
-	MaxParts = 64
-	// MaxPart bounds the bytes of one part, as it is packed.
-	MaxPart = 800
+	// MaxReportParts is how many messages a report has at most. What does not fit waits.
+	MaxReportParts = 64
+	// MaxPartBytes bounds the bytes of one part, as it is packed.
+	MaxPartBytes = 800
 )
 
 // Report is one part of what a gateway tells the holder of the duty: sums since the report
 // before, until it is acknowledged.
 type Report struct {
-	From        string
-	To          string
-	Incarnation uint64
-	Beat        uint64 // of this incarnation's periods, from 1
-	Seq         uint64 // of its reports, from 1
-	Part        int    // of the report, from 0
-	Has         Number // the table that it knows of, and
-	Parts       uint64 // which parts of that it has, a bit for each
-	Sums        []byte // packed
+	From         string
+	To           string
+	Incarnation  uint64
+	Heartbeat    uint64  // of this incarnation's periods, from 1
+	Seq          uint64  // of its reports, from 1
+	Part         int     // of the report, from 0
+	TableVersion Version // the table that it knows of, and
+	TableParts   uint64  // which parts of that it has, a bit for each
+	Stats        []byte  // packed
 }
 
-// Number numbers tables: terms of holders, and in a term from 1.
-type Number struct {
+// Version numbers tables: terms of holders, and in a term from 1.
+type Version struct {
 	Term uint64
-	N    uint64
+	Seq  uint64
 }
 
 // Less reports whether a table is older.
-func (n Number) Less(o Number) bool { return n.Term < o.Term || n.Term == o.Term && n.N < o.N }
+func (n Version) Less(o Version) bool { return n.Term < o.Term || n.Term == o.Term && n.Seq < o.Seq }
 
-// Meter is what a gateway tells of its sums: each once, to one holder after another. One
+// Reporter is what a gateway tells of its sums: each once, to one holder after another. One
 // report is out at a time and is sent again until all of it is acknowledged; what is seen
 // meanwhile is told after it.
-type Meter struct {
-	pending map[ID]*Sums // not told yet; as many as endpoints
+type Reporter struct {
+	pending map[ID]*Stats // not told yet; as many as endpoints
 	since   time.Duration
 	seq     uint64
 	frozen  time.Duration // when the report that is out was packed
@@ -47,14 +47,14 @@
 	acked   uint64        // parts, a bit for each
 }
 
-// NewMeter makes one that has seen nothing.
-func NewMeter() *Meter { return &Meter{pending: map[ID]*Sums{}} }
+// NewReporter makes one that has seen nothing.
+func NewReporter() *Reporter { return &Reporter{pending: map[ID]*Stats{}} }
 
 // oldest is how old sums may be: of a holder that was lost nobody has to hear long after.
 const oldest = 10 * Period
 
 // Add adds what was seen since the last call.
-func (m *Meter) Add(now time.Duration, seen []Sums) {
+func (m *Reporter) Add(now time.Duration, seen []Stats) {
 	if len(m.pending) == 0 {
 		m.since = now
 	}
@@ -72,7 +72,7 @@
 			if len(m.pending) >= MaxEndpoints {
 				continue
 			}
-			p = &Sums{ID: s.ID}
+			p = &Stats{ID: s.ID}
 			m.pending[s.ID] = p
 		}
 		p.add(s)
@@ -81,7 +81,7 @@
 
 // Tick returns the parts of the report that is out which are not acknowledged, or of the next
 // one: at least one part, empty where there is nothing to tell.
-func (m *Meter) Tick(now time.Duration) (seq uint64, parts map[int][]byte) {
+func (m *Reporter) Tick(now time.Duration) (seq uint64, parts map[int][]byte) {
 	if m.acked == 1<<len(m.parts)-1 || now-m.frozen > oldest {
 		m.next()
 		m.frozen, m.since = now, now
@@ -96,7 +96,7 @@
 }
 
 // next packs what is pending into the next report.
-func (m *Meter) next() {
+func (m *Reporter) next() {
 	m.seq++
 	m.acked, m.parts = 0, nil
 	ids := make([]ID, 0, len(m.pending))
@@ -107,8 +107,8 @@
 	var part []byte
 	for _, id := range ids {
 		packed := appendSums(nil, m.pending[id])
-		if len(part)+len(packed) > MaxPart {
-			if len(m.parts) == MaxParts-2 {
+		if len(part)+len(packed) > MaxPartBytes {
+			if len(m.parts) == MaxReportParts-2 {
 				break // the rest waits
 			}
 			m.parts, part = append(m.parts, part), nil
@@ -119,8 +119,8 @@
 	m.parts = append(m.parts, part)
 }
 
-// Acked takes word that a part was taken.
-func (m *Meter) Acked(seq uint64, part int) {
+// Ack takes word that a part was taken.
+func (m *Reporter) Ack(seq uint64, part int) {
 	if seq == m.seq && part >= 0 && part < len(m.parts) {
 		m.acked |= 1 << part
 	}
@@ -135,7 +135,7 @@
 
 // take reports whether a part is new.
 func (t *told) take(now time.Duration, r *Report) bool {
-	if r.Part < 0 || r.Part >= MaxParts || r.Incarnation < t.incarnation || r.Incarnation == t.incarnation && r.Seq < t.seq {
+	if r.Part < 0 || r.Part >= MaxReportParts || r.Incarnation < t.incarnation || r.Incarnation == t.incarnation && r.Seq < t.seq {
 		return false
 	}
 	if r.Incarnation > t.incarnation || r.Seq > t.seq {
--- a/internal/fleet/weights/pack.go
+++ b/internal/fleet/weights/pack.go
@@ -17,9 +17,9 @@
 // are twelve days.
 const mostSeen = 1 << 40
 
-func appendSums(b []byte, s *Sums) []byte {
+func appendSums(b []byte, s *Stats) []byte {
 	b = binary.BigEndian.AppendUint64(b, uint64(s.ID))
-	for _, x := range [...]uint64{s.Lost, s.Silent, s.Errors, s.Declined, s.Unreached, s.Overtaken, uint64(len(s.Cells))} {
+	for _, x := range [...]uint64{s.LostTime, s.TimedOut, s.Errors, s.Declined, s.Unreached, s.Superseded, uint64(len(s.Cells))} {
 		b = binary.AppendUvarint(b, min(x, mostSeen))
 	}
 	for _, c := range s.Cells {
@@ -53,7 +53,7 @@
 
 // unpack reads what was packed. Everything is bounded, and the whole is refused where
 // anything is out of its bounds.
-func unpack(b []byte) (all []Sums, err error) {
+func unpack(b []byte) (all []Stats, err error) {
 	next := func() uint64 {
 		x, n := binary.Uvarint(b)
 		if n <= 0 || x > mostSeen {
@@ -67,9 +67,9 @@
 		if len(b) < 8 || len(all) >= MaxEndpoints {
 			return nil, errPacked
 		}
-		s := Sums{ID: ID(binary.BigEndian.Uint64(b))}
+		s := Stats{ID: ID(binary.BigEndian.Uint64(b))}
 		b = b[8:]
-		s.Lost, s.Silent, s.Errors, s.Declined, s.Unreached, s.Overtaken = next(), next(), next(), next(), next(), next()
+		s.LostTime, s.TimedOut, s.Errors, s.Declined, s.Unreached, s.Superseded = next(), next(), next(), next(), next(), next()
 		n := next()
 		if n > MaxCells {
 			return nil, errPacked
--- a/internal/fleet/weights/table.go
+++ b/internal/fleet/weights/table.go
@@ -34,7 +34,7 @@
 // Table is what all members use: factors in thousandths by endpoint, 1,000 for what is not in
 // it; and a plan, which is bytes here.
 type Table struct {
-	Number
+	Version
 	Factors map[ID]uint16
 	Plan    []byte
 }
@@ -47,7 +47,7 @@
 
 // NewAssigner goes on from the logs of the factors that are in force.
 func NewAssigner(term uint64, logs map[ID]float64) *Assigner {
-	return &Assigner{table: Table{Number: Number{Term: term}}, logs: maps.Clone(logs)}
+	return &Assigner{table: Table{Version: Version{Term: term}}, logs: maps.Clone(logs)}
 }
 
 // Step takes estimates and a plan, and returns the next table, or the one before where
@@ -82,8 +82,8 @@
 		}
 	}
 	a.logs = logs
-	if a.table.N == 0 || !maps.Equal(factors, a.table.Factors) || !bytes.Equal(plan, a.table.Plan) {
-		a.table = Table{Number{a.table.Term, a.table.N + 1}, factors, plan}
+	if a.table.Seq == 0 || !maps.Equal(factors, a.table.Factors) || !bytes.Equal(plan, a.table.Plan) {
+		a.table = Table{Version{a.table.Term, a.table.Seq + 1}, factors, plan}
 	}
 	return a.table
 }
@@ -143,17 +143,17 @@
 	From          string
 	To            string
 	ToIncarnation uint64
-	Beat          uint64 // of the report
-	Seq           uint64 // of the report, and
-	Part          int    // of it, which was taken; -1: none was
-	Table         Number // that is in force
-	Index, Parts  int    // the part of it that Entries has, of so many; -1: none
+	Heartbeat     uint64  // of the report
+	Seq           uint64  // of the report, and
+	Part          int     // of it, which was taken; -1: none was
+	Table         Version // that is in force
+	Index, Parts  int     // the part of it that Entries has, of so many; -1: none
 	Entries       []byte
 }
 
-// Copy is a member's copy of the table.
-type Copy struct {
-	number Number // of the latest that was heard of
+// Replica is a member's copy of the table.
+type Replica struct {
+	number Version // of the latest that was heard of
 	parts  [][]byte
 	has    uint64
 	whole  Table         // the latest that is whole
@@ -164,23 +164,23 @@
 	stepped time.Duration
 }
 
-// NewCopy has no table.
-func NewCopy() *Copy { return &Copy{now: map[ID]float64{}} }
+// NewReplica has no table.
+func NewReplica() *Replica { return &Replica{now: map[ID]float64{}} }
 
-// Has is the latest table that was heard of, and which parts of it are there.
-func (c *Copy) Has() (Number, uint64) { return c.number, c.has }
+// Received is the latest table that was heard of, and which parts of it are there.
+func (c *Replica) Received() (Version, uint64) { return c.number, c.has }
 
-// Number is the table in force; none before there was one.
-func (c *Copy) Number() Number { return c.whole.Number }
+// Version is the table in force; none before there was one.
+func (c *Replica) Version() Version { return c.whole.Version }
 
 // Age is how old what is in force may be; false: there is no table.
-func (c *Copy) Age(now time.Duration) (time.Duration, bool) { return now - c.fresh, c.got }
+func (c *Replica) Age(now time.Duration) (time.Duration, bool) { return now - c.fresh, c.got }
 
-// Take takes what the holder answers a report that went out at a time. A table counts once
+// Apply takes what the holder answers a report that went out at a time. A table counts once
 // all its parts are there: what is torn is never in force. One that is older than the one
 // that is known is not taken.
-func (c *Copy) Take(sent time.Duration, a Answer) error {
-	if a.Parts < 1 || a.Parts > mostTableParts || a.Index >= a.Parts || a.Table.N == 0 {
+func (c *Replica) Apply(sent time.Duration, a Answer) error {
+	if a.Parts < 1 || a.Parts > mostTableParts || a.Index >= a.Parts || a.Table.Seq == 0 {
 		return errTable
 	}
 	if a.Table.Less(c.number) {
@@ -202,8 +202,8 @@
 	if c.has != 1<<a.Parts-1 {
 		return nil
 	}
-	if c.whole.Number != c.number {
-		c.whole = Table{Number: c.number, Factors: map[ID]uint16{}}
+	if c.whole.Version != c.number {
+		c.whole = Table{Version: c.number, Factors: map[ID]uint16{}}
 		for _, p := range c.parts {
 			c.whole.take(p) // as it was checked
 		}
@@ -213,7 +213,7 @@
 }
 
 // Plan is the table's; nil where the table is older than stale.
-func (c *Copy) Plan(now, stale time.Duration) []byte {
+func (c *Replica) Plan(now, stale time.Duration) []byte {
 	if now-c.fresh > stale {
 		return nil
 	}
@@ -223,7 +223,7 @@
 // Factors are those to be in force, by endpoint; what is not there has 1. They move towards
 // the table in steps, and back to the list's own weights once the table is older than stale.
 // changed reports whether they are other than before.
-func (c *Copy) Factors(now, stale time.Duration) (factors map[ID]float64, changed bool) {
+func (c *Replica) Factors(now, stale time.Duration) (factors map[ID]float64, changed bool) {
 	steps := min((now-c.stepped).Seconds()/Period.Seconds(), 4)
 	c.stepped = now
 	target := c.whole.Factors
--- a/internal/fleet/weights/weights.go
+++ b/internal/fleet/weights/weights.go
@@ -2,10 +2,10 @@
 // they are measured to give. It is pure: sums, time and messages come in, tables and
 // messages go out; there is no I/O, no clock, no goroutine.
 //
-// Each gateway sums up what it sees of each endpoint (Meter), and tells whoever holds the
+// Each gateway sums up what it sees of each endpoint (Reporter), and tells whoever holds the
 // duty (package duty) each sum once. The holder estimates what each endpoint can do
 // (Estimator), moves a table towards that in bounded steps (Assigner), and answers reports
-// with it. A member puts a table in force while it is fresh (Copy), and goes back to the
+// with it. A member puts a table in force while it is fresh (Replica), and goes back to the
 // list's own weights in steps when it is not.
 //
 // A factor multiplies the weight that discovery lists. What is drained, cold or failing is
@@ -33,9 +33,9 @@
 // measured as one.
 type Class uint16
 
-// DoorID names what was asked for at a service's door, as sums: cells' Served and Work are
+// AdmissionID names what was asked for at a service's door, as sums: cells' Served and Work are
 // what came, and Warm what of it was owed by contract.
-func DoorID(service string) ID { return NewID(service, "", -1) }
+func AdmissionID(service string) ID { return NewID(service, "", -1) }
 
 // NewClass is a class's.
 func NewClass(service, class string) Class {
@@ -79,24 +79,24 @@
 	r[int(math.Max(0, math.Min(at, ratioBuckets-1)))]++
 }
 
-// Sums are what was seen of one endpoint. They add up.
-type Sums struct {
-	ID        ID
-	Cells     []Cell
-	Lost      uint64 // time of attempts that had no answer, in microseconds: they may have run
-	Silent    uint64 // those that were waited for to the end
-	Errors    uint64 // other attempts that failed: no throughput, and no time
-	Declined  uint64
-	Unreached uint64 // of the errors, those with no connection, or whose connection was lost
-	Overtaken uint64 // those that a later attempt was sooner than: they may be silent
+// Stats are what was seen of one endpoint. They add up.
+type Stats struct {
+	ID         ID
+	Cells      []Cell
+	LostTime   uint64 // time of attempts that had no answer, in microseconds: they may have run
+	TimedOut   uint64 // those that were waited for to the end
+	Errors     uint64 // other attempts that failed: no throughput, and no time
+	Declined   uint64
+	Unreached  uint64 // of the errors, those with no connection, or whose connection was lost
+	Superseded uint64 // those that a later attempt was sooner than: they may be silent
 }
 
-func (s *Sums) empty() bool {
-	return len(s.Cells) == 0 && s.Lost == 0 && s.Silent == 0 && s.Errors == 0 && s.Declined == 0
+func (s *Stats) empty() bool {
+	return len(s.Cells) == 0 && s.LostTime == 0 && s.TimedOut == 0 && s.Errors == 0 && s.Declined == 0
 }
 
 // cell is a class's.
-func (s *Sums) cell(class Class, warm bool) *Cell {
+func (s *Stats) cell(class Class, warm bool) *Cell {
 	for i := range s.Cells {
 		if c := &s.Cells[i]; c.Class == class && c.Warm == warm {
 			return c
@@ -110,7 +110,7 @@
 }
 
 // add adds another's sums.
-func (s *Sums) add(o *Sums) {
+func (s *Stats) add(o *Stats) {
 	for _, c := range o.Cells {
 		to := s.cell(c.Class, c.Warm)
 		to.Served, to.Time, to.Work = to.Served+c.Served, to.Time+c.Time, to.Work+c.Work
@@ -118,18 +118,18 @@
 			to.Ratios[i] += n
 		}
 	}
-	s.Lost, s.Silent, s.Errors, s.Declined, s.Unreached = s.Lost+o.Lost, s.Silent+o.Silent, s.Errors+o.Errors, s.Declined+o.Declined, s.Unreached+o.Unreached
-	s.Overtaken += o.Overtaken
+	s.LostTime, s.TimedOut, s.Errors, s.Declined, s.Unreached = s.LostTime+o.LostTime, s.TimedOut+o.TimedOut, s.Errors+o.Errors, s.Declined+o.Declined, s.Unreached+o.Unreached
+	s.Superseded += o.Superseded
 }
 
-// Ending is how an attempt ended, as far as it tells of the endpoint's throughput.
-type Ending uint8
+// Outcome is how an attempt ended, as far as it tells of the endpoint's throughput.
+type Outcome uint8
 
 const (
-	Served    Ending = iota
-	Silent           // no answer in time
-	Abandoned        // it was not waited for: an earlier attempt was sooner, or the client has left
-	Overtaken        // a later attempt was sooner
+	Served     Outcome = iota
+	TimedOut           // no answer in time
+	Cancelled          // it was not waited for: an earlier attempt was sooner, or the client has left
+	Superseded         // a later attempt was sooner
 	Failed
 	Unreached // no connection came up, or it was lost
 	Declined
@@ -138,8 +138,8 @@
 // noHint is the work that a request without a hint counts.
 const noHint = time.Millisecond
 
-// Ended takes the end of an attempt. It allocates only where a class is new.
-func (s *Sums) Ended(class Class, warm bool, how Ending, took, work time.Duration) {
+// Record takes the end of an attempt. It allocates only where a class is new.
+func (s *Stats) Record(class Class, warm bool, how Outcome, took, work time.Duration) {
 	switch how {
 	case Served:
 		if work <= 0 {
@@ -150,14 +150,14 @@
 		c.Time += uint64(max(took, 0) / time.Microsecond)
 		c.Work += uint64(max(work/time.Microsecond, 1))
 		c.Ratios.count(took, work)
-	case Silent, Abandoned, Overtaken:
+	case TimedOut, Cancelled, Superseded:
 		switch how {
-		case Silent:
-			s.Silent++
-		case Overtaken:
-			s.Overtaken++
+		case TimedOut:
+			s.TimedOut++
+		case Superseded:
+			s.Superseded++
 		}
-		s.Lost += uint64(max(took, 0) / time.Microsecond)
+		s.LostTime += uint64(max(took, 0) / time.Microsecond)
 	case Failed, Unreached:
 		s.Errors++
 		if how == Unreached {
--- a/internal/fleet/weights/weights_test.go
+++ b/internal/fleet/weights/weights_test.go
@@ -17,12 +17,12 @@
 // What is packed is what is unpacked, and no bytes do more than be refused.
 func TestPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []Sums
+		var all []Stats
 		var b []byte
 		for range rapid.IntRange(0, 20).Draw(t, "sums") {
-			s := Sums{ID: ID(rapid.Uint64().Draw(t, "id")), Silent: rapid.Uint64Max(1e6).Draw(t, "silent"), Declined: rapid.Uint64Max(9).Draw(t, "declined")}
+			s := Stats{ID: ID(rapid.Uint64().Draw(t, "id")), TimedOut: rapid.Uint64Max(1e6).Draw(t, "silent"), Declined: rapid.Uint64Max(9).Draw(t, "declined")}
 			for range rapid.IntRange(0, 40).Draw(t, "requests") {
-				s.Ended(Class(rapid.IntRange(0, 20).Draw(t, "class")), rapid.Bool().Draw(t, "warm"), Served, time.Duration(rapid.IntRange(1, 1e9).Draw(t, "took")), time.Duration(rapid.IntRange(0, 1e9).Draw(t, "work")))
+				s.Record(Class(rapid.IntRange(0, 20).Draw(t, "class")), rapid.Bool().Draw(t, "warm"), Served, time.Duration(rapid.IntRange(1, 1e9).Draw(t, "took")), time.Duration(rapid.IntRange(0, 1e9).Draw(t, "work")))
 			}
 			if len(s.Cells) > MaxCells {
 				t.Fatalf("%d cells", len(s.Cells))
@@ -37,8 +37,8 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	s := Sums{ID: 1, Errors: 3}
-	s.Ended(1, true, Served, second, second)
+	s := Stats{ID: 1, Errors: 3}
+	s.Record(1, true, Served, second, second)
 	f.Add(appendSums(nil, &s))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		all, err := unpack(b)
@@ -54,14 +54,14 @@
 // Each sum is told once, whatever parts and acknowledgements are lost or come again.
 func TestToldOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	m, known, now := NewMeter(), told{}, time.Duration(0)
+	m, known, now := NewReporter(), told{}, time.Duration(0)
 	seen, taken := map[ID]uint64{}, map[ID]uint64{}
 	tick := func(lose float64) {
 		now += Period
 		seq, parts := m.Tick(now)
 		for range 2 { // each comes twice, or not at all
 			for i, b := range parts {
-				r := Report{Incarnation: 7, Seq: seq, Part: i, Sums: b}
+				r := Report{Incarnation: 7, Seq: seq, Part: i, Stats: b}
 				if rng.Float64() < lose {
 					continue
 				}
@@ -75,16 +75,16 @@
 					}
 				}
 				if rng.Float64() >= lose {
-					m.Acked(seq, i)
+					m.Ack(seq, i)
 				}
 			}
 		}
 	}
 	for range 300 {
 		for range 100 {
-			s := Sums{ID: ID(rng.IntN(500)), Errors: 1}
+			s := Stats{ID: ID(rng.IntN(500)), Errors: 1}
 			seen[s.ID]++
-			m.Add(now, []Sums{s})
+			m.Add(now, []Stats{s})
 		}
 		tick(0.4)
 	}
@@ -98,11 +98,11 @@
 
 // What nobody takes is not told long after, and takes no more room than there are endpoints.
 func TestOldSumsAreDropped(t *testing.T) {
-	m, now := NewMeter(), time.Duration(0)
+	m, now := NewReporter(), time.Duration(0)
 	for i := range 100 {
 		now += Period
 		for j := range 2 * MaxEndpoints {
-			m.Add(now, []Sums{{ID: ID(j), Errors: 1}})
+			m.Add(now, []Stats{{ID: ID(j), Errors: 1}})
 		}
 		m.Tick(now)
 		if len(m.pending) > MaxEndpoints {
@@ -117,8 +117,8 @@
 }
 
 // table has factors of some endpoints, in some parts.
-func table(n Number, factor uint16, endpoints int) Table {
-	t := Table{Number: n, Factors: map[ID]uint16{}}
+func table(n Version, factor uint16, endpoints int) Table {
+	t := Table{Version: n, Factors: map[ID]uint16{}}
 	for i := range endpoints {
 		t.Factors[ID(i)] = factor
 	}
@@ -127,18 +127,18 @@
 
 // A table counts once all of it is there, and never with parts of another.
 func TestTornTable(t *testing.T) {
-	c := NewCopy()
-	first, next := table(Number{1, 1}, 2000, 100).pack(), table(Number{1, 2}, 500, 100).pack()
-	give := func(n Number, i int, parts [][]byte) {
-		c.Take(0, Answer{Table: n, Index: i, Parts: len(parts), Entries: parts[i]})
+	c := NewReplica()
+	first, next := table(Version{1, 1}, 2000, 100).pack(), table(Version{1, 2}, 500, 100).pack()
+	give := func(n Version, i int, parts [][]byte) {
+		c.Apply(0, Answer{Table: n, Index: i, Parts: len(parts), Entries: parts[i]})
 	}
-	give(Number{1, 1}, 0, first)
-	give(Number{1, 2}, 1, next)
-	give(Number{1, 1}, 0, first) // of one that is older than what is known
+	give(Version{1, 1}, 0, first)
+	give(Version{1, 2}, 1, next)
+	give(Version{1, 1}, 0, first) // of one that is older than what is known
 	if f, _ := c.Factors(second, second); len(f) > 0 {
 		t.Fatalf("torn parts are in force: %v", f)
 	}
-	give(Number{1, 2}, 0, next)
+	give(Version{1, 2}, 0, next)
 	for now := second; now < 10*second; now += second {
 		c.fresh = now
 		c.Factors(now, second)
@@ -153,8 +153,8 @@
 
 // In force a factor moves in steps, there and back once the table is old.
 func TestBackInSteps(t *testing.T) {
-	c := NewCopy()
-	c.Take(0, Answer{Table: Number{1, 1}, Index: 0, Parts: 1, Entries: table(Number{1, 1}, 4000, 1).pack()[0]})
+	c := NewReplica()
+	c.Apply(0, Answer{Table: Version{1, 1}, Index: 0, Parts: 1, Entries: table(Version{1, 1}, 4000, 1).pack()[0]})
 	last, top, moves := 0.0, 0.0, 0
 	for now := second; now < 40*second; now += Period {
 		f, changed := c.Factors(now, 10*second)
@@ -179,26 +179,26 @@
 // Answers of another holder or term, to another process, or to what went out long ago are
 // not used.
 func TestAnswersNotUsed(t *testing.T) {
-	good := Answer{From: "h", To: "a", ToIncarnation: 5, Beat: 1, Table: Number{9, 1}, Index: 0, Parts: 1, Entries: table(Number{9, 1}, 2000, 1).pack()[0]}
-	for name, change := range map[string]func(a *Answer, d *Duty, now *time.Duration){
-		"":                   func(*Answer, *Duty, *time.Duration) {},
-		"of another":         func(a *Answer, _ *Duty, _ *time.Duration) { a.From = "g" },
-		"of a term before":   func(a *Answer, _ *Duty, _ *time.Duration) { a.Table.Term = 8 },
-		"nobody holds it":    func(_ *Answer, d *Duty, _ *time.Duration) { *d = Duty{} },
-		"to a former self":   func(a *Answer, _ *Duty, _ *time.Duration) { a.ToIncarnation = 4 },
-		"to what never went": func(a *Answer, _ *Duty, _ *time.Duration) { a.Beat = 2 },
-		"late":               func(_ *Answer, _ *Duty, now *time.Duration) { *now += 3 * second },
-		"impossible factor": func(a *Answer, _ *Duty, _ *time.Duration) {
+	good := Answer{From: "h", To: "a", ToIncarnation: 5, Heartbeat: 1, Table: Version{9, 1}, Index: 0, Parts: 1, Entries: table(Version{9, 1}, 2000, 1).pack()[0]}
+	for name, change := range map[string]func(a *Answer, d *Leadership, now *time.Duration){
+		"":                   func(*Answer, *Leadership, *time.Duration) {},
+		"of another":         func(a *Answer, _ *Leadership, _ *time.Duration) { a.From = "g" },
+		"of a term before":   func(a *Answer, _ *Leadership, _ *time.Duration) { a.Table.Term = 8 },
+		"nobody holds it":    func(_ *Answer, d *Leadership, _ *time.Duration) { *d = Leadership{} },
+		"to a former self":   func(a *Answer, _ *Leadership, _ *time.Duration) { a.ToIncarnation = 4 },
+		"to what never went": func(a *Answer, _ *Leadership, _ *time.Duration) { a.Heartbeat = 2 },
+		"late":               func(_ *Answer, _ *Leadership, now *time.Duration) { *now += 3 * second },
+		"impossible factor": func(a *Answer, _ *Leadership, _ *time.Duration) {
 			a.Entries = []byte{ofFactors, 0, 0, 0, 0, 0, 0, 0, 0, 255, 255}
 		},
-		"too many parts": func(a *Answer, _ *Duty, _ *time.Duration) { a.Parts = mostTableParts + 1 },
+		"too many parts": func(a *Answer, _ *Leadership, _ *time.Duration) { a.Parts = mostTableParts + 1 },
 	} {
-		n, a, d, now := NewNode("a", 2*second, nil), good, Duty{Holder: "h", Term: 9, Incarnation: 5}, 10*second
+		n, a, d, now := NewNode("a", 2*second, nil), good, Leadership{Leader: "h", Term: 9, Incarnation: 5}, 10*second
 		if out := n.Tick(now, nil, nil, d); len(out) != 1 {
 			t.Fatalf("%d messages", len(out))
 		}
 		change(&a, &d, &now)
-		n.TakeAnswer(now, a, d)
+		n.HandleAnswer(now, a, d)
 		if _, got := n.copy.Age(now); got != (name == "") {
 			t.Errorf("%s: used: %v", name, got)
 		}
@@ -223,31 +223,31 @@
 
 // play has gateways send requests for some time to endpoints of one server that can do so
 // much, with so much asked of them, and tell.
-func (f *fed) play(periods, gateways int, can, asked []float64, each func(gateway string, s *Sums)) {
+func (f *fed) play(periods, gateways int, can, asked []float64, each func(gateway string, s *Stats)) {
 	const work = 10 * time.Millisecond
 	for range periods {
 		f.now += Period
 		f.SetEndpoints(f.now, f.list, func(ID) (float64, bool) { return 0, false })
 		for g := range gateways {
-			var sums []Sums
+			var sums []Stats
 			for i := range f.list {
-				s := Sums{ID: ID(i)}
+				s := Stats{ID: ID(i)}
 				part := asked[i] / can[i]
 				for range int(asked[i] / work.Seconds() / float64(gateways)) {
 					took := 1.0 // a queue of Markov's, one server
 					if f.rng.Float64() < part {
 						took += f.rng.ExpFloat64() / (1 - part)
 					}
-					s.Ended(1, false, Served, time.Duration(took*float64(work)/can[i]), work)
+					s.Record(1, false, Served, time.Duration(took*float64(work)/can[i]), work)
 				}
 				if each != nil {
 					each(fmt.Sprint(g), &s)
 				}
 				sums = append(sums, s)
 			}
-			f.Take(fmt.Sprint(g), sums)
+			f.Observe(fmt.Sprint(g), sums)
 		}
-		f.Window(f.now)
+		f.Update(f.now)
 	}
 }
 
@@ -267,19 +267,19 @@
 		t.Errorf("factors %.2f of capacities 2, 2, 1, 1", x)
 	}
 	f = newFed(0, 0)
-	f.play(60, 4, []float64{1, 1}, []float64{0.5, 0.5}, func(_ string, s *Sums) {
+	f.play(60, 4, []float64{1, 1}, []float64{0.5, 0.5}, func(_ string, s *Stats) {
 		for range 10 { // a class whose work is four times what it says, at both; more of it at the second
-			s.Ended(2, false, Served, 40*time.Millisecond, 10*time.Millisecond)
+			s.Record(2, false, Served, 40*time.Millisecond, 10*time.Millisecond)
 		}
 		for range 40 * int(s.ID) {
-			s.Ended(2, false, Served, 40*time.Millisecond, 10*time.Millisecond)
+			s.Record(2, false, Served, 40*time.Millisecond, 10*time.Millisecond)
 		}
 	})
 	if x := f.factors(); x[1]/x[0] < 0.8 || x[1]/x[0] > 2 {
 		t.Errorf("factors %.2f of capacities 1 and, by the dear class, 2 at most", x)
 	}
 	f = newFed(0, 0)
-	f.play(60, 4, []float64{1, 1}, []float64{0.5, 0.5}, func(_ string, s *Sums) { s.Errors += 12 * uint64(s.ID) })
+	f.play(60, 4, []float64{1, 1}, []float64{0.5, 0.5}, func(_ string, s *Stats) { s.Errors += 12 * uint64(s.ID) })
 	if x := f.factors(); x[1]/x[0] > 0.7 {
 		t.Errorf("factors %.2f, and the second answers half with errors", x)
 	}
@@ -313,7 +313,7 @@
 	can, asked := []float64{1, 1, 1}, []float64{0.5, 0.5, 0.5}
 	honest.play(30, 5, can, asked, nil)
 	lied := newFed(0, 0, 0)
-	lied.play(30, 5, can, asked, func(gateway string, s *Sums) {
+	lied.play(30, 5, can, asked, func(gateway string, s *Stats) {
 		if gateway == "3" && s.ID == 1 {
 			for i := range s.Cells {
 				s.Cells[i].Served, s.Cells[i].Work, s.Cells[i].Time = 10*s.Cells[i].Served, 10*s.Cells[i].Work, s.Cells[i].Time/100
@@ -324,9 +324,9 @@
 		t.Errorf("factors %.2f where one of five tells ten times its work in a hundredth of its time", x)
 	}
 	wild := newFed(0, 0, 0)
-	wild.play(30, 5, can, asked, func(gateway string, s *Sums) {
+	wild.play(30, 5, can, asked, func(gateway string, s *Stats) {
 		if gateway == "3" {
-			*s = Sums{ID: s.ID, Cells: []Cell{{Class: 9, Served: mostSeen, Time: 1, Work: mostSeen}}, Silent: mostSeen, Errors: mostSeen}
+			*s = Stats{ID: s.ID, Cells: []Cell{{Class: 9, Served: mostSeen, Time: 1, Work: mostSeen}}, TimedOut: mostSeen, Errors: mostSeen}
 		}
 	})
 	a := NewAssigner(1, nil)
@@ -344,7 +344,7 @@
 func TestAssigned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewAssigner(1, map[ID]float64{})
-		last, number := map[ID]float64{}, Number{}
+		last, number := map[ID]float64{}, Version{}
 		for range 6 {
 			var all []Estimate
 			for i := range rapid.IntRange(1, 12).Draw(t, "endpoints") {
@@ -355,9 +355,9 @@
 			}
 			next := a.Step(all, nil)
 			if next.Less(number) {
-				t.Fatalf("%v after %v", next.Number, number)
+				t.Fatalf("%v after %v", next.Version, number)
 			}
-			number = next.Number
+			number = next.Version
 			now, sum, nominal := map[ID]float64{}, 0.0, 0.0
 			least, most := math.Inf(1), math.Inf(-1)
 			for _, e := range all {
@@ -383,7 +383,7 @@
 	a := NewAssigner(1, map[ID]float64{})
 	still := []Estimate{{Endpoint: Endpoint{ID: 1, Nominal: 1, Ready: true, Warmth: 1}, Factor: 1.2, Deviation: 0.3}, {Endpoint: Endpoint{ID: 2, Nominal: 1, Ready: true, Warmth: 1}, Factor: 0.8, Deviation: 0.3}}
 	for range 5 {
-		if x := a.Step(still, nil); x.N != 1 || len(x.Factors) > 0 {
+		if x := a.Step(still, nil); x.Seq != 1 || len(x.Factors) > 0 {
 			t.Fatalf("%+v within the noise", x)
 		}
 	}
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -14,11 +14,11 @@
 // outgoing is a contract's message, which is sent once no lock is held.
 type outgoing struct {
 	contract string
-	quota.Out
+	quota.Outgoing
 }
 
 // out appends messages of the contract to those before.
-func (c *contract) out(all []quota.Out, before []outgoing) []outgoing {
+func (c *contract) out(all []quota.Outgoing, before []outgoing) []outgoing {
 	for _, o := range all {
 		before = append(before, outgoing{c.Name, o})
 	}
@@ -54,7 +54,7 @@
 
 // report puts the limit in force that goes with a report, and then lets that go out.
 func (f *Fleet) report(c *contract, before []outgoing) []outgoing {
-	requests, work := c.Account.Asked()
+	requests, work := c.Account.Requested()
 	now := f.now()
 	c.demand = c.meter.Add(now, requests, work)
 	out := c.node.Tick(now, c.demand, f.candidates(c.Name, &c.order))
@@ -72,12 +72,12 @@
 		return nil
 	}
 	if m.Report != nil {
-		return c.out(c.node.TakeReport(f.now(), *m.Report), nil)
+		return c.out(c.node.HandleReport(f.now(), *m.Report), nil)
 	}
 	const starts = 3 // of one process after another, each of which may be told of the one before
-	before := c.node.Bumped()
-	out := c.node.TakeReply(f.now(), *m.Reply)
-	if c.node.Bumped() > max(before, starts) && !f.twice.Swap(true) {
+	before := c.node.IncarnationBumps()
+	out := c.node.HandleReply(f.now(), *m.Reply)
+	if c.node.IncarnationBumps() > max(before, starts) && !f.twice.Swap(true) {
 		slog.Error("fleet: another process has this gateway's name: each takes the part of both for its own", "name", f.config.Name)
 	}
 	f.enforce(c)
@@ -94,7 +94,7 @@
 		slog.Debug("fleet: steward", "contract", c.Name, "steward", steward, "before", c.was)
 		c.was = steward
 	}
-	f.publish(func(s *Status) { s.Contracts[c.Name] = Standing{Limit: l, Steward: steward, Demand: c.demand} })
+	f.publish(func(s *Status) { s.Contracts[c.Name] = ContractStatus{Limit: l, Steward: steward, Demand: c.demand} })
 }
 
 // sendAll sends what is to go out. Messages to this process itself are taken at once.
--- a/internal/front/http1/conns.go
+++ b/internal/front/http1/conns.go
@@ -133,7 +133,7 @@
 	} else if !c.resting.Load() {
 		return
 	}
-	if c.moved.Load() <= int64(since) && !c.ending && c.mayClose(permit.Close{Waiting: c.readable()}) {
+	if c.moved.Load() <= int64(since) && !c.ending && c.mayClose(permit.Close{UnreadData: c.readable()}) {
 		c.ending = true
 		c.TCPConn.SetReadDeadline(longAgo)
 	}
@@ -337,9 +337,9 @@
 	return errSentTooMuch
 }
 
-// Left reports whether the client has closed the connection, or it is broken, and nothing
+// Disconnected reports whether the client has closed the connection, or it is broken, and nothing
 // waits to be read on it.
-func (c *clientConn) Left() bool {
+func (c *clientConn) Disconnected() bool {
 	_, closed := peek.Peek(c.TCPConn)
 	return closed
 }
--- a/internal/front/http1/conntable.go
+++ b/internal/front/http1/conntable.go
@@ -73,7 +73,7 @@
 	defer t.mu.Unlock()
 	now := front.Now()
 	for c := range t.conns {
-		if c.mayClose(permit.Close{Answering: c.busy}) {
+		if c.mayClose(permit.Close{AnswerPending: c.busy}) {
 			c.endResting(now-rested, now-max(rested, t.first))
 		}
 	}
@@ -89,7 +89,7 @@
 		if over < 0 {
 			return
 		}
-		if c.mayClose(permit.Close{Answering: c.busy}) && c.resting.Load() && c.moved.Load() < int64(long) {
+		if c.mayClose(permit.Close{AnswerPending: c.busy}) && c.resting.Load() && c.moved.Load() < int64(long) {
 			c.endResting(long, long)
 			over--
 		}
@@ -156,7 +156,7 @@
 		}
 		worth, may := c.worth(long)
 		if !may || worst != nil && (worth > least || worth == least && c.moved.Load() >= worst.moved.Load()) ||
-			!c.mayClose(permit.Close{Waiting: c.readable()}) { // its request is here and only has not been looked at
+			!c.mayClose(permit.Close{UnreadData: c.readable()}) { // its request is here and only has not been looked at
 			c.mu.Unlock()
 			continue
 		}
@@ -179,7 +179,7 @@
 // make room; long is when those that have rested long last moved. Its mu is held, and the table's.
 func (c *clientConn) worth(long int64) (worth int, may bool) {
 	switch resting := c.resting.Load(); {
-	case !c.mayClose(permit.Close{Answering: c.busy}):
+	case !c.mayClose(permit.Close{AnswerPending: c.busy}):
 		return 0, false
 	case !c.heard.Load():
 		return 0, true
@@ -188,7 +188,7 @@
 	case resting:
 		return 3, true
 	}
-	return 2, !c.answered && c.mayClose(permit.Close{Answering: c.asked})
+	return 2, !c.answered && c.mayClose(permit.Close{AnswerPending: c.asked})
 }
 
 // state follows the server's connections: idle ones have had their answer
--- a/internal/front/http1/handler.go
+++ b/internal/front/http1/handler.go
@@ -41,7 +41,7 @@
 		return
 	}
 	x, refused := in.core.Open(&core.Head{
-		Method: r.Method, Target: target.Origin(r.RequestURI), Host: r.Host, Header: r.Header, Length: r.ContentLength, Client: conn,
+		Method: r.Method, Target: target.OriginForm(r.RequestURI), Host: r.Host, Header: r.Header, Length: r.ContentLength, Client: conn,
 	})
 	rc := http.NewResponseController(w)
 	if refused != nil {
@@ -55,7 +55,7 @@
 	if r.ContentLength != 0 {
 		body = front.Pace(body, rc, time.Duration(conn.begun.Load()))
 	}
-	held, more, err := front.ReadBody(body, r.ContentLength, x.Hold)
+	held, more, err := front.ReadBody(body, r.ContentLength, x.ReserveBody)
 	switch {
 	case err != nil:
 		a := front.NotWhole(err)
@@ -74,7 +74,7 @@
 		x.Drop(nil)
 		in.write(w, r, conn, followsTooSoon())
 		return
-	case conn.Left(), !conn.take():
+	case conn.Disconnected(), !conn.take():
 		x.Drop(nil)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/front/http1/http1_test.go
+++ b/internal/front/http1/http1_test.go
@@ -101,11 +101,11 @@
 	t.Helper()
 	const limit, crowd = 140, 40
 	c := core.ServiceConfig{
-		Kinds: []string{"std"}, Rooms: []core.Room{{Bodies: budget.New(12<<20).Join(1, nil)}}, Seed: 1,
-		Pool:    upstream.NewPool(upstream.Shares{Slots: budget.New(94).Join(1, nil), Long: budget.New(8<<20).Join(1, nil)}, time.Second, 10*time.Second),
+		Kinds: []string{"std"}, Limits: []core.FrontLimits{{Bodies: budget.New(12<<20).Join(1, nil)}}, Seed: 1,
+		Pool:    upstream.NewPool(upstream.Resources{Slots: budget.New(94).Join(1, nil), StreamBytes: budget.New(8<<20).Join(1, nil)}, time.Second, 10*time.Second),
 		Figures: figures.New(),
 		Settings: core.Settings{Classes: []string{"tile", "report"}, Policy: policy.Settings{
-			FleetSize: 1, MaxAttempts: 3, Cancel: true, ConnIdle: 10 * time.Second,
+			FleetSize: 1, MaxAttempts: 3, Cancel: true, ConnIdleTimeout: 10 * time.Second,
 			Classes: []policy.Class{
 				{Aim: 4 * time.Second, Deadline: 8 * time.Second, Worth: 1, LateWorth: 0.5},
 				{Aim: 4 * time.Second, Deadline: 8 * time.Second, Worth: 1, LateWorth: 0.5,
@@ -124,9 +124,9 @@
 	for i, addr := range endpoints {
 		known = append(known, discovery.Entry{ID: fmt.Sprint("s", i), Addr: addr, Kind: "std", State: "active", Weight: 1})
 	}
-	service.List(known, true)
+	service.UpdateEndpoints(known, true)
 	table, err := core.NewTable(false, core.Mount{Service: service, Classes: []core.Class{
-		core.PlainClass("tile", policy.Repeatable), core.PlainClass("report", policy.Keyed),
+		core.DefaultClass("tile", policy.Idempotent), core.DefaultClass("report", policy.Keyed),
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -406,7 +406,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	}
 	s := start(t, func(c *core.ServiceConfig) {
-		c.Policy.SecondCopies = true
+		c.Policy.HedgedAttempts = true
 		c.Policy.Classes[0].Aim = 100 * time.Millisecond
 	}, listenEndpoint(t, serve), listenEndpoint(t, serve))
 	c := dial(t, s)
--- a/internal/front/http1/plain.go
+++ b/internal/front/http1/plain.go
@@ -181,7 +181,7 @@
 	}
 	p.mu.Unlock()
 	if x != nil {
-		x.Leave()
+		x.ClientDisconnected()
 	}
 }
 
@@ -308,7 +308,7 @@
 		p.drop(a)
 		return p.refuse(a, body, true)
 	}
-	x.Came(p.unread())
+	x.SetReceived(p.unread())
 	if p.extra.Load() || p.full && p.readable() {
 		p.drop(nil)
 		return p.write(followsTooSoon(), true)
@@ -341,7 +341,7 @@
 	ended := false
 	defer func() {
 		if !ended { // it panicked
-			x.Lost("http1")
+			x.RecordUnanswered("http1")
 		}
 	}()
 	defer logPanic()
@@ -449,7 +449,7 @@
 	if b.left == 0 {
 		return nil, nil
 	}
-	text, _, err := front.ReadBody(b.paced(), b.left, x.Hold)
+	text, _, err := front.ReadBody(b.paced(), b.left, x.ReserveBody)
 	return text, err
 }
 
--- a/internal/front/http1/plain_test.go
+++ b/internal/front/http1/plain_test.go
@@ -108,7 +108,7 @@
 	const all = 1 << 20
 	bodies := budget.New(all).Join(1, nil)
 	addr, _, _ := listenSilent(t)
-	s := start(t, func(c *core.ServiceConfig) { c.Rooms = []core.Room{{Bodies: bodies}} }, addr)
+	s := start(t, func(c *core.ServiceConfig) { c.Limits = []core.FrontLimits{{Bodies: bodies}} }, addr)
 	closed := make(chan job)
 	close(closed)
 	s.workers.idle = append(s.workers.idle, closed) // a job sent there panics
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -238,7 +238,7 @@
 // as they may, or the end is near.
 func (s *Server) drainYielded(asked time.Time, accepting <-chan error) (done bool) {
 	slog.Info("stopping; another process has taken over")
-	patience := min(s.core.Deadline(), longestWait) + yieldMargin
+	patience := min(s.core.MaxDeadline(), longestWait) + yieldMargin
 	for empty := asked; done || s.listener.isPaused() != nil; time.Sleep(stopPoll) {
 		rested := mayRest
 		if time.Since(asked) > patience {
@@ -266,7 +266,7 @@
 // finished reports whether nothing is left that is worth waiting for.
 func (s *Server) finished(asked time.Time) bool {
 	all, _, moving := s.conns.count(front.Now() - stillMoving)
-	late := time.Since(asked) > acceptAfterStop+s.core.Deadline()
+	late := time.Since(asked) > acceptAfterStop+s.core.MaxDeadline()
 	if all > 0 && (!late || moving > 0) {
 		return false
 	}
--- a/internal/front/http1/unread_test.go
+++ b/internal/front/http1/unread_test.go
@@ -26,7 +26,7 @@
 	<-time.After(unread)
 	t.Cleanup(serve(s))
 	us, err := strconv.Atoi(strings.TrimSuffix(<-told, "u"))
-	if most := deadline - unread + permit.HoldUp; err != nil || time.Duration(us)*time.Microsecond > most {
+	if most := deadline - unread + permit.MaxStall; err != nil || time.Duration(us)*time.Microsecond > most {
 		t.Errorf("told %d us, of which %v are left at most: %v", us, most, err)
 	}
 }
--- a/internal/front/http3/handler.go
+++ b/internal/front/http3/handler.go
@@ -48,7 +48,7 @@
 		return
 	}
 	body := front.Pace(r.Body, rc, begun)
-	held, more, err := front.ReadBody(body, length, x.Hold)
+	held, more, err := front.ReadBody(body, length, x.ReserveBody)
 	switch {
 	case err != nil:
 		in.notWhole(w, r, c, x, err)
--- a/internal/front/http3/server.go
+++ b/internal/front/http3/server.go
@@ -246,7 +246,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			patience := max(s.patience, s.core.Deadline()+requestPatience)
+			patience := max(s.patience, s.core.MaxDeadline()+requestPatience)
 			for _, c := range s.each() {
 				if c.heldFor() > patience {
 					c.quic.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeExcessiveLoad), "no request has come whole")
@@ -271,7 +271,7 @@
 // (H3_REQUEST_REJECTED) and the client's to send again, and connections are
 // closed once nothing is open on them.
 func (s *Server) drain() {
-	patience, cancel := context.WithTimeout(context.Background(), s.core.Deadline()+requestPatience)
+	patience, cancel := context.WithTimeout(context.Background(), s.core.MaxDeadline()+requestPatience)
 	defer cancel()
 	ended := make(chan struct{})
 	go func() {
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -30,7 +30,7 @@
 
 // MaxKeys bounds the keys that are passed of a service: all that it remembers. With
 // fewer the older ones of a busy service were lost on the way.
-const MaxKeys = keyed.Most
+const MaxKeys = keyed.MaxKeys
 
 const (
 	magic    = "SGWH"
@@ -81,7 +81,7 @@
 	Disabled []string         `json:",omitempty"` // endpoints, by operators
 	Classes  []string         // names, by the places that the rest knows
 	Learnt   learnt.Record    `json:",omitempty"`
-	Standing *broker.Standing `json:",omitempty"` // of its contracts
+	Standing *broker.Snapshot `json:",omitempty"` // of its contracts
 	Keys     []keyed.Note     `json:",omitempty"` // of requests whose effect may have run
 	Moves    []moves.Record   `json:",omitempty"`
 }
--- a/internal/keyed/keyed.go
+++ b/internal/keyed/keyed.go
@@ -15,12 +15,12 @@
 	"spokegw/policy"
 )
 
-// Most bounds the keys that are remembered; of more than that the oldest go. They
+// MaxKeys bounds the keys that are remembered; of more than that the oldest go. They
 // are some seconds' worth at the rates that come to a sidecar.
-const Most = 8192
+const MaxKeys = 8192
 
 // margin is the part of a window that is left unused by who decides on a repeat: it has
-// a way to go, and maybe a connection to wait for. At least permit.HoldUp is left.
+// a way to go, and maybe a connection to wait for. At least permit.MaxStall is left.
 const margin = 0.15
 
 // entry is a key whose effect may have run.
@@ -53,34 +53,34 @@
 	return &Table{over: wheel.New(tick), oldest: compact.None, youngest: compact.None}
 }
 
-// Earlier is where and when the effect of a key may have run.
-type Earlier struct{ entry entry }
+// PriorSend is where and when the effect of a key may have run.
+type PriorSend struct{ entry entry }
 
 // Allows reports whether a repeat may go to an endpoint now: it drops what has run
 // already. Where the window is over, and the client has not given up yet, none does.
-func (e Earlier) Allows(now time.Duration, to policy.Endpoint) bool {
+func (e PriorSend) Allows(now time.Duration, to policy.Endpoint) bool {
 	window := e.entry.window
-	if now-e.entry.sent >= min(time.Duration(float64(window)*(1-margin)), window-permit.HoldUp) {
+	if now-e.entry.sent >= min(time.Duration(float64(window)*(1-margin)), window-permit.MaxStall) {
 		return false
 	}
 	return e.entry.meets(to)
 }
 
 // Mask is which pools the key met.
-func (e Earlier) Mask() moves.Mask { return e.entry.mask }
+func (e PriorSend) Mask() moves.Mask { return e.entry.mask }
 
 // Find tells what is remembered of a key; ok is false where nothing of it can run
 // or have run.
-func (t *Table) Find(now time.Duration, key uint64) (e Earlier, ok bool) {
+func (t *Table) Find(now time.Duration, key uint64) (e PriorSend, ok bool) {
 	h := t.entries.Find(key)
 	if h == compact.None || now >= t.entries.At(h).until {
-		return Earlier{}, false
+		return PriorSend{}, false
 	}
-	return Earlier{*t.entries.At(h)}, true
+	return PriorSend{*t.entries.At(h)}, true
 }
 
-// Sent notes that an attempt of a key goes to an endpoint. Its class is Keyed.
-func (t *Table) Sent(now time.Duration, key uint64, c *policy.Class, to policy.Endpoint, mask moves.Mask) {
+// RecordSent notes that an attempt of a key goes to an endpoint. Its class is Keyed.
+func (t *Table) RecordSent(now time.Duration, key uint64, c *policy.Class, to policy.Endpoint, mask moves.Mask) {
 	h := t.entries.Find(key)
 	if h == compact.None || now >= t.entries.At(h).until {
 		h = t.add(now, key, entry{
@@ -90,9 +90,9 @@
 	t.entries.At(h).out++
 }
 
-// RepeatBy tells when the window ends in which its endpoint drops an attempt of a key, that was
+// DedupUntil tells when the window ends in which its endpoint drops an attempt of a key, that was
 // just noted as sent, as a repeat; ok is false where it is none.
-func (t *Table) RepeatBy(key uint64) (end time.Duration, ok bool) {
+func (t *Table) DedupUntil(key uint64) (end time.Duration, ok bool) {
 	h := t.entries.Find(key)
 	if h == compact.None {
 		return 0, false
@@ -128,9 +128,9 @@
 	return true
 }
 
-// Ended notes the end of an attempt that was sent. neverRan tells that it is
+// RecordEnded notes the end of an attempt that was sent. neverRan tells that it is
 // proved not to have run.
-func (t *Table) Ended(key uint64, neverRan bool) {
+func (t *Table) RecordEnded(key uint64, neverRan bool) {
 	h := t.entries.Find(key)
 	if h == compact.None {
 		return
@@ -149,10 +149,10 @@
 	if h := t.entries.Find(key); h != compact.None {
 		t.remove(h)
 	}
-	if t.entries.Len() >= Most {
+	if t.entries.Len() >= MaxKeys {
 		t.remove(t.oldest)
 	}
-	h, _ := t.entries.Put(key)
+	h, _ := t.entries.FindOrInsert(key)
 	*t.entries.At(h) = e
 	t.link(h, t.before(e.sent))
 	t.over.Set(h, e.until)
@@ -260,7 +260,7 @@
 		t.meet(now, h, next)
 		return
 	}
-	if t.over.Advance(now, t.remove); t.entries.Len() >= Most && next.sent < t.entries.At(t.oldest).sent {
+	if t.over.Advance(now, t.remove); t.entries.Len() >= MaxKeys && next.sent < t.entries.At(t.oldest).sent {
 		return // there is room for the youngest only
 	}
 	t.add(now, n.Key, next)
--- a/internal/keyed/keyed_test.go
+++ b/internal/keyed/keyed_test.go
@@ -25,7 +25,7 @@
 // until the client has given up; then the key is a new one.
 func TestRepeats(t *testing.T) {
 	table := New()
-	table.Sent(0, 7, inCell, in(3), 0)
+	table.RecordSent(0, 7, inCell, in(3), 0)
 	for _, c := range []struct {
 		at    time.Duration
 		cell  int
@@ -49,22 +49,22 @@
 // forgotten only when nothing of it is out.
 func TestEnds(t *testing.T) {
 	table := New()
-	table.Sent(0, 7, inCell, in(3), 0)
-	table.Sent(100*ms, 7, inCell, in(3), 0)
-	table.Ended(7, true)
+	table.RecordSent(0, 7, inCell, in(3), 0)
+	table.RecordSent(100*ms, 7, inCell, in(3), 0)
+	table.RecordEnded(7, true)
 	if _, known := table.Find(200*ms, 7); !known {
 		t.Error("a key with an attempt out is forgotten")
 	}
 	if e, _ := table.Find(520*ms, 7); e.Allows(520*ms, in(3)) {
 		t.Error("the window counts from the second send")
 	}
-	table.Ended(7, true)
+	table.RecordEnded(7, true)
 	if _, known := table.Find(200*ms, 7); known {
 		t.Error("a key that never ran is remembered")
 	}
-	table.Sent(300*ms, 7, inCell, in(5), 0)
-	table.Ended(7, false)
-	table.Ended(7, true) // one too many
+	table.RecordSent(300*ms, 7, inCell, in(5), 0)
+	table.RecordEnded(7, false)
+	table.RecordEnded(7, true) // one too many
 	if e, known := table.Find(400*ms, 7); !known || !e.Allows(400*ms, in(5)) || e.Allows(400*ms, in(3)) {
 		t.Error("a key that may have run is forgotten, or goes elsewhere")
 	}
@@ -74,7 +74,7 @@
 	for scope, may := range map[policy.Scope]bool{policy.ScopeAll: true, policy.ScopeZone: true, policy.ScopeCell: false} {
 		table, c := New(), *inCell
 		c.Scope = scope
-		table.Sent(0, 1, &c, in(11), 0)
+		table.RecordSent(0, 1, &c, in(11), 0)
 		e, _ := table.Find(0, 1)
 		if e.Allows(0, in(12)) != may || e.Allows(0, in(31)) != (scope == policy.ScopeAll) {
 			t.Errorf("scope %d", scope)
@@ -87,10 +87,10 @@
 func TestPassedOn(t *testing.T) {
 	const here, there = 50 * time.Second, 9 * time.Hour
 	old := New()
-	old.Sent(here, 1, inCell, in(3), 0)
-	old.Sent(here+100*ms, 2, inCell, in(4), 0)
-	old.Sent(here, 3, inCell, in(5), 0)
-	old.Ended(3, true)
+	old.RecordSent(here, 1, inCell, in(3), 0)
+	old.RecordSent(here+100*ms, 2, inCell, in(4), 0)
+	old.RecordSent(here, 3, inCell, in(5), 0)
+	old.RecordEnded(3, true)
 	text, err := json.Marshal(old.Notes(here+200*ms, 10))
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 					model[k] = &plain{at: now, cell: cell}
 				}
 				model[k].out++
-				table.Sent(now, k, inCell, in(cell), 0)
+				table.RecordSent(now, k, inCell, in(cell), 0)
 			},
 			"end": func(t *rapid.T) {
 				k, never := key.Draw(t, "key"), rapid.Bool().Draw(t, "never ran")
@@ -166,7 +166,7 @@
 				if p.ran = p.ran || !never; p.out == 0 && !p.ran {
 					delete(model, k)
 				}
-				table.Ended(k, never)
+				table.RecordEnded(k, never)
 			},
 			"": func(t *rapid.T) {
 				for k := range uint64(6) {
@@ -175,7 +175,7 @@
 					if want := p != nil && !over(p) && (p.out > 0 || p.ran); known != want {
 						t.Fatalf("key %d: known %v", k, known)
 					}
-					if known && e.Allows(now, in(p.cell)) != (now-p.at < min(inCell.DedupWindow*85/100, inCell.DedupWindow-permit.HoldUp)) {
+					if known && e.Allows(now, in(p.cell)) != (now-p.at < min(inCell.DedupWindow*85/100, inCell.DedupWindow-permit.MaxStall)) {
 						t.Fatalf("key %d of %v at %v: allowed %v", k, p.at, now, e.Allows(now, in(p.cell)))
 					}
 				}
@@ -186,16 +186,16 @@
 
 func TestBound(t *testing.T) {
 	table := New()
-	for i := range 3 * Most {
-		table.Sent(time.Duration(i), uint64(i), inCell, in(1), 0)
+	for i := range 3 * MaxKeys {
+		table.RecordSent(time.Duration(i), uint64(i), inCell, in(1), 0)
 	}
-	if table.Len() != Most || table.over.Len() != Most {
+	if table.Len() != MaxKeys || table.over.Len() != MaxKeys {
 		t.Errorf("%d keys, %d timers", table.Len(), table.over.Len())
 	}
-	if _, known := table.Find(3*Most, 3*Most-1); !known {
+	if _, known := table.Find(3*MaxKeys, 3*MaxKeys-1); !known {
 		t.Error("the youngest is not remembered")
 	}
-	if n := table.Notes(3*Most, 100); len(n) != 100 || n[0].Key != 3*Most-1 {
+	if n := table.Notes(3*MaxKeys, 100); len(n) != 100 || n[0].Key != 3*MaxKeys-1 {
 		t.Errorf("%d notes", len(n))
 	}
 }
@@ -204,17 +204,17 @@
 // it goes first, its oldest before its younger.
 func TestBoundOfTold(t *testing.T) {
 	table := New()
-	for i := range Most - 2 {
-		table.Sent(ms, uint64(i), inCell, in(1), 0)
+	for i := range MaxKeys - 2 {
+		table.RecordSent(ms, uint64(i), inCell, in(1), 0)
 	}
 	for i := range 3 {
-		table.Adopt(ms, Note{Key: uint64(Most + i), Age: time.Duration(i+1) * ms, Window: 600 * ms, Left: 900 * ms})
+		table.Adopt(ms, Note{Key: uint64(MaxKeys + i), Age: time.Duration(i+1) * ms, Window: 600 * ms, Left: 900 * ms})
 	}
 	known := func(key uint64) bool { _, known := table.Find(ms, key); return known }
-	if !known(0) || !known(Most) || !known(Most+1) || known(Most+2) {
+	if !known(0) || !known(MaxKeys) || !known(MaxKeys+1) || known(MaxKeys+2) {
 		t.Error("not the youngest are known")
 	}
-	if table.Sent(ms, 9*Most, inCell, in(1), 0); !known(0) || !known(Most) || known(Most+1) || !known(9*Most) {
+	if table.RecordSent(ms, 9*MaxKeys, inCell, in(1), 0); !known(0) || !known(MaxKeys) || known(MaxKeys+1) || !known(9*MaxKeys) {
 		t.Error("another than the oldest was dropped")
 	}
 }
@@ -223,9 +223,9 @@
 func TestShortBehindLong(t *testing.T) {
 	table, long := New(), *inCell
 	long.Deadline = time.Minute
-	table.Sent(0, 1, &long, in(1), 0)
-	table.Sent(0, 2, inCell, in(1), 0)
-	table.Sent(2*time.Second, 3, inCell, in(1), 0)
+	table.RecordSent(0, 1, &long, in(1), 0)
+	table.RecordSent(0, 2, inCell, in(1), 0)
+	table.RecordSent(2*time.Second, 3, inCell, in(1), 0)
 	if table.Len() != 2 {
 		t.Errorf("%d keys are remembered", table.Len())
 	}
@@ -271,7 +271,7 @@
 					if e, known := own.table.Find(0, 7); known {
 						r.to = in(e.entry.cell)
 					}
-					own.table.Sent(0, 7, inCell, r.to, 0)
+					own.table.RecordSent(0, 7, inCell, r.to, 0)
 				case 2:
 					n, _ := own.table.NoteOf(0, 7)
 					other.inbox = append(other.inbox, n)
@@ -281,10 +281,10 @@
 						ran[r.to.Cell] = true
 					}
 					if !r.neverRan {
-						own.table.Ended(7, !r.claimed)
+						own.table.RecordEnded(7, !r.claimed)
 					}
 				case 4: // the end of one that never ran
-					own.table.Ended(7, true)
+					own.table.RecordEnded(7, true)
 				}
 			}
 			if len(ran) > 1 {
@@ -326,8 +326,8 @@
 		if _, known := table.Find(now, uint64(i)); known {
 			b.Fatal("known")
 		}
-		table.Sent(now, uint64(i), inCell, in(1), 0)
-		table.Ended(uint64(i), false)
+		table.RecordSent(now, uint64(i), inCell, in(1), 0)
+		table.RecordEnded(uint64(i), false)
 	}
 	b.ReportMetric(float64(table.Len()), "keys")
 }
--- a/internal/lab/gateways/schedule.go
+++ b/internal/lab/gateways/schedule.go
@@ -28,7 +28,7 @@
 		for_ := time.Duration(w.Rand.Int64N(int64(6 * time.Second)))
 		switch kind := w.Rand.IntN(10); kind {
 		case 0, 1, 2:
-			d := quota.Of(w.Rand.Float64() * w.Rand.Float64() * 2)
+			d := quota.PartOf(w.Rand.Float64() * w.Rand.Float64() * 2)
 			add(at, fmt.Sprintf("demand of %d is %.3f", a, d.Fraction()), func(w *World) { w.Nodes[a].Demand = d })
 		case 3:
 			add(at, fmt.Sprintf("cut %d to %d for %v", a, b, for_), func(w *World) { w.Cut[[2]int{a, b}] = true })
--- a/internal/lab/gateways/world.go
+++ b/internal/lab/gateways/world.go
@@ -49,14 +49,14 @@
 }
 
 func (l leases) Take(now time.Duration, body any) []Message {
-	out := body.(quota.Out)
+	out := body.(quota.Outgoing)
 	if out.Report != nil {
-		return messages(l.node.TakeReport(now, *out.Report))
+		return messages(l.node.HandleReport(now, *out.Report))
 	}
-	return messages(l.node.TakeReply(now, *out.Reply))
+	return messages(l.node.HandleReply(now, *out.Reply))
 }
 
-func messages(all []quota.Out) (out []Message) {
+func messages(all []quota.Outgoing) (out []Message) {
 	for _, o := range all {
 		out = append(out, Message{o.To, o})
 	}
--- a/internal/lab/hardware/contract.go
+++ b/internal/lab/hardware/contract.go
@@ -16,7 +16,7 @@
 type contract struct {
 	node   *quota.Node
 	broker *broker.Broker
-	meter  quota.Meter
+	meter  quota.DemandMeter
 }
 
 // newContract is that of a gateway that has just started; nil: there is no quota.
@@ -24,30 +24,30 @@
 	if l.Quota == 0 {
 		return nil
 	}
-	call := broker.Call{Classes: broker.AllClasses, Rate: l.Quota, Burst: l.Burst, Shared: true}
+	call := broker.CallLimits{Classes: broker.AllClasses, Rate: l.Quota, Burst: l.Burst, Shared: true}
 	return &contract{
 		node:   quota.NewNode(now, set, name, incarnation, plan),
-		broker: broker.New(now, broker.Terms{Classes: len(l.Classes), Contracts: []broker.Contract{{Team: team, Calls: []broker.Call{call}}}}),
+		broker: broker.New(now, broker.Terms{Classes: len(l.Classes), Contracts: []broker.Contract{{Team: team, Calls: []broker.CallLimits{call}}}}),
 	}
 }
 
-func (c *contract) tick(now time.Duration, candidates []string) []quota.Out {
-	requests, work := c.broker.Asked(team, 0)
+func (c *contract) tick(now time.Duration, candidates []string) []quota.Outgoing {
+	requests, work := c.broker.Demand(team, 0)
 	return c.node.Tick(now, c.meter.Add(now, requests, work), candidates)
 }
 
 // take takes another's message.
-func (c *contract) take(now time.Duration, o quota.Out) []quota.Out {
+func (c *contract) take(now time.Duration, o quota.Outgoing) []quota.Outgoing {
 	if o.Report != nil {
-		return c.node.TakeReport(now, *o.Report)
+		return c.node.HandleReport(now, *o.Report)
 	}
-	return c.node.TakeReply(now, *o.Reply)
+	return c.node.HandleReply(now, *o.Reply)
 }
 
 // enforce puts the limit in force that goes with the latest event.
 func (c *contract) enforce(now time.Duration) quota.Limit {
 	limit := c.node.Limit(now)
-	c.broker.SetPart(now, team, 0, limit.Own.Fraction(), limit.Grant.Fraction(), limit.Until)
+	c.broker.SetQuota(now, team, 0, limit.Own.Fraction(), limit.Grant.Fraction(), limit.Until)
 	return limit
 }
 
@@ -57,7 +57,7 @@
 		return true
 	}
 	ticket, verdict := g.contract.broker.Admit(g.clock(), team, c.class, c.hint.Seconds())
-	if verdict.Kind != broker.Admitted {
+	if verdict.Outcome != broker.Admitted {
 		return false
 	}
 	c.ticket = &ticket
@@ -74,16 +74,16 @@
 }
 
 // charged tells the contract what became of a request that it admitted.
-func (g *gateway) charged(c *call, how broker.Ending) {
+func (g *gateway) charged(c *call, how broker.AttemptResult) {
 	if c.ticket != nil {
-		g.contract.broker.Ended(g.clock(), c.ticket, false, how, g.lab.Now-c.begun, g.lab.Classes[c.class].Aim)
+		g.contract.broker.AttemptEnded(g.clock(), c.ticket, false, how, g.lab.Now-c.begun, g.lab.Classes[c.class].Aim)
 		c.ticket = nil
 	}
 }
 
 func (g *gateway) clock() time.Duration { return g.lab.Clock(g.lab.Node(g.name)) }
 
-func quotaMessages(all []quota.Out) (out []gateways.Message) {
+func quotaMessages(all []quota.Outgoing) (out []gateways.Message) {
 	for _, o := range all {
 		out = append(out, gateways.Message{To: o.To, Body: o})
 	}
--- a/internal/lab/hardware/gateway.go
+++ b/internal/lab/hardware/gateway.go
@@ -20,21 +20,21 @@
 	name     string
 	node     *council.Node
 	balancer *policy.Balancer
-	sums     []weights.Sums
+	sums     []weights.Stats
 	sizes    map[weights.ID]float64
 	calls    map[policy.RequestID]*call
 	inFlight []int
 	away     []bool // the module has it as draining
 	fails    map[string]int
-	asked    weights.Sums
-	door     *sites.Door
+	asked    weights.Stats
+	door     *sites.Enforcer
 	contract *contract // nil: there is no quota
 }
 
 // start starts a gateway, also anew.
 func (l *Lab) start(now time.Duration, set quota.Settings, name string, incarnation uint64, plan []quota.Gateway) gateways.Way {
-	g := &gateway{lab: l, name: name, sums: make([]weights.Sums, len(l.Servers)), calls: map[policy.RequestID]*call{}, inFlight: make([]int, len(l.Servers)),
-		away: make([]bool, len(l.Servers)), fails: map[string]int{}, asked: weights.Sums{ID: weights.DoorID("")}}
+	g := &gateway{lab: l, name: name, sums: make([]weights.Stats, len(l.Servers)), calls: map[policy.RequestID]*call{}, inFlight: make([]int, len(l.Servers)),
+		away: make([]bool, len(l.Servers)), fails: map[string]int{}, asked: weights.Stats{ID: weights.AdmissionID("")}}
 	for i, id := range l.ids {
 		g.sums[i].ID = id
 	}
@@ -63,9 +63,9 @@
 }
 
 func (l *Lab) balancer(seed uint64) *policy.Balancer {
-	set := policy.Settings{FleetSize: l.Gateways, MaxAttempts: 3, SecondCopies: true, Cancel: true, WorthByWork: true, ColdTime: coldTime, StartCapacity: coldLeast}
+	set := policy.Settings{FleetSize: l.Gateways, MaxAttempts: 3, HedgedAttempts: true, Cancel: true, WorthByWork: true, WarmupTime: coldTime, StartCapacity: coldLeast}
 	if l.Way == Breaker {
-		set.ColdTime = 0
+		set.WarmupTime = 0
 	}
 	for _, c := range l.Classes {
 		set.Classes = append(set.Classes, c.Class)
@@ -77,15 +77,15 @@
 	return b
 }
 
-// Seen and Endpoints are the gateway's sight.
-func (g *gateway) Seen() []weights.Sums {
+// Observations and Endpoints are the gateway's sight.
+func (g *gateway) Observations() []weights.Stats {
 	seen := g.sums
-	g.sums = make([]weights.Sums, len(seen))
+	g.sums = make([]weights.Stats, len(seen))
 	for i, id := range g.lab.ids {
 		g.sums[i].ID = id
 	}
 	seen = append(seen, g.asked)
-	g.asked = weights.Sums{ID: weights.DoorID("")}
+	g.asked = weights.Stats{ID: weights.AdmissionID("")}
 	return seen
 }
 
@@ -108,14 +108,14 @@
 	factors, _ := g.node.Factors(now)
 	g.sizes = factors
 	g.turn(now)
-	if g.node.InForce(now) {
+	if g.node.HasFreshTable(now) {
 		g.resize()
 	}
 	return append(all, g.messages(out)...)
 }
 
 func (g *gateway) resize() {
-	learnt.Resize(g.lab.Now, g.balancer, func(id policy.EndpointID) (int, float64) {
+	learnt.ApplyMeasuredSizes(g.lab.Now, g.balancer, func(id policy.EndpointID) (int, float64) {
 		s := g.lab.Servers[id]
 		return s.Kind, s.Listed
 	}, func(id policy.EndpointID) (float64, bool) {
@@ -131,10 +131,10 @@
 }
 
 func (g *gateway) Take(now time.Duration, body any) []gateways.Message {
-	if o, ok := body.(quota.Out); ok {
+	if o, ok := body.(quota.Outgoing); ok {
 		return quotaMessages(g.contract.take(now, o))
 	}
-	out, _ := g.node.Take(now, body.(council.Message))
+	out, _ := g.node.Handle(now, body.(council.Message))
 	return g.messages(out)
 }
 
@@ -145,7 +145,7 @@
 	return g.contract.enforce(now)
 }
 
-func (g *gateway) messages(all []council.Out) (out []gateways.Message) {
+func (g *gateway) messages(all []council.Outgoing) (out []gateways.Message) {
 	for _, o := range all {
 		if b, err := message.Append(nil, message.Message{Council: o.Message}); err == nil && o.To != g.name {
 			g.lab.Bytes += len(b)
--- a/internal/lab/hardware/hardware.go
+++ b/internal/lab/hardware/hardware.go
@@ -104,7 +104,7 @@
 
 func (l *Lab) list() (all []policy.Endpoint) {
 	for i, s := range l.Servers {
-		all = append(all, policy.Endpoint{ID: policy.EndpointID(i), Kind: s.Kind, Nominal: s.Listed, Started: s.started})
+		all = append(all, policy.Endpoint{ID: policy.EndpointID(i), Kind: s.Kind, NominalSize: s.Listed, Started: s.started})
 	}
 	return all
 }
--- a/internal/lab/hardware/hardware_test.go
+++ b/internal/lab/hardware/hardware_test.go
@@ -42,7 +42,7 @@
 // life is a gateway's process, and the table that it had last.
 type life struct {
 	of    *gateway
-	table weights.Number
+	table weights.Version
 }
 
 // lags is for how long after its return a plan may have a site as lost.
@@ -125,13 +125,13 @@
 	tables := map[string]bool{}
 	for i := range c.Nodes {
 		s := c.Status(i)
-		tables[fmt.Sprint(s.Holder, s.Stale, s.Table)] = true
-		if s.Stale || s.Holder == "" {
+		tables[fmt.Sprint(s.Leader, s.Stale, s.Table)] = true
+		if s.Stale || s.Leader == "" {
 			return fmt.Errorf("afterwards gateway %d has no fresh table: %+v", i, s)
 		}
 		for _, site := range s.Sites {
-			if site.State != sites.Whole || site.Part < 1 {
-				return fmt.Errorf("afterwards gateway %d has site %s as %v, and %.2f of it is met", i, site.Name, site.State, site.Part)
+			if site.State != sites.Healthy || site.Fraction < 1 {
+				return fmt.Errorf("afterwards gateway %d has site %s as %v, and %.2f of it is met", i, site.Name, site.State, site.Fraction)
 			}
 		}
 	}
@@ -199,8 +199,8 @@
 		l.Play(40 * time.Second)
 		for i := range l.Nodes {
 			for _, s := range l.Status(i).Sites {
-				if s.State != sites.Whole || s.Part < 1 {
-					t.Errorf("seed %d: at gateway %d site %s is %v, %.2f of it met", seed, i, s.Name, s.State, s.Part)
+				if s.State != sites.Healthy || s.Fraction < 1 {
+					t.Errorf("seed %d: at gateway %d site %s is %v, %.2f of it met", seed, i, s.Name, s.State, s.Fraction)
 				}
 			}
 		}
--- a/internal/lab/hardware/request.go
+++ b/internal/lab/hardware/request.go
@@ -38,7 +38,7 @@
 	g.calls[id] = c
 	l.Tally.Asked++
 	l.Tally.Possible += k.Worth
-	g.asked.Ended(weights.Class(class), false, weights.Served, 0, c.hint)
+	g.asked.Record(weights.Class(class), false, weights.Served, 0, c.hint)
 	switch {
 	case !g.admit(c):
 		l.Tally.OverQuota++
@@ -51,7 +51,7 @@
 		return
 	}
 	if l.Way >= Alone {
-		g.carryOut(g.balancer.Request(l.Now, policy.Request{ID: id, Class: class, Left: k.Deadline, Cost: c.hint.Seconds()}))
+		g.carryOut(g.balancer.Request(l.Now, policy.Request{ID: id, Class: class, TimeLeft: k.Deadline, Cost: c.hint.Seconds()}))
 		return
 	}
 	a, b := g.draw(), g.draw()
@@ -89,10 +89,10 @@
 			if c := g.calls[a.Request]; c != nil && c.attempt[a.Attempt] != nil {
 				j := c.attempt[a.Attempt]
 				j.cancelled = true
-				j.end(policy.CalledOff)
+				j.end(policy.Cancelled)
 			}
 		case policy.SetTimer:
-			g.lab.After(a.In, func() {
+			g.lab.After(a.Delay, func() {
 				if g.lab.gateways[g.name] == g {
 					g.carryOut(g.balancer.Timer(g.lab.Now, a.Token))
 				}
@@ -129,9 +129,9 @@
 	l.After(network, func() { l.reach(j) })
 }
 
-var endings = map[policy.Result]weights.Ending{
-	policy.Served: weights.Served, policy.NoAnswer: weights.Silent, policy.CalledOff: weights.Abandoned,
-	policy.Errored: weights.Failed, policy.NoConnection: weights.Unreached, policy.TurnedAway: weights.Declined,
+var endings = map[policy.Result]weights.Outcome{
+	policy.Served: weights.Served, policy.NoAnswer: weights.TimedOut, policy.Cancelled: weights.Cancelled,
+	policy.Errored: weights.Failed, policy.NoConnection: weights.Unreached, policy.Declined: weights.Declined,
 }
 
 // ended takes the end of an attempt.
@@ -147,10 +147,10 @@
 	}
 	took := l.Now - j.begun
 	how := endings[r]
-	if r == policy.CalledOff && c.by > j.n {
-		how = weights.Overtaken
+	if r == policy.Cancelled && c.by > j.n {
+		how = weights.Superseded
 	}
-	g.sums[j.at].Ended(weights.Class(c.class), false, how, took, c.hint)
+	g.sums[j.at].Record(weights.Class(c.class), false, how, took, c.hint)
 	if r == policy.Served && !c.over {
 		c.over, c.by = true, j.n
 		g.charged(c, broker.Answered)
--- a/internal/lab/hardware/server.go
+++ b/internal/lab/hardware/server.go
@@ -72,7 +72,7 @@
 	case s.busy < s.Workers:
 		l.work(j)
 	case len(s.waiting) >= s.Queue:
-		l.answer(j, policy.TurnedAway)
+		l.answer(j, policy.Declined)
 	default:
 		s.waiting = append(s.waiting, j)
 	}
--- a/internal/lab/hardware/sites.go
+++ b/internal/lab/hardware/sites.go
@@ -23,7 +23,7 @@
 	if l.Way < Sites || len(l.SiteNames) == 0 {
 		return nil
 	}
-	s := &council.Sites{Settings: sites.Usual, Home: map[string]string{}, Near: map[string][]string{}}
+	s := &council.Sites{Settings: sites.DefaultSettings, Home: map[string]string{}, Near: map[string][]string{}}
 	for i, name := range names {
 		s.Home[name] = l.SiteNames[i%len(l.SiteNames)]
 	}
@@ -66,7 +66,7 @@
 	if l.gateways[g.name] != g {
 		return
 	}
-	e := policy.Endpoint{ID: policy.EndpointID(i), Kind: l.Servers[i].Kind, Nominal: l.Servers[i].Listed, Started: l.Servers[i].started}
+	e := policy.Endpoint{ID: policy.EndpointID(i), Kind: l.Servers[i].Kind, NominalSize: l.Servers[i].Listed, Started: l.Servers[i].started}
 	if l.Way == Breaker {
 		e.Started = 0 // what is back is back
 	}
@@ -80,11 +80,11 @@
 // turn has the decision module meet what the plan has met, and nothing else.
 func (g *gateway) turn(now time.Duration) {
 	l := g.lab
-	if g.door = g.node.Door(now); g.door == nil {
+	if g.door = g.node.Enforcer(now); g.door == nil {
 		return
 	}
 	for i, s := range l.Servers {
-		if away := !g.door.Meets(s.Site, uint64(l.ids[i])); away != g.away[i] {
+		if away := !g.door.RoutesTo(s.Site, uint64(l.ids[i])); away != g.away[i] {
 			g.away[i] = away
 			g.relist(i)
 		}
@@ -97,7 +97,7 @@
 	site := l.Servers[at].Site
 	if r == policy.Served {
 		g.fails[site] = 0
-	} else if r != policy.CalledOff {
+	} else if r != policy.Cancelled {
 		g.fails[site]++
 	}
 	if l.Way != Breaker || g.fails[site] < breakAfter {
@@ -158,13 +158,13 @@
 	return mean
 }
 
-// Doors name the sums of what came to gateways' doors.
-func (g *gateway) Doors() (map[weights.ID]bool, map[weights.Class]float64) {
+// Admission name the sums of what came to gateways' doors.
+func (g *gateway) Admission() (map[weights.ID]bool, map[weights.Class]float64) {
 	worth := map[weights.Class]float64{}
 	for i, c := range g.lab.Classes {
 		worth[weights.Class(i)] = c.Worth
 	}
-	return map[weights.ID]bool{weights.DoorID(""): true}, worth
+	return map[weights.ID]bool{weights.AdmissionID(""): true}, worth
 }
 
 // Met is the part of the gateways that go on which meet an endpoint of a site, by the mean.
--- a/internal/lab/trial/judge.go
+++ b/internal/lab/trial/judge.go
@@ -119,7 +119,7 @@
 // was seen to come too late since then may have been in time.
 func late(h *lab.HoldUps, since, until time.Time) bool {
 	_, most := h.Within(since, until)
-	return most > permit.HoldUp
+	return most > permit.MaxStall
 }
 
 // lateSince is late up to now, and no longer ago than what is judged begins.
--- a/internal/learnt/learnt.go
+++ b/internal/learnt/learnt.go
@@ -20,9 +20,9 @@
 // Record is all that an instance knows.
 type Record []Row
 
-// Read reads what an instance knows.
-func Read(now time.Duration, b *policy.Balancer) (r Record) {
-	b.Known(now, func(what string, of, class int, x ...*float64) {
+// Snapshot reads what an instance knows.
+func Snapshot(now time.Duration, b *policy.Balancer) (r Record) {
+	b.VisitLearned(now, func(what string, of, class int, x ...*float64) {
 		row := Row{What: what, Of: of, Class: class}
 		for i := range x[:min(len(x), len(ranges[what]))] {
 			row.X = append(row.X, *x[i])
@@ -67,18 +67,18 @@
 	of, class int
 }
 
-// Into has an instance know what the record tells. heirs tells by class of the
+// Apply has an instance know what the record tells. heirs tells by class of the
 // instance which class of the record it is: -1, and what lies beyond, is one that
 // nobody knows. Rows that can't be meant, and those of endpoints that are not in
 // the instance's list, are left out.
-func (r Record) Into(now time.Duration, b *policy.Balancer, heirs []int) {
+func (r Record) Apply(now time.Duration, b *policy.Balancer, heirs []int) {
 	rows := make(map[place][]float64, len(r))
 	for i := range r {
 		if r[i].meant() {
 			rows[place{r[i].What, r[i].Of, r[i].Class}] = r[i].X
 		}
 	}
-	b.Known(now, func(what string, of, class int, x ...*float64) {
+	b.VisitLearned(now, func(what string, of, class int, x ...*float64) {
 		ofClass := what == "class" || what == "fit"
 		if ofClass {
 			heir := -1
@@ -96,26 +96,26 @@
 	})
 }
 
-// Standing is what an instance makes of an endpoint.
-type Standing struct {
-	Health   float64 // 1: nothing against it
-	Credit   float64 // part of an attempt that it is due while cold
-	InFlight float64
-	Warmth   float64 // share of its capacity that it is sure to have by now
-	Speed    float64 // of its kind, over that of all
-	Chance   float64 // of one draw, beside those of the others
+// EndpointStatus is what an instance makes of an endpoint.
+type EndpointStatus struct {
+	Health          float64 // 1: nothing against it
+	Credit          float64 // part of an attempt that it is due while cold
+	InFlight        float64
+	Warmth          float64 // share of its capacity that it is sure to have by now
+	Speed           float64 // of its kind, over that of all
+	SelectionWeight float64 // of one draw, beside those of the others
 }
 
 // Avoided reports whether an endpoint gets next to nothing for now, by what it
 // has answered: it failed more than once and has not answered since.
-func (s Standing) Avoided() bool { return s.Health < 0.05 }
+func (s EndpointStatus) Avoided() bool { return s.Health < 0.05 }
 
-// Standings are those of all endpoints that the instance knows.
-func Standings(now time.Duration, b *policy.Balancer) map[policy.EndpointID]Standing {
-	all := map[policy.EndpointID]Standing{}
-	b.Known(now, func(what string, of, _ int, x ...*float64) {
+// EndpointStatuses are those of all endpoints that the instance knows.
+func EndpointStatuses(now time.Duration, b *policy.Balancer) map[policy.EndpointID]EndpointStatus {
+	all := map[policy.EndpointID]EndpointStatus{}
+	b.VisitLearned(now, func(what string, of, _ int, x ...*float64) {
 		if what == "endpoint" {
-			all[policy.EndpointID(of)] = Standing{*x[0], *x[1], *x[2], *x[3], *x[4], *x[5]}
+			all[policy.EndpointID(of)] = EndpointStatus{*x[0], *x[1], *x[2], *x[3], *x[4], *x[5]}
 		}
 	})
 	return all
@@ -124,14 +124,14 @@
 // speedShrinks is the number of samples that the module's own speed of a kind is shrunk by.
 const speedShrinks = 6
 
-// Resize has an instance take endpoints' sizes from what a fleet has measured: size tells one
+// ApplyMeasuredSizes has an instance take endpoints' sizes from what a fleet has measured: size tells one
 // by its kind, and false where the list's own size is to stand. What is measured holds the
 // speed of the kind as well, so what the instance has learnt of that itself is taken out of
 // it: it counts for what is learnt from now on, until the next call. It is to be called after
 // each list, and now and then. A nominal size that is not told is 1.
-func Resize(now time.Duration, b *policy.Balancer, listed func(policy.EndpointID) (kind int, nominal float64), size func(policy.EndpointID) (float64, bool)) {
+func ApplyMeasuredSizes(now time.Duration, b *policy.Balancer, listed func(policy.EndpointID) (kind int, nominal float64), size func(policy.EndpointID) (float64, bool)) {
 	speeds := map[int]float64{}
-	b.Known(now, func(what string, of, _ int, x ...*float64) {
+	b.VisitLearned(now, func(what string, of, _ int, x ...*float64) {
 		switch what {
 		case "kind":
 			speeds[of] = math.Exp(-*x[0] * *x[1] / (*x[1] + speedShrinks))
--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -14,7 +14,7 @@
 
 func settings() policy.Settings {
 	return policy.Settings{
-		FleetSize: 1, MaxAttempts: 3, Cancel: true, OnRequest: true, AskWithin: 10 * second,
+		FleetSize: 1, MaxAttempts: 3, Cancel: true, DiscoveryOnRequest: true, PollWithin: 10 * second,
 		Classes: []policy.Class{
 			{Aim: 400 * time.Millisecond, Deadline: second, Worth: 1, LateWorth: 0.5},
 			{Aim: 100 * time.Millisecond, Deadline: 300 * time.Millisecond, Worth: 3, LateWorth: 0.3, Effect: policy.Keyed, DedupWindow: 600 * time.Millisecond},
@@ -40,7 +40,7 @@
 	b.Endpoints(0, list, true)
 	for i := range 80 {
 		now += 30 * time.Millisecond
-		q := policy.Request{ID: policy.RequestID(i + 1), Class: i % 2, Left: second}
+		q := policy.Request{ID: policy.RequestID(i + 1), Class: i % 2, TimeLeft: second}
 		for _, a := range b.Request(now, q) {
 			if s, ok := a.(policy.Send); ok {
 				result := policy.Served
@@ -68,7 +68,7 @@
 // passed between processes.
 func TestCarriedOver(t *testing.T) {
 	old, now := taught(t)
-	text, err := json.Marshal(Read(now, old))
+	text, err := json.Marshal(Snapshot(now, old))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,11 +78,11 @@
 	}
 	next := instance(t, 2)
 	next.Endpoints(now, list, true)
-	r.Into(now, next, []int{0, 1})
-	if got, want := Read(now, next), Read(now, old); !reflect.DeepEqual(got, want) {
+	r.Apply(now, next, []int{0, 1})
+	if got, want := Snapshot(now, next), Snapshot(now, old); !reflect.DeepEqual(got, want) {
 		t.Errorf("it knows\n%v\nand\n%v was learnt", got, want)
 	}
-	if s := Standings(now, next); s[2].Health > 0.9 || s[1].Health != 1 {
+	if s := EndpointStatuses(now, next); s[2].Health > 0.9 || s[1].Health != 1 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -91,13 +91,13 @@
 // its place knew before.
 func TestHeirs(t *testing.T) {
 	old, now := taught(t)
-	r := Read(now, old)
-	r.Into(now, old, []int{1}) // class 1 has none
-	got, was := rows(Read(now, old), "class"), rows(r, "class")
+	r := Snapshot(now, old)
+	r.Apply(now, old, []int{1}) // class 1 has none
+	got, was := rows(Snapshot(now, old), "class"), rows(r, "class")
 	if !reflect.DeepEqual(got[0].X, was[1].X) || !reflect.DeepEqual(got[1].X, []float64{0, 0, 0, 0}) || was[1].X[0] == 0 {
 		t.Errorf("%v of %v", got, was)
 	}
-	for _, fit := range rows(Read(now, old), "fit") {
+	for _, fit := range rows(Snapshot(now, old), "fit") {
 		if fit.Class == 1 && (fit.X[0] != 0 || fit.X[1] != 0) {
 			t.Errorf("a kind fits a class that nobody knows: %v", fit)
 		}
@@ -107,7 +107,7 @@
 // Rows that can't be meant are left out, and the rest is taken.
 func TestNonsense(t *testing.T) {
 	old, now := taught(t)
-	good := Read(now, old)
+	good := Snapshot(now, old)
 	for name, spoil := range map[string]func(*Row){
 		"no number":  func(r *Row) { r.X[0] = math.NaN() },
 		"infinite":   func(r *Row) { r.X[len(r.X)-1] = math.Inf(1) },
@@ -124,9 +124,9 @@
 			spoil(&r[i])
 			b := instance(t, 3)
 			b.Endpoints(now, list, true)
-			before := Read(now, b)
-			r.Into(now, b, []int{0, 1})
-			after := Read(now, b)
+			before := Snapshot(now, b)
+			r.Apply(now, b, []int{0, 1})
+			after := Snapshot(now, b)
 			if !reflect.DeepEqual(after[i], before[i]) {
 				t.Errorf("%s: %v was taken as %v", name, r[i], after[i])
 			}
@@ -141,7 +141,7 @@
 // first call to discovery.
 func TestReadTakesNothing(t *testing.T) {
 	b := instance(t, 1)
-	Read(second, b)
+	Snapshot(second, b)
 	planned := false
 	for _, a := range b.Endpoints(second, list, true) {
 		_, timer := a.(policy.SetTimer)
@@ -157,13 +157,13 @@
 func TestResize(t *testing.T) {
 	b, now := taught(t)
 	kinds := map[policy.EndpointID]int{1: 0, 2: 1}
-	resize := func(sizes map[policy.EndpointID]float64) map[policy.EndpointID]Standing {
-		Resize(now, b, func(id policy.EndpointID) (int, float64) { return kinds[id], 1 }, func(id policy.EndpointID) (float64, bool) {
+	resize := func(sizes map[policy.EndpointID]float64) map[policy.EndpointID]EndpointStatus {
+		ApplyMeasuredSizes(now, b, func(id policy.EndpointID) (int, float64) { return kinds[id], 1 }, func(id policy.EndpointID) (float64, bool) {
 			x, ok := sizes[id]
 			return x, ok
 		})
-		b.Request(now, policy.Request{ID: 1000 + policy.RequestID(len(sizes)), Left: second}) // which draws
-		return Standings(now, b)
+		b.Request(now, policy.Request{ID: 1000 + policy.RequestID(len(sizes)), TimeLeft: second}) // which draws
+		return EndpointStatuses(now, b)
 	}
 	own := resize(nil)
 	got := resize(map[policy.EndpointID]float64{1: 3})
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -118,10 +118,10 @@
 	m := c.members()
 	gauge(members, float64(m.Listed))
 	gauge(unavailable, float64(m.Unavailable))
-	for reason := permit.Allowed + 1; reason < permit.Reasons; reason++ {
+	for reason := permit.Allowed + 1; reason < permit.NumReasons; reason++ {
 		count(notSent, c.figures.NotSent[reason].Load(), reason.String())
 	}
-	for rule := range permit.Rules {
+	for rule := range permit.NumRules {
 		count(violations, c.figures.Violations[rule].Load(), rule.String())
 	}
 	for _, l := range m.Lists {
--- a/internal/operator/contracts.go
+++ b/internal/operator/contracts.go
@@ -98,7 +98,7 @@
 		c := broker.Contract{Team: f.Teams[i].Name, Share: f.Teams[i].Share}
 		for _, a := range f.Teams[i].Allow {
 			if a.Service == service {
-				c.Calls = append(c.Calls, broker.Call{Classes: a.set(classes), Rate: a.Rate, Burst: a.Burst, Work: a.Work, Shared: a.Shared})
+				c.Calls = append(c.Calls, broker.CallLimits{Classes: a.set(classes), Rate: a.Rate, Burst: a.Burst, Work: a.Work, Shared: a.Shared})
 			}
 		}
 		if len(c.Calls) > 0 {
@@ -108,7 +108,7 @@
 		}
 	}
 	if s := f.Strangers; s != nil {
-		t.Strangers = &broker.Contract{Share: s.Share, Calls: []broker.Call{{Classes: broker.AllClasses, Rate: s.Rate, Burst: s.Burst}}}
+		t.Uncontracted = &broker.Contract{Share: s.Share, Calls: []broker.CallLimits{{Classes: broker.AllClasses, Rate: s.Rate, Burst: s.Burst}}}
 	}
 	return t
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -56,7 +56,7 @@
 		Drift:  t.number("drift", 0.01, 0, 1),
 	}
 	f.Weights = get(t, "weights", "true or false", false)
-	f.Settings = sites.Settings{Utilisation: t.number("utilisation", sites.Usual.Utilisation, 0.1, 1), Floor: t.number("floor", sites.Usual.Floor, 0, 0.5)}
+	f.Settings = sites.Settings{Utilisation: t.number("utilisation", sites.DefaultSettings.Utilisation, 0.1, 1), Floor: t.number("floor", sites.DefaultSettings.Floor, 0, 0.5)}
 	for _, s := range t.tables("site", sites.MaxSites) {
 		f.Places = append(f.Places, FleetSite{Name: name(s), Near: s.texts("near", sites.MaxSites)})
 		s.end()
@@ -198,7 +198,7 @@
 				part = p.Part
 			}
 		}
-		all = append(all, quota.Gateway{Name: g.Name, Partner: g.Partner, Part: quota.Of(part / float64(n))})
+		all = append(all, quota.Gateway{Name: g.Name, Partner: g.Partner, Part: quota.PartOf(part / float64(n))})
 	}
 	return all
 }
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []quota.Gateway{{Name: "g0", Partner: "bijela-kosa", Part: quota.Whole / 4}, {Name: "g1", Partner: "bijela-kosa", Part: quota.Whole / 4}, {Name: "g2", Partner: "lisina", Part: quota.Of(0.3)}}
+	want := []quota.Gateway{{Name: "g0", Partner: "bijela-kosa", Part: quota.Whole / 4}, {Name: "g1", Partner: "bijela-kosa", Part: quota.Whole / 4}, {Name: "g2", Partner: "lisina", Part: quota.PartOf(0.3)}}
 	if got := f.Fleet.Parts(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("parts %v, want %v", got, want)
 	}
@@ -80,7 +80,7 @@
 		for _, g := range f.Parts() {
 			sums[g.Partner] += g.Part
 		}
-		if sums["a"] > quota.Of(0.4) || sums["a"] < quota.Of(0.4)-300 || sums["a"]+sums["b"] > quota.Whole {
+		if sums["a"] > quota.PartOf(0.4) || sums["a"] < quota.PartOf(0.4)-300 || sums["a"]+sums["b"] > quota.Whole {
 			t.Fatalf("%d gateways: %v", n+1, sums)
 		}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -157,9 +157,9 @@
 	return f.reader.faults
 }
 
-// readOverload reads the brake's settings; what is not told is as overload.Defaults has it.
+// readOverload reads the brake's settings; what is not told is as overload.DefaultSettings has it.
 func readOverload(t *table) *overload.Settings {
-	d := overload.Defaults
+	d := overload.DefaultSettings
 	set := overload.Settings{
 		Target:   t.duration("target", d.Target, time.Millisecond, time.Second),
 		Interval: t.duration("interval", d.Interval, 2*time.Millisecond, 10*time.Second),
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -97,14 +97,14 @@
 	if len(maps.Contracts) != 2 || len(maps.Contracts[0].Calls) != 1 || len(maps.Contracts[1].Calls) != 0 {
 		t.Fatalf("terms %+v", maps)
 	}
-	if call := maps.Contracts[0].Calls[0]; call != (broker.Call{Classes: 1, Rate: 200, Burst: 400, Work: 4}) {
+	if call := maps.Contracts[0].Calls[0]; call != (broker.CallLimits{Classes: 1, Rate: 200, Burst: 400, Work: 4}) {
 		t.Errorf("call %+v", call)
 	}
 	weather := f.Terms("weather", []string{"forecast", "alert"})
-	if weather.Contracts[0].Calls[0].Classes != broker.AllClasses || weather.Contracts[1].Calls[0] != (broker.Call{Classes: 2, Rate: 0.5, Burst: 1}) {
+	if weather.Contracts[0].Calls[0].Classes != broker.AllClasses || weather.Contracts[1].Calls[0] != (broker.CallLimits{Classes: 2, Rate: 0.5, Burst: 1}) {
 		t.Errorf("terms %+v", weather)
 	}
-	if s := weather.Strangers; s == nil || s.Share != 0.01 || s.Calls[0].Rate != 5 || s.Calls[0].Burst != 5 {
+	if s := weather.Uncontracted; s == nil || s.Share != 0.01 || s.Calls[0].Rate != 5 || s.Calls[0].Burst != 5 {
 		t.Errorf("strangers %+v", s)
 	}
 	if f := parse(t, "[[service]]\nname = 'maps'\n"); f.Strangers != nil {
--- a/internal/operator/services.go
+++ b/internal/operator/services.go
@@ -125,7 +125,7 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"safe": policy.Repeatable, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+	effects = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
 	scopes  = map[string]policy.Scope{"service": policy.ScopeAll, "zone": policy.ScopeZone, "pod": policy.ScopeCell}
 	methods = []string{"GET", "POST", "PUT", "PATCH", "DELETE"}
 )
@@ -162,16 +162,16 @@
 		}
 	}
 	for _, m := range c.Methods {
-		if !slices.Contains(methods, m) || c.Effect == policy.Repeatable && m != "GET" {
+		if !slices.Contains(methods, m) || c.Effect == policy.Idempotent && m != "GET" {
 			t.fault("methods", "%s are expected, and only GET with a safe class, not %.20q", strings.Join(methods, ", "), m)
 		}
-		if m == "GET" && c.Effect != policy.Repeatable {
+		if m == "GET" && c.Effect != policy.Idempotent {
 			t.fault("methods", "GET is safe to repeat (RFC 9110, section 9.2.1), which this class is not")
 		}
 	}
 	if len(c.Methods) == 0 {
 		c.Methods = []string{"POST"}
-		if c.Effect == policy.Repeatable {
+		if c.Effect == policy.Idempotent {
 			c.Methods = []string{"GET"}
 		}
 	}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -21,9 +21,9 @@
 	Interval time.Duration // in which a queue has to have been short once
 }
 
-// Defaults are for answers in 100 ms and more: ready work waits for a few milliseconds at
+// DefaultSettings are for answers in 100 ms and more: ready work waits for a few milliseconds at
 // most while there is processor to spare.
-var Defaults = Settings{Target: 5 * time.Millisecond, Interval: 50 * time.Millisecond}
+var DefaultSettings = Settings{Target: 5 * time.Millisecond, Interval: 50 * time.Millisecond}
 
 // Validate names the first setting that can't be worked with.
 func (s Settings) Validate() error {
@@ -37,8 +37,8 @@
 }
 
 const (
-	// Ranks are those that requests are told apart by, the worthiest last.
-	Ranks = 64
+	// RankCount are those that requests are told apart by, the worthiest last.
+	RankCount = 64
 	// least is the part that is let in at least: without any nothing is seen to be over.
 	least = 0.02
 	// cut bounds what one interval takes off, against a pause of the whole process, which
@@ -57,22 +57,22 @@
 	longestRetry = 5 * time.Second
 )
 
-// Brake is the state of one sidecar.
-type Brake struct {
+// Shedder is the state of one sidecar.
+type Shedder struct {
 	set     Settings
 	level   float64 // part of the requests that is let in
 	ends    time.Duration
 	short   time.Duration // the least delay in this interval; <0: none was told
-	came    [Ranks]float64
-	let     [Ranks]float64 // part that is let in, by rank
+	came    [RankCount]float64
+	let     [RankCount]float64 // part that is let in, by rank
 	braking bool
 	since   time.Duration
 	usual   int // intervals with all let in
 }
 
 // New makes a brake that lets all in.
-func New(now time.Duration, s Settings) *Brake {
-	b := &Brake{set: s, level: 1, ends: now + s.Interval, short: -1}
+func New(now time.Duration, s Settings) *Shedder {
+	b := &Shedder{set: s, level: 1, ends: now + s.Interval, short: -1}
 	b.divide()
 	return b
 }
@@ -83,13 +83,13 @@
 	if !(worth > 0) {
 		return 0
 	}
-	const middle, perDouble = Ranks / 2, 5
-	return int(math.Min(math.Max(middle+perDouble*math.Log2(worth), 0), Ranks-1))
+	const middle, perDouble = RankCount / 2, 5
+	return int(math.Min(math.Max(middle+perDouble*math.Log2(worth), 0), RankCount-1))
 }
 
-// Delay takes how long ready work has waited, and reports whether the brake has come or
+// ObserveDelay takes how long ready work has waited, and reports whether the brake has come or
 // gone by that.
-func (b *Brake) Delay(now, waited time.Duration) (changed bool) {
+func (b *Shedder) ObserveDelay(now, waited time.Duration) (changed bool) {
 	if b.short < 0 || waited < b.short {
 		b.short = max(waited, 0)
 	}
@@ -103,7 +103,7 @@
 }
 
 // judge ends an interval.
-func (b *Brake) judge(now time.Duration) {
+func (b *Shedder) judge(now time.Duration) {
 	over := float64(b.short)/float64(b.set.Target) - 1
 	if over > 0 {
 		b.level = math.Max(b.level*math.Max(1-slope*over, cut), least)
@@ -127,18 +127,18 @@
 
 // divide finds what part of each rank is let in: the worthiest first, until the part of
 // all is reached.
-func (b *Brake) divide() {
+func (b *Shedder) divide() {
 	all := 0.0
 	for _, n := range b.came {
 		all += n
 	}
 	room := b.level * all
-	for i := Ranks - 1; i >= 0; i-- {
+	for i := RankCount - 1; i >= 0; i-- {
 		switch n := b.came[i]; {
 		case b.level == 1 || n == 0 && room > 0:
 			b.let[i] = 1
 		case n == 0: // nobody came of it: a few are tried, and no more than of the rank above
-			b.let[i] = math.Min(least, b.let[min(i+1, Ranks-1)])
+			b.let[i] = math.Min(least, b.let[min(i+1, RankCount-1)])
 		default:
 			b.let[i] = math.Max(math.Min(room/n, 1), 0)
 		}
@@ -151,17 +151,17 @@
 	}
 }
 
-// Braking reports whether some may be refused, and since when.
-func (b *Brake) Braking() (is bool, since time.Duration) { return b.braking, b.since }
+// Shedding reports whether some may be refused, and since when.
+func (b *Shedder) Shedding() (is bool, since time.Duration) { return b.braking, b.since }
 
-// Level is the part of the requests that is let in.
-func (b *Brake) Level() float64 { return b.level }
+// AdmitFraction is the part of the requests that is let in.
+func (b *Shedder) AdmitFraction() float64 { return b.level }
 
-// Let judges a request of a rank while the brake is on; random is in [0,1). One that is not let in is best
+// Admit judges a request of a rank while the brake is on; random is in [0,1). One that is not let in is best
 // again after a time that is spread by random, so that those refused together do not come
 // back together.
-func (b *Brake) Let(rank int, random float64) (in bool, again time.Duration) {
-	rank = min(max(rank, 0), Ranks-1)
+func (b *Shedder) Admit(rank int, random float64) (in bool, again time.Duration) {
+	rank = min(max(rank, 0), RankCount-1)
 	b.came[rank]++
 	let := b.let[rank]
 	if random < let {
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -13,7 +13,7 @@
 // processor is a queue before a processor of a fixed speed: what is let in takes 1, what is
 // refused a part of that. Its delay is told every 10 ms.
 type processor struct {
-	b       *Brake
+	b       *Shedder
 	now     time.Duration
 	queue   float64 // seconds of work
 	cost    float64 // seconds for a request that is let in
@@ -27,14 +27,14 @@
 	ranks := [2]int{Rank(1), Rank(3)}
 	var due [2]float64
 	for end := p.now + lasts; p.now < end; p.now += 10 * ms {
-		p.b.Delay(p.now, time.Duration(p.queue*float64(time.Second)))
-		on, _ := p.b.Braking()
+		p.b.ObserveDelay(p.now, time.Duration(p.queue*float64(time.Second)))
+		on, _ := p.b.Shedding()
 		for i, rate := range rates {
 			for due[i] += rate / 100; due[i] >= 1; due[i]-- {
 				came[i]++
 				in := true
 				if on {
-					in, _ = p.b.Let(ranks[i], p.random())
+					in, _ = p.b.Admit(ranks[i], p.random())
 				}
 				if in {
 					let[i]++
@@ -51,7 +51,7 @@
 
 func newProcessor() *processor {
 	seed := uint64(1)
-	return &processor{b: New(0, Defaults), cost: 0.0002, refusal: 0.05, random: func() float64 {
+	return &processor{b: New(0, DefaultSettings), cost: 0.0002, refusal: 0.05, random: func() float64 {
 		seed = seed*6364136223846793005 + 1442695040888963407
 		return float64(seed>>11) / (1 << 53)
 	}}
@@ -79,7 +79,7 @@
 	if came, let := p.run(time.Second, [2]float64{3000, 800}); let != came {
 		t.Errorf("afterwards %v of %v are let in", let, came)
 	}
-	if on, _ := p.b.Braking(); on {
+	if on, _ := p.b.Shedding(); on {
 		t.Error("the brake is on still")
 	}
 }
@@ -91,24 +91,24 @@
 		p.run(10*ms, [2]float64{15000, 0})
 		p.run(290*ms, [2]float64{1000, 0})
 	}
-	if on, _ := p.b.Braking(); on {
+	if on, _ := p.b.Shedding(); on {
 		t.Error("bursts of 10 ms that are worked off put the brake on")
 	}
 	p.now += 5 * time.Second
-	p.b.Delay(p.now, 5*time.Second)
-	if p.b.Level() < cut {
-		t.Errorf("a pause left a level of %v", p.b.Level())
+	p.b.ObserveDelay(p.now, 5*time.Second)
+	if p.b.AdmitFraction() < cut {
+		t.Errorf("a pause left a level of %v", p.b.AdmitFraction())
 	}
 	p.run(time.Second, [2]float64{1000, 0})
-	if p.b.Level() < 1 {
-		t.Errorf("a second after a pause the level is %v", p.b.Level())
+	if p.b.AdmitFraction() < 1 {
+		t.Errorf("a second after a pause the level is %v", p.b.AdmitFraction())
 	}
 }
 
 // A rank that nobody came of is let in no more than one above it that has next to no room:
 // in an overload the first of it would go before the worthier ones.
 func TestRankNobodyCameOfDoesNotPassTheNext(t *testing.T) {
-	b := New(0, Defaults)
+	b := New(0, DefaultSettings)
 	b.level = least
 	b.came[3], b.came[1] = 1, 100
 	b.came[2] = 90
@@ -129,14 +129,14 @@
 // and quiet intervals end the brake.
 func TestBrakeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(0, Defaults)
+		b := New(0, DefaultSettings)
 		now := time.Duration(0)
 		delay := rapid.Int64Range(-1, int64(time.Second))
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "gap"))
-			b.Delay(now, time.Duration(delay.Draw(t, "delay")))
+			b.ObserveDelay(now, time.Duration(delay.Draw(t, "delay")))
 			for range 5 {
-				in, again := b.Let(rapid.IntRange(-2, Ranks+2).Draw(t, "rank"), rapid.Float64Range(0, 0.999999).Draw(t, "random"))
+				in, again := b.Admit(rapid.IntRange(-2, RankCount+2).Draw(t, "rank"), rapid.Float64Range(0, 0.999999).Draw(t, "random"))
 				if !in && !(again >= 0 && again <= longestRetry) {
 					t.Fatalf("come back after %v", again)
 				}
@@ -144,17 +144,17 @@
 			if !(b.level >= least && b.level <= 1) {
 				t.Fatalf("level %v", b.level)
 			}
-			for i := range Ranks - 1 {
+			for i := range RankCount - 1 {
 				if !(b.let[i] >= 0 && b.let[i] <= 1) || b.let[i] > b.let[i+1] {
 					t.Fatalf("rank %d is let in for %v, the next for %v", i, b.let[i], b.let[i+1])
 				}
 			}
 		}
 		for range 10 * int(1/rise) {
-			now += Defaults.Interval
-			b.Delay(now, 0)
+			now += DefaultSettings.Interval
+			b.ObserveDelay(now, 0)
 		}
-		if on, _ := b.Braking(); on || b.level != 1 {
+		if on, _ := b.Shedding(); on || b.level != 1 {
 			t.Fatalf("the brake is on %v, level %v", on, b.level)
 		}
 	})
@@ -166,15 +166,15 @@
 			t.Errorf("%+v is taken", s)
 		}
 	}
-	if err := Defaults.Validate(); err != nil {
+	if err := DefaultSettings.Validate(); err != nil {
 		t.Error(err)
 	}
 }
 
 func BenchmarkLet(b *testing.B) {
-	brake := New(0, Defaults)
-	brake.Delay(time.Second, time.Second)
+	brake := New(0, DefaultSettings)
+	brake.ObserveDelay(time.Second, time.Second)
 	for i := 0; b.Loop(); i++ {
-		brake.Let(i%Ranks, 0.5)
+		brake.Admit(i%RankCount, 0.5)
 	}
 }
--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -13,12 +13,12 @@
 	"spokegw/policy"
 )
 
-// Place is a place of the module's table.
-type Place struct {
-	Name    string
-	Rules   policy.Class
-	InForce bool  // new requests come to it
-	Open    int64 // requests of it that have not ended
+// Slot is a place of the module's table.
+type Slot struct {
+	Name         string
+	Rules        policy.Class
+	Active       bool  // new requests come to it
+	OpenRequests int64 // requests of it that have not ended
 }
 
 // Class is a class of the new settings.
@@ -29,24 +29,24 @@
 
 // Plan is where the classes stand.
 type Plan struct {
-	Places []int   // of each new class, by position in the settings
-	Table  []Place // as it will be; Open is that of the old one
-	Heirs  []int   // by new place: the old place that knows the class best, -1: none
+	Slots        []int  // of each new class, by position in the settings
+	Table        []Slot // as it will be; Open is that of the old one
+	Predecessors []int  // by new place: the old place that knows the class best, -1: none
 }
 
-// MaxPlaces bounds the table.
-const MaxPlaces = 64
+// MaxSlots bounds the table.
+const MaxSlots = 64
 
-// New places the classes of new settings. A class that is the same keeps its
+// NewPlan places the classes of new settings. A class that is the same keeps its
 // place. Places are taken anew only if nothing comes to them and nothing of them
 // is open. It is an error if there are not enough.
-func New(old []Place, classes []Class) (Plan, error) {
-	p := Plan{Places: make([]int, len(classes)), Table: make([]Place, len(old)), Heirs: make([]int, len(old))}
+func NewPlan(old []Slot, classes []Class) (Plan, error) {
+	p := Plan{Slots: make([]int, len(classes)), Table: make([]Slot, len(old)), Predecessors: make([]int, len(old))}
 	byName := map[string]int{}
 	for i, o := range old {
-		p.Table[i], p.Heirs[i] = o, i
-		p.Table[i].InForce = false
-		if o.InForce {
+		p.Table[i], p.Predecessors[i] = o, i
+		p.Table[i].Active = false
+		if o.Active {
 			byName[o.Name] = i
 		}
 	}
@@ -58,30 +58,30 @@
 		}
 		seen[c.Name] = true
 		if at, ok := byName[c.Name]; ok && old[at].Rules == c.Rules {
-			p.Places[i], p.Table[at].InForce = at, true
+			p.Slots[i], p.Table[at].Active = at, true
 			continue
 		}
 		moved = append(moved, i)
 	}
 	free := 0
 	for _, i := range moved {
-		for free < len(old) && (old[free].InForce || old[free].Open > 0) {
+		for free < len(old) && (old[free].Active || old[free].OpenRequests > 0) {
 			free++
 		}
 		at := free
 		if free++; at >= len(p.Table) {
 			at = len(p.Table)
-			p.Table, p.Heirs = append(p.Table, Place{}), append(p.Heirs, -1)
+			p.Table, p.Predecessors = append(p.Table, Slot{}), append(p.Predecessors, -1)
 		}
-		if at >= MaxPlaces {
-			return Plan{}, fmt.Errorf("no place is left for the class %.60q: %d are in use by classes that have requests open still", classes[i].Name, MaxPlaces)
+		if at >= MaxSlots {
+			return Plan{}, fmt.Errorf("no place is left for the class %.60q: %d are in use by classes that have requests open still", classes[i].Name, MaxSlots)
 		}
 		heir := -1
 		if from, ok := byName[classes[i].Name]; ok {
 			heir = from
 		}
-		p.Places[i], p.Heirs[at] = at, heir
-		p.Table[at] = Place{Name: classes[i].Name, Rules: classes[i].Rules, InForce: true}
+		p.Slots[i], p.Predecessors[at] = at, heir
+		p.Table[at] = Slot{Name: classes[i].Name, Rules: classes[i].Rules, Active: true}
 	}
 	return p, nil
 }
--- a/internal/retune/retune_test.go
+++ b/internal/retune/retune_test.go
@@ -19,7 +19,7 @@
 // the table does not grow beyond what is in force, was before, or is open.
 func TestPlaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var table []Place
+		var table []Slot
 		most := 0
 		class := rapid.Custom(func(t *rapid.T) Class {
 			return Class{
@@ -30,26 +30,26 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				classes := rapid.SliceOfNDistinct(class, 1, 4, func(c Class) string { return c.Name }).Draw(t, "classes")
-				p, err := New(table, classes)
+				p, err := NewPlan(table, classes)
 				if err != nil {
 					t.Fatal(err)
 				}
 				for i, old := range table {
-					if (old.Open > 0 || old.InForce) && p.Table[i].Rules != old.Rules {
+					if (old.OpenRequests > 0 || old.Active) && p.Table[i].Rules != old.Rules {
 						t.Fatalf("place %d changes from %+v to %+v", i, old, p.Table[i])
 					}
 				}
 				inForce := 0
-				for i, at := range p.Places {
-					if got := p.Table[at]; got.Name != classes[i].Name || got.Rules != classes[i].Rules || !got.InForce {
+				for i, at := range p.Slots {
+					if got := p.Table[at]; got.Name != classes[i].Name || got.Rules != classes[i].Rules || !got.Active {
 						t.Fatalf("%+v is at %+v", classes[i], got)
 					}
 				}
 				for i, q := range p.Table {
-					if q.InForce {
+					if q.Active {
 						inForce++
 					}
-					if h := p.Heirs[i]; h >= len(table) || h >= 0 && table[h].Name != q.Name {
+					if h := p.Predecessors[i]; h >= len(table) || h >= 0 && table[h].Name != q.Name {
 						t.Fatalf("place %d of %q learns from %d", i, q.Name, h)
 					}
 				}
@@ -61,19 +61,19 @@
 			},
 			"open": func(t *rapid.T) {
 				for i := range table {
-					if table[i].InForce {
-						table[i].Open++
+					if table[i].Active {
+						table[i].OpenRequests++
 						return
 					}
 				}
 			},
 			"end": func(t *rapid.T) {
 				for i := range table {
-					table[i].Open = max(table[i].Open-1, 0)
+					table[i].OpenRequests = max(table[i].OpenRequests-1, 0)
 				}
 			},
 			"": func(t *rapid.T) {
-				if most > MaxPlaces {
+				if most > MaxSlots {
 					t.Fatal(most)
 				}
 			},
@@ -83,9 +83,9 @@
 
 // With nothing open, changes without end take two places for each class.
 func TestNoGrowth(t *testing.T) {
-	var table []Place
+	var table []Slot
 	for i := range 200 {
-		p, err := New(table, []Class{{"a", policy.Class{Deadline: time.Duration(i + 1)}}, {"b", policy.Class{Deadline: 1}}})
+		p, err := NewPlan(table, []Class{{"a", policy.Class{Deadline: time.Duration(i + 1)}}, {"b", policy.Class{Deadline: 1}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,14 +97,14 @@
 }
 
 func TestNoPlaceLeft(t *testing.T) {
-	var table []Place
-	for i := range MaxPlaces {
-		table = append(table, Place{Name: fmt.Sprint(i), Open: 1})
+	var table []Slot
+	for i := range MaxSlots {
+		table = append(table, Slot{Name: fmt.Sprint(i), OpenRequests: 1})
 	}
-	if _, err := New(table, []Class{{Name: "one more"}}); err == nil {
+	if _, err := NewPlan(table, []Class{{Name: "one more"}}); err == nil {
 		t.Error("a place is found where all are in use")
 	}
-	if _, err := New(nil, []Class{{Name: "a"}, {Name: "a"}}); err == nil {
+	if _, err := NewPlan(nil, []Class{{Name: "a"}, {Name: "a"}}); err == nil {
 		t.Error("a class may be there twice")
 	}
 }
