--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Class is where a path leads.
-type Class struct{ Service, Class int } // positions in the lists of the caller
+// Destination is where a path leads.
+type Destination struct{ Service, Class int } // positions in the lists of the caller
 
 // NoClass stands for a path of a service that none of its classes has.
 const NoClass = -1
@@ -18,16 +18,16 @@
 
 // Table matches paths by their longest prefix of whole segments.
 type Table struct {
-	prefixes map[string]Class
+	prefixes map[string]Destination
 	depth    int // segments of the longest prefix
 }
 
 // New makes an empty table.
-func New() *Table { return &Table{prefixes: map[string]Class{}} }
+func New() *Table { return &Table{prefixes: map[string]Destination{}} }
 
 // Add makes a prefix, such as /forecast/alpine, lead to a class. It is an error
 // if the prefix leads somewhere already.
-func (t *Table) Add(prefix string, to Class) error {
+func (t *Table) Add(prefix string, to Destination) error {
 	depth := strings.Count(prefix, "/")
 	switch _, taken := t.prefixes[prefix]; {
 	case len(prefix) < 2 || prefix[0] != '/' || strings.HasSuffix(prefix, "/"):
@@ -44,13 +44,13 @@
 
 // Find returns the class of the longest prefix of path. It allocates nothing.
 // The path has been checked to have one reading.
-func (t *Table) Find(path string) (Class, bool) {
+func (t *Table) Find(path string) (Destination, bool) {
 	for end := t.cut(path); end > 0; end = strings.LastIndexByte(path[:end], '/') {
 		if c, ok := t.prefixes[path[:end]]; ok {
 			return c, true
 		}
 	}
-	return Class{}, false
+	return Destination{}, false
 }
 
 // cut is the length of path's first segments, as many as a prefix may have.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,7 +11,7 @@
 func TestFind(t *testing.T) {
 	table := New()
 	for i, prefix := range []string{"/map-tile", "/forecast", "/forecast/alpine", "/a/b/c"} {
-		if err := table.Add(prefix, Class{Service: i}); err != nil {
+		if err := table.Add(prefix, Destination{Service: i}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -26,7 +26,7 @@
 		}
 	}
 	for _, bad := range []string{"", "/", "forecast", "/x/", "/forecast", strings.Repeat("/a", MaxDepth+1)} {
-		if table.Add(bad, Class{}) == nil {
+		if table.Add(bad, Destination{}) == nil {
 			t.Errorf("%q was added", bad)
 		}
 	}
@@ -40,7 +40,7 @@
 		path := rapid.StringMatching(`(/[ab]{1,2}){0,6}/?`).Draw(t, "path")
 		table, best := New(), ""
 		for i, p := range prefixes {
-			if err := table.Add(p, Class{Service: i}); err != nil {
+			if err := table.Add(p, Destination{Service: i}); err != nil {
 				t.Fatal(err)
 			}
 			if (path == p || strings.HasPrefix(path, p+"/")) && len(p) > len(best) {
@@ -58,7 +58,7 @@
 	for _, n := range []int{10, 10000} {
 		table := New()
 		for i := range n {
-			table.Add(fmt.Sprintf("/service-%d/class", i), Class{Service: i})
+			table.Add(fmt.Sprintf("/service-%d/class", i), Destination{Service: i})
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/sidecar/brake.go
+++ b/internal/sidecar/brake.go
@@ -31,7 +31,7 @@
 	stalls stall.Record // of the process
 
 	mu    sync.Mutex
-	brake *overload.Brake // nil: all are let in
+	brake *overload.Shedder // nil: all are let in
 	begun time.Time
 }
 
@@ -84,7 +84,7 @@
 	if b == nil {
 		return 0
 	}
-	return b.stalls.Within(from, now)
+	return b.stalls.StalledBetween(from, now)
 }
 
 func (b *brake) tell(waited time.Duration) {
@@ -94,10 +94,10 @@
 	}
 	b.mu.Lock()
 	now := time.Since(b.begun)
-	_, since := b.brake.Braking()
-	changed := b.brake.Delay(now, waited)
-	on, _ := b.brake.Braking()
-	level := b.brake.Level()
+	_, since := b.brake.Shedding()
+	changed := b.brake.ObserveDelay(now, waited)
+	on, _ := b.brake.Shedding()
+	level := b.brake.AdmitFraction()
 	b.mu.Unlock()
 	if !changed {
 		return
@@ -114,12 +114,12 @@
 
 // Judge judges a request by its target; after is when a refused one is best sent again.
 func (b *brake) Judge(target string) (refused bool, after time.Duration) {
-	worth, count := b.core.AtDoor(target)
+	worth, count := b.core.AdmissionInfo(target)
 	if count == nil {
 		return false, 0 // what is none of ours is answered as ever
 	}
 	b.mu.Lock()
-	in, after := b.brake.Let(overload.Rank(worth), rand.Float64())
+	in, after := b.brake.Admit(overload.Rank(worth), rand.Float64())
 	b.mu.Unlock()
 	if !in {
 		b.refused.Add(1)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -107,7 +107,7 @@
 		sum += s.Weight
 	}
 	for _, s := range f.Services {
-		reserve := budget.Reserved * float64(c.Limits.sockets(upstreamPart)) * s.Weight / sum
+		reserve := budget.ReservedFraction * float64(c.Limits.sockets(upstreamPart)) * s.Weight / sum
 		if len(f.Services) > 1 && reserve < leastReserve {
 			return fmt.Errorf("service %q: its reserve is %.1f of the %d descriptors that there are for endpoints, at least %d are expected: it needs more weight, or there are too many services for limits.sockets = %d",
 				s.Name, reserve, c.Limits.sockets(upstreamPart), leastReserve, c.Limits.Sockets)
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -110,7 +110,7 @@
 	s.each(func(name string, service *core.Service) {
 		for _, m := range service.MemberList() {
 			if err == nil {
-				err = send(MemberRow{m.ID, cmp.Or(name, "-"), m.Addr, m.Kind, m.State, m.Why, m.InFlight, m.Part, m.Health, m.Warmth, m.Speed})
+				err = send(MemberRow{m.ID, cmp.Or(name, "-"), m.Addr, m.Kind, m.State, m.AvoidedReason, m.InFlight, m.Share, m.Health, m.Warmth, m.Speed})
 			}
 		}
 	})
@@ -206,7 +206,7 @@
 		}
 		break
 	}
-	if n := tap.Missed(); n > 0 {
+	if n := tap.Dropped(); n > 0 {
 		return send(Missed{n})
 	}
 	return nil
--- a/internal/sidecar/export_test.go
+++ b/internal/sidecar/export_test.go
@@ -9,7 +9,7 @@
 // KeysKnown counts the keyed requests that the services remember.
 func (s *Sidecar) KeysKnown() (n int) {
 	for _, r := range s.running() {
-		n += len(r.service.Known(1 << 20).Keys)
+		n += len(r.service.Snapshot(1 << 20).Keys)
 	}
 	return n
 }
@@ -17,7 +17,7 @@
 // KeyAge is how long ago a keyed request was sent, of the one that the services remember.
 func (s *Sidecar) KeyAge() time.Duration {
 	for _, r := range s.running() {
-		for _, n := range r.service.Known(1).Keys {
+		for _, n := range r.service.Snapshot(1).Keys {
 			return n.Age
 		}
 	}
@@ -25,7 +25,7 @@
 }
 
 // Places counts the places for classes that the platform's service has.
-func (s *Sidecar) Places() int { return len(s.running()[0].service.Names()) }
+func (s *Sidecar) Places() int { return len(s.running()[0].service.ClassNames()) }
 
 // Brake is a brake of a sidecar's that nobody looks after.
 type Brake struct{ *brake }
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -43,19 +43,19 @@
 	if a.quota.Class == "" {
 		return 0
 	}
-	return slices.Index(s.Names(), a.quota.Class)
+	return slices.Index(s.ClassNames(), a.quota.Class)
 }
 
-// Asked is what was asked for so far.
-func (a *account) Asked() (requests, work float64) {
+// Requested is what was asked for so far.
+func (a *account) Requested() (requests, work float64) {
 	s := a.service.Load()
-	return s.Asked(a.quota.Team, a.class(s))
+	return s.TeamDemand(a.quota.Team, a.class(s))
 }
 
 // SetLimit puts a limit in force.
 func (a *account) SetLimit(l quota.Limit, left func() time.Duration) {
 	s := a.service.Load()
-	s.SetPart(a.quota.Team, a.class(s), l.Own.Fraction(), l.Grant.Fraction(), left)
+	s.SetQuotaGrant(a.quota.Team, a.class(s), l.Own.Fraction(), l.Grant.Fraction(), left)
 }
 
 // pool is what the fleet's weights are of: the endpoints of all services. It is a fleet.Pool.
@@ -63,10 +63,10 @@
 	services atomic.Pointer[[]*core.Service] // a reload may bring others
 }
 
-// Seen is what all services have seen since the last call.
-func (p *pool) Seen() (all []weights.Sums) {
+// Observations is what all services have seen since the last call.
+func (p *pool) Observations() (all []weights.Stats) {
 	for _, s := range *p.services.Load() {
-		all = append(all, s.Seen()...)
+		all = append(all, s.TakeObservations()...)
 	}
 	return all
 }
@@ -79,21 +79,21 @@
 	return all
 }
 
-// Doors name the sums of what came to services' doors, and what requests are worth there.
-func (p *pool) Doors() (map[weights.ID]bool, map[weights.Class]float64) {
+// Admission name the sums of what came to services' doors, and what requests are worth there.
+func (p *pool) Admission() (map[weights.ID]bool, map[weights.Class]float64) {
 	doors, all := map[weights.ID]bool{}, map[weights.Class]float64{}
 	for _, s := range *p.services.Load() {
-		id, worth := s.Door()
+		id, worth := s.SiteDemand()
 		doors[id] = true
 		maps.Copy(all, worth)
 	}
 	return doors, all
 }
 
-// SetDoor puts in force what is done about sites, at all services.
-func (p *pool) SetDoor(d *sites.Door) {
+// SetEnforcer puts in force what is done about sites, at all services.
+func (p *pool) SetEnforcer(d *sites.Enforcer) {
 	for _, s := range *p.services.Load() {
-		s.SetDoor(d)
+		s.SetSiteAdmission(d)
 	}
 }
 
@@ -262,7 +262,7 @@
 		s.shared.config.Sites = f.Fleet.Sites()
 	}
 	if running := s.shared.fleet.Load(); running != nil {
-		if err := running.Replace(s.shared.config.Gateways, s.shared.config.Addresses, s.shared.config.Sites); err != nil {
+		if err := running.Reconfigure(s.shared.config.Gateways, s.shared.config.Addresses, s.shared.config.Sites); err != nil {
 			slog.Error("fleet: a plan that was checked is not taken", "error", err)
 		}
 	}
@@ -278,16 +278,16 @@
 		return nil
 	}
 	status, counts := f.Status(), f.Counts()
-	now := &metrics.Fleet{Up: len(status.Up) + 1, Dropped: counts.Dropped, Broken: counts.Broken, OtherVersion: counts.OtherVersion}
+	now := &metrics.Fleet{Up: len(status.Up) + 1, Dropped: counts.Dropped, Broken: counts.Malformed, OtherVersion: counts.OtherVersion}
 	for _, c := range s.shared.config.Contracts {
 		st := status.Contracts[c.Name]
 		now.Quotas = append(now.Quotas, metrics.Quota{Name: c.Name, Own: st.Own.Fraction(), Granted: st.Grant.Fraction(), Demand: st.Demand.Fraction()})
 	}
 	if s.shared.config.Pool != nil {
 		c := status.Council
-		now.Weights = &metrics.Weights{Here: c.Holds, Known: c.Holder != "", Term: c.Table.Term, Table: c.Table.N, Stale: c.Stale, Age: c.Age, Endpoints: c.Endpoints, Changes: c.Changes, Heard: c.Heard}
+		now.Weights = &metrics.Weights{Here: c.Leading, Known: c.Leader != "", Term: c.Table.Term, Table: c.Table.Seq, Stale: c.Stale, Age: c.Age, Endpoints: c.Endpoints, Changes: c.Changes, Heard: c.Reporting}
 		for _, s := range c.Sites {
-			now.Weights.Sites = append(now.Weights.Sites, metrics.Site{Name: s.Name, State: int(s.State), Part: s.Part})
+			now.Weights.Sites = append(now.Weights.Sites, metrics.Site{Name: s.Name, State: int(s.State), Part: s.Fraction})
 		}
 	}
 	return now
--- a/internal/sidecar/kept.go
+++ b/internal/sidecar/kept.go
@@ -152,7 +152,7 @@
 // adoptKeys takes over the keys that were on the disk, and begins to keep those that
 // are known now.
 func (s *Sidecar) adoptKeys() {
-	hash, _ := s.core.IDs()
+	hash, _ := s.core.RecentIDs()
 	if s.keys.hashed && s.keys.hash == hash {
 		for _, k := range s.keys.last {
 			if r := s.find(k.Of); r != nil {
@@ -174,10 +174,10 @@
 			return
 		}
 	}
-	hash, _ := s.core.IDs()
+	hash, _ := s.core.RecentIDs()
 	var all []handover.Key
 	for _, r := range s.running() {
-		for _, n := range r.service.Known(handover.MaxKeys).Keys {
+		for _, n := range r.service.Snapshot(handover.MaxKeys).Keys {
 			all = append(all, handover.Key{Of: r.of, Note: n})
 		}
 	}
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -95,7 +95,7 @@
 // members counts the endpoints of all services.
 func (s *Sidecar) members() (sum figures.Members) {
 	s.each(func(_ string, service *core.Service) {
-		m := service.Members()
+		m := service.CountMembers()
 		sum.Listed += m.Listed
 		sum.Unavailable += m.Unavailable
 	})
@@ -116,8 +116,8 @@
 	s.each(func(name string, service *core.Service) {
 		for _, m := range service.MemberList() {
 			fmt.Fprintf(&b, "id=%s service=%s addr=%s kind=%s state=%s avoided=%s in_flight=%.0f part=%.3f health=%.2f warmth=%.2f speed=%.2f\n",
-				word(m.ID), cmp.Or(word(name), "-"), word(m.Addr), cmp.Or(word(m.Kind), "-"), word(m.State), cmp.Or(m.Why, "-"),
-				m.InFlight, m.Part, m.Health, m.Warmth, m.Speed)
+				word(m.ID), cmp.Or(word(name), "-"), word(m.Addr), cmp.Or(word(m.Kind), "-"), word(m.State), cmp.Or(m.AvoidedReason, "-"),
+				m.InFlight, m.Share, m.Health, m.Warmth, m.Speed)
 		}
 	})
 	return b.String() + management.End, nil
--- a/internal/sidecar/moves.go
+++ b/internal/sidecar/moves.go
@@ -23,7 +23,7 @@
 	}
 	for i := range f.Moves {
 		if m := &f.Moves[i]; m.Service == service {
-			plans = append(plans, core.MovePlan{Config: m.Config, GuardsOf: m.GuardsOf})
+			plans = append(plans, core.MovePlan{Config: m.Config, GuardsFor: m.GuardsOf})
 		}
 	}
 	return plans
@@ -34,7 +34,7 @@
 	return func(args []string) (string, error) {
 		err := core.ErrNoMove
 		s.each(func(_ string, service *core.Service) {
-			if e := service.MoveWord(args[0], word); !errors.Is(e, core.ErrNoMove) {
+			if e := service.CommandMove(args[0], word); !errors.Is(e, core.ErrNoMove) {
 				err = e
 			}
 		})
@@ -62,7 +62,7 @@
 	}
 	err := core.ErrNoMove
 	s.each(func(_ string, service *core.Service) {
-		if e := service.MoveTold(args[0], args[1], moves.Kind(kind), judge.Block{New: n[0], NewBad: n[1], Old: n[2], OldBad: n[3]}); !errors.Is(e, core.ErrNoMove) {
+		if e := service.AddMoveEvidence(args[0], args[1], moves.Kind(kind), judge.Block{New: n[0], NewBad: n[1], Old: n[2], OldBad: n[3]}); !errors.Is(e, core.ErrNoMove) {
 			err = e
 		}
 	})
@@ -83,8 +83,8 @@
 				step = fmt.Sprintf("%d/%d", c.Step+1, len(m.Plan.Steps))
 			}
 			fmt.Fprintf(&b, "move=%s service=%s from=%s to=%s ready=%d/%d phase=%s step=%s share=%.4f got=%.4f for=%s left=%s why=%s lacks=%s\n",
-				word(m.Name), cmp.Or(word(m.Service), "-"), word(m.From), word(m.To), m.Ready[0], m.Ready[1], c.Phase, step, c.Share, m.Got,
-				m.For.Round(time.Second), m.Left.Round(time.Second), cmp.Or(word(c.Why), "-"), cmp.Or(word(c.Lacks), "-"))
+				word(m.Name), cmp.Or(word(m.Service), "-"), word(m.From), word(m.To), m.Ready[0], m.Ready[1], c.Phase, step, c.Share, m.NewShare,
+				m.PhaseAge.Round(time.Second), m.Remaining.Round(time.Second), cmp.Or(word(c.Why), "-"), cmp.Or(word(c.Lacks), "-"))
 			for _, e := range m.Evidence {
 				fmt.Fprintf(&b, "evidence=%s class=%s kind=%s new=%.4f old=%.4f judged=%d/%d bad=%d/%d against=%.3g blamed=%.3g needed=%d\n",
 					word(m.Name), word(e.Class), word(e.Kind.String()), e.New, e.Old, e.Ended[0], e.Ended[1], e.Bad[0], e.Bad[1], e.Against, e.Blamed, e.Needed)
--- a/internal/sidecar/record.go
+++ b/internal/sidecar/record.go
@@ -54,7 +54,7 @@
 		case t := <-tap.Traces():
 			out.Encode(t)
 		case <-done:
-			if n := tap.Missed(); n > 0 {
+			if n := tap.Dropped(); n > 0 {
 				out.Encode(Missed{n})
 			}
 			return
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -13,7 +13,7 @@
 // retuned is a change of the platform's settings that comes with a table.
 type retuned struct {
 	classes []core.Class
-	to      *core.Retuning
+	to      *core.SettingsUpdate
 }
 
 // Reload takes over what a new configuration may change in a running sidecar:
@@ -45,7 +45,7 @@
 	now := &s.config.Settings
 	next := *set
 	next.Kinds, next.Zones, next.Report, next.ConnectTimeout = now.Kinds, now.Zones, now.Report, now.ConnectTimeout
-	next.Policy.Report = now.Policy.Report
+	next.Policy.ReportFields = now.Policy.ReportFields
 	if reflect.DeepEqual(*now, next) {
 		return nil
 	}
@@ -59,7 +59,7 @@
 		if !r.definition.Platform {
 			continue
 		}
-		to, err := r.service.PlanRetune(s.platformSettings(&next))
+		to, err := r.service.PrepareSettings(s.platformSettings(&next))
 		if err != nil {
 			return err
 		}
@@ -71,15 +71,15 @@
 	}
 	table, terms, err := s.table(s.config.Operator, s.services, change)
 	if err == nil {
-		err = change.to.Do()
+		err = change.to.Apply()
 	}
 	if err != nil {
 		return err
 	}
 	if s.config.Operator != nil {
-		s.core.UseTerms(table, terms)
+		s.core.SetTableAndTerms(table, terms)
 	} else {
-		s.core.Use(table)
+		s.core.SetTable(table)
 	}
 	s.config.Settings = next
 	return nil
--- a/internal/sidecar/running.go
+++ b/internal/sidecar/running.go
@@ -29,9 +29,9 @@
 	pool       *upstream.Pool
 	watcher    *discovery.Watcher // nil: the endpoints stand in the file
 	known      []discovery.Entry  // that it begins with
-	way        discovery.Way      // to its registry
-	parts      []*budget.Part
-	watches    *budget.Part // holds the descriptor of a registry's watch; nil: it has none of its own
+	way        discovery.Mode     // to its registry
+	parts      []*budget.Partition
+	watches    *budget.Partition // holds the descriptor of a registry's watch; nil: it has none of its own
 	started    bool
 	stop       context.CancelFunc
 }
@@ -77,23 +77,23 @@
 // make makes a service. Its parts of the budgets count from now on.
 func (s *Sidecar) make(d operator.Service) (*running, error) {
 	r := &running{definition: d, of: handover.Of{Service: d.Name, Platform: d.Platform}, upgrade: s.upgrade, stop: func() {}}
-	join := func(b *budget.Budget, yield func() bool) *budget.Part {
+	join := func(b *budget.Budget, yield func() bool) *budget.Partition {
 		p := b.Join(d.Weight, yield)
 		r.parts = append(r.parts, p)
 		return p
 	}
-	shares := upstream.Shares{
-		Slots: join(s.budgets.slots, func() bool { return r.pool.Yield() }),
-		Long:  join(s.budgets.long, nil),
-		Sent:  &s.figures.Attempts,
+	shares := upstream.Resources{
+		Slots:       join(s.budgets.slots, func() bool { return r.pool.EvictIdle() }),
+		StreamBytes: join(s.budgets.long, nil),
+		SentCount:   &s.figures.Attempts,
 	}
 	c := core.ServiceConfig{Name: d.Name, Figures: s.figures}
 	for range s.fronts {
-		c.Rooms = append(c.Rooms, core.Room{Bodies: join(s.budgets.bodies, nil), Places: join(s.budgets.places, nil)})
+		c.Limits = append(c.Limits, core.FrontLimits{Bodies: join(s.budgets.bodies, nil), Requests: join(s.budgets.places, nil)})
 	}
 	if d.Platform {
 		s.describePlatform(&c)
-		r.pool = upstream.NewPool(shares, s.config.Settings.ConnectTimeout, c.Policy.ConnIdle)
+		r.pool = upstream.NewPool(shares, s.config.Settings.ConnectTimeout, c.Policy.ConnIdleTimeout)
 	} else {
 		s.describe(&c, &d)
 		r.pool = upstream.NewPool(shares, d.ConnectTimeout, d.Idle)
@@ -111,9 +111,9 @@
 		if handed, ok := s.upgrade.known(r.of); ok && (s.upgrade.predecessor != nil || handed.Version >= list.Version) {
 			list, known = handed, handed.Version > 0 // of what was kept on a disk, the configuration may know better
 		}
-		r.known, r.way = list.Servers, discovery.Pushed
-		if s.config.Settings.Policy.OnRequest {
-			r.way = discovery.Asked
+		r.known, r.way = list.Servers, discovery.LocalAgent
+		if s.config.Settings.Policy.DiscoveryOnRequest {
+			r.way = discovery.OnDemand
 		}
 		r.watcher = discovery.NewWatcher(s.config.Discovery, list.Version, known, r)
 	case d.Registry != "":
@@ -133,19 +133,19 @@
 	}
 	r.service.SetMoves(s.movePlans(s.config.Operator, d.Name))
 	if s.begun != nil && s.begun.Keys.Kept() {
-		r.service.OnDurable(func(ctx context.Context, n keyed.Note) error { return s.keepKey(ctx, handover.Key{Of: r.of, Note: n}) })
+		r.service.SetKeyWriter(func(ctx context.Context, n keyed.Note) error { return s.keepKey(ctx, handover.Key{Of: r.of, Note: n}) })
 	}
-	r.service.OnStall( // the brake is made later
+	r.service.SetStallMonitor( // the brake is made later
 		func() time.Duration { return s.brake.delay() },
 		func(from, now time.Time) time.Duration { return s.brake.stalledSince(from, now) },
 	)
 	if s.begun != nil && s.begun.Overload != nil {
-		r.service.OnDelay(func() time.Duration { return s.brake.delay() })
+		r.service.SetProcessorDelay(func() time.Duration { return s.brake.delay() })
 	}
 	if s.begun != nil && s.begun.Fleet != nil && s.begun.Fleet.Weights {
-		r.service.Measure()
+		r.service.EnableMeasurement()
 	}
-	r.service.UsePeers(peers{r.upgrade, r.of})
+	r.service.SetPeers(peers{r.upgrade, r.of})
 	return r, nil
 }
 
@@ -163,7 +163,7 @@
 // plainClasses are the classes of the platform's settings.
 func plainClasses(set *wire.Settings) (classes []core.Class) {
 	for i, name := range set.Classes {
-		classes = append(classes, core.PlainClass(name, set.Policy.Classes[i].Effect))
+		classes = append(classes, core.DefaultClass(name, set.Policy.Classes[i].Effect))
 	}
 	return classes
 }
@@ -179,7 +179,7 @@
 func (s *Sidecar) platformSettings(set *wire.Settings) core.Settings {
 	c := core.Settings{Tenants: set.Tenants, Classes: set.Classes, Policy: set.Policy}
 	if s.config.Operator != nil { // contracts hold what tenants' shares and one budget of retries stood for
-		c.Tenants, c.Policy.Tenants, c.Policy.HostRetries = nil, nil, true
+		c.Tenants, c.Policy.Tenants, c.Policy.HostRetryBudget = nil, nil, true
 	}
 	return c
 }
@@ -192,8 +192,8 @@
 	p := set.Policy
 	c.Kinds, c.Zones, c.Seed = set.Kinds, set.Zones, s.config.Seed^rand.Uint64()
 	c.Policy = policy.Settings{
-		FleetSize: p.FleetSize, Zone: p.Zone, ColdTime: p.ColdTime, StartCapacity: p.StartCapacity,
-		MaxAttempts: d.Attempts, SecondCopies: d.SecondCopies, Cancel: true, HostRetries: true, ConnIdle: d.Idle,
+		FleetSize: p.FleetSize, Zone: p.Zone, WarmupTime: p.WarmupTime, StartCapacity: p.StartCapacity,
+		MaxAttempts: d.Attempts, HedgedAttempts: d.SecondCopies, Cancel: true, HostRetryBudget: true, ConnIdleTimeout: d.Idle,
 	}
 	for _, class := range d.Classes {
 		c.Classes = append(c.Classes, class.Name)
@@ -220,7 +220,7 @@
 	}
 	r.started = true
 	ctx, r.stop = context.WithCancel(ctx)
-	r.service.List(r.known, true)
+	r.service.UpdateEndpoints(r.known, true)
 	if r.watcher != nil {
 		go r.watcher.Run(ctx, r.way)
 	}
@@ -231,13 +231,13 @@
 // agent answers at once or is silent. Clients who connect meanwhile wait, and their time runs
 // before their requests are read, so this takes little.
 func (r *running) hear(ctx context.Context) {
-	if r.watcher == nil || r.way != discovery.Pushed {
+	if r.watcher == nil || r.way != discovery.LocalAgent {
 		return
 	}
 	patience := time.NewTimer(hearWithin)
 	defer patience.Stop()
 	select {
-	case <-r.watcher.Called():
+	case <-r.watcher.FirstCallDone():
 	case <-patience.C:
 	case <-ctx.Done():
 	}
@@ -251,12 +251,12 @@
 func (r *running) adopt(d operator.Service) {
 	if !d.Platform && d.Registry == "" && !slices.Equal(r.definition.Endpoints, d.Endpoints) {
 		if r.known = entries(d.Endpoints); r.started { // else it begins with them
-			r.service.List(r.known, true)
+			r.service.UpdateEndpoints(r.known, true)
 		}
 	}
 	if d.Weight != r.definition.Weight {
 		for _, p := range r.parts {
-			p.Weigh(d.Weight)
+			p.SetWeight(d.Weight)
 		}
 	}
 	r.definition = d
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -99,9 +99,9 @@
 	}
 	s.core = core.New(table)
 	s.upgrade.adoptIDs(s.core)
-	longest := s.core.Deadline()
+	longest := s.core.MaxDeadline()
 	if c.Operator != nil {
-		s.core.UseTerms(table, terms)
+		s.core.SetTableAndTerms(table, terms)
 		longest = operator.MaxDeadline // a reload may bring a class that waits longer
 	}
 	if s.upgrade.predecessor == nil {
@@ -157,9 +157,9 @@
 			d = &f.Services[i]
 		}
 		m := core.Mount{Service: r.service, Classes: s.classes(d)}
-		names := r.service.Names()
+		names := r.service.ClassNames()
 		if retuned != nil && r.definition.Platform {
-			m.Classes, m.Retuning, names = retuned.classes, retuned.to, retuned.to.Names()
+			m.Classes, m.Update, names = retuned.classes, retuned.to, retuned.to.ClassNames()
 		}
 		all = append(all, m)
 		if f != nil {
@@ -287,7 +287,7 @@
 			r.start(s.context)
 		}
 	}
-	s.core.UseTerms(table, terms)
+	s.core.SetTableAndTerms(table, terms)
 	s.useShared(services)
 	s.replaceFleet(f)
 	for _, r := range old {
--- a/internal/sidecar/sweep.go
+++ b/internal/sidecar/sweep.go
@@ -42,7 +42,7 @@
 	}
 	var left []*running
 	for _, r := range s.retired {
-		if r.pool.Sweep(); r.pool.Open() > 0 {
+		if r.pool.Sweep(); r.pool.OpenConns() > 0 {
 			left = append(left, r)
 		}
 	}
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -101,7 +101,7 @@
 				for i, n := range k.Keys { // the start has taken some time
 					k.Keys[i] = handover.Aged(n, before.At, state.Now().Since)
 				}
-				r.service.Adopt(core.Known{Classes: k.Classes, Learnt: k.Learnt, Standing: k.Standing, Keys: k.Keys, Disabled: k.Disabled, Moves: k.Moves})
+				r.service.Adopt(core.Snapshot{Classes: k.Classes, Learnt: k.Learnt, ContractUsage: k.Standing, Keys: k.Keys, Disabled: k.Disabled, Moves: k.Moves})
 			}
 		}
 		if before.Drained {
@@ -134,8 +134,8 @@
 	defer stop()
 	p.Follow(func(m handover.Members) {
 		if r := u.sidecar.find(m.Of); r != nil && r.watcher != nil {
-			r.service.List(m.Entries, m.Full)
-			r.watcher.Learn(m.Version)
+			r.service.UpdateEndpoints(m.Entries, m.Full)
+			r.watcher.SetKnownVersion(m.Version)
 			u.tell(m) // a successor may be there already
 		}
 	}, func(k handover.Key, number uint64) {
@@ -175,14 +175,14 @@
 	of      handover.Of
 }
 
-// Any reports whether there are some, or were.
-func (p peers) Any() bool {
+// Exist reports whether there are some, or were.
+func (p peers) Exist() bool {
 	u := p.upgrade
 	return u.predecessor != nil || u.offerer != nil && u.offerer.Asked()
 }
 
-// Tell has both know of a key.
-func (p peers) Tell(n keyed.Note) error {
+// Publish has both know of a key.
+func (p peers) Publish(n keyed.Note) error {
 	u, k := p.upgrade, handover.Key{Of: p.of, Note: n, At: state.Now().Since}
 	if err := u.tellPredecessor(k); err != nil {
 		return err
@@ -337,15 +337,15 @@
 // state is what this process knows that the next should.
 func (u *upgrade) state() *handover.State {
 	st := &handover.State{At: state.Now().Since, Drained: u.sidecar.drained.Load()}
-	st.IDs.Key, st.IDs.Hashes = u.sidecar.core.IDs()
+	st.IDs.Key, st.IDs.Hashes = u.sidecar.core.RecentIDs()
 	for _, r := range u.sidecar.running() {
 		of := handover.Service{Of: r.of}
 		if r.watcher != nil {
 			// The version first: entries are then as new as it, or newer.
-			of.Members = handover.Members{Version: r.watcher.Version(), Full: true, Entries: r.service.Entries()}
+			of.Members = handover.Members{Version: r.watcher.Version(), Full: true, Entries: r.service.DiscoveryEntries()}
 		}
-		k := r.service.Known(handover.MaxKeys)
-		of.Classes, of.Learnt, of.Standing, of.Keys, of.Disabled, of.Moves = k.Classes, k.Learnt, k.Standing, k.Keys, k.Disabled, k.Moves
+		k := r.service.Snapshot(handover.MaxKeys)
+		of.Classes, of.Learnt, of.Standing, of.Keys, of.Disabled, of.Moves = k.Classes, k.Learnt, k.ContractUsage, k.Keys, k.Disabled, k.Moves
 		st.Services = append(st.Services, of)
 	}
 	return st
@@ -463,14 +463,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.services {
-		for s.budgets.slots.Over() && r.pool.Yield() {
+		for s.budgets.slots.Overcommitted() && r.pool.EvictIdle() {
 		}
 	}
 }
 
-// List takes entries of the service from discovery, and relays them.
-func (r *running) List(entries []discovery.Entry, full bool) {
-	r.service.ListAfter(entries, full, r.watcher.SinceCurrent())
+// EndpointsUpdated takes entries of the service from discovery, and relays them.
+func (r *running) EndpointsUpdated(entries []discovery.Entry, full bool) {
+	r.service.UpdateEndpointsAfter(entries, full, r.watcher.SinceCurrent())
 	if len(entries) > 0 || full {
 		r.upgrade.tell(handover.Members{Of: r.of, Version: r.watcher.Version(), Full: full, Entries: entries})
 	}
--- a/internal/stall/record.go
+++ b/internal/stall/record.go
@@ -43,8 +43,8 @@
 	return span{r.due, now}, !r.due.IsZero() && Detected(now.Sub(r.due))
 }
 
-// Within is for how long the process stalled between a time and now, by the stalls that are kept.
-func (r *Record) Within(from, now time.Time) (sum time.Duration) {
+// StalledBetween is for how long the process stalled between a time and now, by the stalls that are kept.
+func (r *Record) StalledBetween(from, now time.Time) (sum time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s, stalled := r.lasting(now); stalled {
--- a/internal/stall/record_test.go
+++ b/internal/stall/record_test.go
@@ -10,7 +10,7 @@
 	begun := time.Now()
 	at := func(after time.Duration) time.Time { return begun.Add(after) }
 	var r Record
-	if got := r.Within(at(0), at(time.Hour)); got != 0 {
+	if got := r.StalledBetween(at(0), at(time.Hour)); got != 0 {
 		t.Errorf("stalled for %v before anything is done", got)
 	}
 	for _, c := range []struct{ due, done time.Duration }{{100 * ms, 400 * ms}, {410 * ms, 415 * ms}, {500 * ms, 600 * ms}} {
@@ -26,7 +26,7 @@
 		{700 * ms, 910 * ms, 0},
 		{950 * ms, 1000 * ms, 50 * ms},
 	} {
-		if got := r.Within(at(c.from), at(c.now)); got != c.want {
+		if got := r.StalledBetween(at(c.from), at(c.now)); got != c.want {
 			t.Errorf("stalled for %v between %v and %v, %v is expected", got, c.from, c.now, c.want)
 		}
 	}
@@ -34,7 +34,7 @@
 		r.Expect(at(time.Duration(i) * time.Second))
 		r.Done(at(time.Duration(i)*time.Second + 100*ms))
 	}
-	if got := r.Within(at(0), at(time.Hour)); got != kept*100*ms {
+	if got := r.StalledBetween(at(0), at(time.Hour)); got != kept*100*ms {
 		t.Errorf("%d stalls of 100 ms are %v", kept, got)
 	}
 }
--- a/internal/state/plan/plan_test.go
+++ b/internal/state/plan/plan_test.go
@@ -22,7 +22,7 @@
 		Services: []handover.Service{{
 			Of: handover.Of{Platform: true}, Disabled: []string{"s-1"}, Classes: []string{"tile"},
 			Members: handover.Members{Version: 7, Entries: []discovery.Entry{{ID: "s-1"}}},
-			Learnt:  learnt.Record{{What: "load"}}, Standing: &broker.Standing{},
+			Learnt:  learnt.Record{{What: "load"}}, Standing: &broker.Snapshot{},
 			Keys: []keyed.Note{{Key: 9, Scope: policy.ScopeCell, Cell: 4, Age: time.Second, Window: 5 * time.Second, Left: 8 * time.Second}},
 		}},
 	}}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -28,7 +28,7 @@
 			Of: of, Disabled: []string{"s-1"}, Classes: []string{"tile"},
 			Members:  handover.Members{Version: int64(n), Entries: []discovery.Entry{{ID: "s-1"}}},
 			Learnt:   learnt.Record{{What: "load", Of: n}},
-			Standing: &broker.Standing{},
+			Standing: &broker.Snapshot{},
 			Keys:     []keyed.Note{{Key: uint64(n), Age: 1e9, Window: 1e12, Left: 1e13}},
 		})
 	}
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -21,9 +21,9 @@
 // MaxLength bounds a target, in bytes.
 const MaxLength = 4 << 10
 
-// Origin is the origin-form of a target that may be in absolute-form, which
+// OriginForm is the origin-form of a target that may be in absolute-form, which
 // servers have to take (RFC 9112 section 3.2.2): without scheme and authority.
-func Origin(raw string) string {
+func OriginForm(raw string) string {
 	for _, scheme := range []string{"http://", "https://"} {
 		if len(raw) < len(scheme) || !strings.EqualFold(raw[:len(scheme)], scheme) {
 			continue
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -83,7 +83,7 @@
 		a.Result = policy.Served
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if head.Header.Get("Srv-Declined") == "1" {
-			a.Result = policy.TurnedAway
+			a.Result = policy.Declined
 		}
 	}
 	if t.req.headOnly {
@@ -93,7 +93,7 @@
 	switch {
 	case a.Result != policy.Served && (toEnd || head.Length > maxBody):
 		return a, false, nil // of an error the head has told all there is to know
-	case head.Length > MaxStream, toEnd && !endTold(&head):
+	case head.Length > MaxStreamBytes, toEnd && !endTold(&head):
 		return a, false, errBody
 	}
 	body := c.bodyOf(&head)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -16,35 +16,35 @@
 
 // Request is what is written to an endpoint, maybe more than once.
 type Request struct {
-	Head []byte // request line and headers, up to the deadline's value
-	Body []byte // that is held, or the part of it
-	Rest *Rest  // of the body, which can be given once; nil: Body is all
+	Head   []byte      // request line and headers, up to the deadline's value
+	Body   []byte      // that is held, or the part of it
+	Stream *BodyStream // of the body, which can be given once; nil: Body is all
 
-	Once     bool // it can't be sent again: it takes no connection that its endpoint may be about to end
+	NoRetry  bool // it can't be sent again: it takes no connection that its endpoint may be about to end
 	headOnly bool // no body comes with the answer
 }
 
-// Rest is the part of a body that is passed on as it comes. One attempt alone
+// BodyStream is the part of a body that is passed on as it comes. One attempt alone
 // reads it.
-type Rest struct {
+type BodyStream struct {
 	Source interface {
 		io.Reader   // io.EOF tells that it was whole
 		Interrupt() // ends a Read that waits; the body is not read on after that
 	}
-	Chunked  bool          // its length is not told
-	Patience time.Duration // for the answer, from the last byte on
+	Chunked       bool          // its length is not told
+	AnswerTimeout time.Duration // for the answer, from the last byte on
 
 	taken atomic.Bool
 }
 
-// Spent reports whether some of the body may have been read: it can't be given
+// Consumed reports whether some of the body may have been read: it can't be given
 // again.
-func (r *Rest) Spent() bool { return r != nil && r.taken.Load() }
+func (r *BodyStream) Consumed() bool { return r != nil && r.taken.Load() }
 
-// NoLength stands for a length that is not told, and ChunkedLength for that of a
+// UnknownLength stands for a length that is not told, and ChunkedLength for that of a
 // body in chunks.
 const (
-	NoLength      = -1
+	UnknownLength = -1
 	ChunkedLength = -2
 )
 
@@ -68,10 +68,10 @@
 
 const (
 	// maxBody is the longest answer that is read whole before any of it is passed
-	// on. Longer ones are streamed, up to MaxStream; what is said to be longer
+	// on. Longer ones are streamed, up to MaxStreamBytes; what is said to be longer
 	// still is no answer, and not waited for.
-	maxBody   = 64 << 10
-	MaxStream = 40 << 20
+	maxBody        = 64 << 10
+	MaxStreamBytes = 40 << 20
 	// streamRoom is what a stream holds of the pool's room for long ones.
 	streamRoom = 32 << 10
 	// streamPatience is for the next piece of a long answer, or of a long body,
@@ -97,21 +97,21 @@
 )
 
 var (
-	// ErrCalledOff is the cause with which an attempt's context is ended when
+	// ErrCancelled is the cause with which an attempt's context is ended when
 	// its result is not wanted any more.
-	ErrCalledOff = errors.New("called off")
-	// ErrNotThere is the cause for one that has sent nothing yet, and whose endpoint is to get
+	ErrCancelled = errors.New("called off")
+	// ErrEndpointUnavailable is the cause for one that has sent nothing yet, and whose endpoint is to get
 	// nothing new.
-	ErrNotThere = errors.New("the endpoint is to get nothing new")
-	errRefused  = errors.New("the rest is not to be sent any more")
-	errTimedOut = errors.New("timed out")
-	errStopped  = errors.New("the answer stopped in the middle")
-	errHead     = errors.New("the answer's head is no head, or too long")
-	errInterim  = errors.New("too many 1xx answers, or one that switches protocols unasked")
-	errEarly    = errors.New("the answer came before the request was written")
-	errNoRoom   = errors.New("no room for a long answer")
-	errUnwanted = errors.New("nobody wants the rest of a long answer")
-	errBody     = errors.New("the answer's length is not told, or too long, or does not fit")
+	ErrEndpointUnavailable = errors.New("the endpoint is to get nothing new")
+	errRefused             = errors.New("the rest is not to be sent any more")
+	errTimedOut            = errors.New("timed out")
+	errStopped             = errors.New("the answer stopped in the middle")
+	errHead                = errors.New("the answer's head is no head, or too long")
+	errInterim             = errors.New("too many 1xx answers, or one that switches protocols unasked")
+	errEarly               = errors.New("the answer came before the request was written")
+	errNoRoom              = errors.New("no room for a long answer")
+	errUnwanted            = errors.New("nobody wants the rest of a long answer")
+	errBody                = errors.New("the answer's length is not told, or too long, or does not fit")
 )
 
 // Answer is how an attempt ended.
@@ -120,7 +120,7 @@
 	Header  http.Header
 	Body    []byte  // whole, or what was read of Stream
 	Stream  *Stream // what follows Body; nil: nothing
-	Length  int64   // told; NoLength where it is not
+	Length  int64   // told; UnknownLength where it is not
 	Elapsed time.Duration
 	Dialled bool          // on a connection made for it
 	Refused permit.Reason // why it was not sent though it was decided; permit.Allowed: that is not why
@@ -141,38 +141,38 @@
 }
 
 // Do is Begin, and waits for the end of a long answer too.
-func (p *Pool) Do(end *Ending, e Endpoint, req *Request, timeout time.Duration, stream func(Answer) bool) Answer {
-	var taker Taker
+func (p *Pool) Do(end *Cancellation, e Endpoint, req *Request, timeout time.Duration, stream func(Answer) bool) Answer {
+	var taker StreamAcceptor
 	if stream != nil {
 		taker = takes(stream)
 	}
-	a, more := p.Begin(end, e, req, Terms{Until: time.Now().Add(timeout)}, taker)
+	a, more := p.Begin(end, e, req, Constraints{Deadline: time.Now().Add(timeout)}, taker)
 	if more != nil {
 		return more()
 	}
 	return a
 }
 
-// Taker takes a long answer as it begins; it reports whether that is wanted.
-type Taker interface{ Take(long Answer) bool }
+// StreamAcceptor takes a long answer as it begins; it reports whether that is wanted.
+type StreamAcceptor interface{ AcceptStream(long Answer) bool }
 
 type takes func(Answer) bool
 
-func (take takes) Take(long Answer) bool { return take(long) }
+func (take takes) AcceptStream(long Answer) bool { return take(long) }
 
-// Terms are what an attempt is held to.
-type Terms struct {
-	Until    time.Time // it is given up then
-	RepeatBy time.Time // its endpoint does not know it for a repeat from then on; zero: it is none
-	Gate     Gate      // nil: nothing else holds it back
+// Constraints are what an attempt is held to.
+type Constraints struct {
+	Deadline   time.Time // it is given up then
+	DedupUntil time.Time // its endpoint does not know it for a repeat from then on; zero: it is none
+	Gate       Gate      // nil: nothing else holds it back
 }
 
 // Gate knows what may have changed since an attempt was decided.
 type Gate interface {
-	// Look fills in what its owner knows, immediately before the first byte is written.
-	Look(facts *permit.Attempt)
-	// Wrote tells that the first byte has been written, and how long after the look.
-	Wrote(after time.Duration)
+	// FillFacts fills in what its owner knows, immediately before the first byte is written.
+	FillFacts(facts *permit.Attempt)
+	// FirstByteWritten tells that the first byte has been written, and how long after the look.
+	FirstByteWritten(after time.Duration)
 }
 
 // permitted decides whether the attempt may begin now.
@@ -183,12 +183,12 @@
 
 // look decides by what is known at a time.
 func (t *try) look(facts *permit.Attempt, now time.Time) permit.Reason {
-	*facts = permit.Attempt{Now: now.Sub(t.start), Deadline: t.terms.Until.Sub(t.start), CalledOff: t.end.Cause() != nil}
-	if !t.terms.RepeatBy.IsZero() {
-		facts.RepeatBy = max(t.terms.RepeatBy.Sub(t.start), 1)
+	*facts = permit.Attempt{Now: now.Sub(t.start), Deadline: t.terms.Deadline.Sub(t.start), Cancelled: t.end.Cause() != nil}
+	if !t.terms.DedupUntil.IsZero() {
+		facts.DedupUntil = max(t.terms.DedupUntil.Sub(t.start), 1)
 	}
 	if t.terms.Gate != nil {
-		t.terms.Gate.Look(facts)
+		t.terms.Gate.FillFacts(facts)
 	}
 	return facts.Check()
 }
@@ -197,9 +197,9 @@
 // last, with which the endpoint begins. Where the endpoint stands counts at the first byte alone.
 func (t *try) mayGoOn() bool {
 	facts := new(permit.Attempt)
-	if why := t.look(facts, time.Now()); why != permit.Allowed && !why.OfEndpoint() {
+	if why := t.look(facts, time.Now()); why != permit.Allowed && !why.EndpointSpecific() {
 		t.refused = why
-		t.end.End(errRefused)
+		t.end.Cancel(errRefused)
 		return false
 	}
 	return true
@@ -208,7 +208,7 @@
 // wrote tells the gate that the first byte has been written.
 func (t *try) wrote() {
 	if t.terms.Gate != nil {
-		t.terms.Gate.Wrote(time.Since(t.looked))
+		t.terms.Gate.FirstByteWritten(time.Since(t.looked))
 	}
 }
 
@@ -218,8 +218,8 @@
 // stream as it begins, which returns whether it is wanted. Where it is, the attempt goes on until
 // that has been closed: more waits for that and returns how the attempt ended. It is to be called
 // once, and is nil otherwise. Without stream long answers are failures.
-func (p *Pool) Begin(end *Ending, e Endpoint, req *Request, terms Terms, stream Taker) (a Answer, more func() Answer) {
-	t := &try{start: time.Now(), stream: stream, req: req, end: end, terms: terms, deadline: terms.Until}
+func (p *Pool) Begin(end *Cancellation, e Endpoint, req *Request, terms Constraints, stream StreamAcceptor) (a Answer, more func() Answer) {
+	t := &try{start: time.Now(), stream: stream, req: req, end: end, terms: terms, deadline: terms.Deadline}
 	over := false
 	defer func() { // also where it panics
 		if !over {
@@ -238,7 +238,7 @@
 }
 
 // over has everything end that an attempt has begun.
-func (t *try) over() { t.end.End(context.Canceled) }
+func (t *try) over() { t.end.Cancel(context.Canceled) }
 
 // told fills in what every answer tells.
 func (t *try) told(a Answer) Answer {
@@ -252,10 +252,10 @@
 // try is one attempt while it is made.
 type try struct {
 	req      *Request
-	stream   Taker
-	end      *Ending
+	stream   StreamAcceptor
+	end      *Cancellation
 	start    time.Time
-	terms    Terms
+	terms    Constraints
 	facts    permit.Attempt // as the latest look found them
 	looked   time.Time
 	refused  permit.Reason // why its body was not written to the end
@@ -263,7 +263,7 @@
 	clock    *clock // of the connection that it is on
 	write    write  // of a short request
 	dialled  bool
-	uploaded atomic.Int64 // ns after start when the last byte of a Rest was written; 0: not
+	uploaded atomic.Int64 // ns after start when the last byte of a BodyStream was written; 0: not
 }
 
 // elapsed is how long the endpoint has had the request.
@@ -273,8 +273,8 @@
 
 // left is how long the answer may take once the request is written.
 func (t *try) left() time.Duration {
-	if t.req.Rest != nil {
-		return t.req.Rest.Patience
+	if t.req.Stream != nil {
+		return t.req.Stream.AnswerTimeout
 	}
 	return time.Until(t.deadline)
 }
@@ -283,7 +283,7 @@
 // the answer begins.
 func (t *try) sentAll() {
 	t.uploaded.Store(int64(time.Since(t.start)))
-	t.clock.allow(time.Now().Add(t.req.Rest.Patience)) // where the time was up as the last byte went out it has ended
+	t.clock.allow(time.Now().Add(t.req.Stream.AnswerTimeout)) // where the time was up as the last byte went out it has ended
 }
 
 // attempt returns how the attempt ended, or, of one whose long answer is being passed on,
@@ -298,7 +298,7 @@
 			return Answer{Result: policy.NoConnection}, nil
 		}
 		if refused := t.permitted(); refused != permit.Allowed {
-			if refused.OfEndpoint() {
+			if refused.EndpointSpecific() {
 				p.discard(c) // nothing goes there any more
 			} else {
 				p.put(c)
@@ -308,7 +308,7 @@
 		pooled := !c.rested.IsZero()
 		t.dialled = !pooled
 		a, unsent, passing := p.exchange(t, c)
-		if !unsent || !pooled || t.end.Cause() != nil || t.req.Rest.Spent() {
+		if !unsent || !pooled || t.end.Cause() != nil || t.req.Stream.Consumed() {
 			return a, passing
 		}
 		// A kept connection that breaks before the last byte is on it says
@@ -319,10 +319,10 @@
 
 // connect takes a connection that is kept, or makes one within the attempt's time.
 func (p *Pool) connect(t *try, e Endpoint) (*conn, error) {
-	if c := p.kept(e, t.req.Once); c != nil {
+	if c := p.kept(e, t.req.NoRetry); c != nil {
 		return c, nil
 	}
-	expiry := time.AfterFunc(time.Until(t.deadline), func() { t.end.End(errTimedOut) })
+	expiry := time.AfterFunc(time.Until(t.deadline), func() { t.end.Cancel(errTimedOut) })
 	defer expiry.Stop()
 	return p.dial(t.end, e)
 }
@@ -333,19 +333,19 @@
 func (p *Pool) exchange(t *try, c *conn) (a Answer, unsent bool, passing func() Answer) {
 	t.clock = &c.clock
 	t.clock.start(t.end, t.deadline)
-	if t.req.Rest == nil {
-		t.end.At(c.cut)
+	if t.req.Stream == nil {
+		t.end.OnCancel(c.cut)
 	} else {
-		t.end.At(func() {
+		t.end.OnCancel(func() {
 			c.cut()
-			t.req.Rest.Source.Interrupt()
+			t.req.Stream.Source.Interrupt()
 		})
 	}
 	w := startWrite(c, t)
 	t.wrote()
 	a, keep, err := c.readAnswer(t)
-	if t.req.Rest != nil && (err != nil || a.Result != policy.Served) {
-		t.end.End(errStopped) // ends a write that waits for more of the body; the answer is known
+	if t.req.Stream != nil && (err != nil || a.Result != policy.Served) {
+		t.end.Cancel(errStopped) // ends a write that waits for more of the body; the answer is known
 	}
 	if err == nil && a.Result == policy.Served {
 		w.wait() // an endpoint begins when it has the last byte: else this answer is another's
@@ -372,7 +372,7 @@
 // finish ends an exchange: its connection is kept, or closed.
 func (p *Pool) finish(t *try, c *conn, w *write, a Answer, keep bool, err error) (_ Answer, unsent bool) {
 	begun := c.clock.stop()
-	keep = t.end.Release() && keep && err == nil
+	keep = t.end.ClearOnCancel() && keep && err == nil
 	// A connection is kept only if nothing on it is unfinished and nothing that nobody
 	// asked for came along with the answer; what comes behind it is looked for before the
 	// connection is used again.
@@ -402,11 +402,11 @@
 	// Its client decides how long it waits for the rest. One whose time is up
 	// already, or that is called off, would be given a head and nothing more.
 	if !t.clock.allow(time.Time{}) || t.end.Cause() != nil {
-		t.end.End(errTimedOut) // of two causes the first counts
+		t.end.Cancel(errTimedOut) // of two causes the first counts
 		a.Free()
 		return errTimedOut
 	}
-	if !t.stream.Take(*a) {
+	if !t.stream.AcceptStream(*a) {
 		a.Free()
 		return errUnwanted
 	}
@@ -434,7 +434,7 @@
 
 // unsentBy reports whether an attempt that has sent nothing was ended by who decided on it.
 func unsentBy(cause error) bool {
-	return errors.Is(cause, ErrCalledOff) || errors.Is(cause, ErrNotThere) || errors.Is(cause, errRefused)
+	return errors.Is(cause, ErrCancelled) || errors.Is(cause, ErrEndpointUnavailable) || errors.Is(cause, errRefused)
 }
 
 // failure tells what an attempt without an answer is by the protocol's table.
@@ -449,9 +449,9 @@
 	case errors.Is(cause, errStopped):
 		return policy.ConnectionLost
 	case errors.Is(cause, errUnwanted):
-		return policy.CalledOff
+		return policy.Cancelled
 	case cause != nil:
-		return policy.CalledOff
+		return policy.Cancelled
 	}
 	return policy.ConnectionLost
 }
--- a/internal/upstream/clock.go
+++ b/internal/upstream/clock.go
@@ -18,17 +18,17 @@
 type clock struct {
 	unread   func() bool // whether the connection has something, or its end, for the reader
 	mu       sync.Mutex
-	timer    *time.Timer // nil: none was needed yet
-	armed    time.Time   // when it goes off
-	end      *Ending     // of the attempt; nil: there is none
-	deadline time.Time   // of the attempt; zero: none any more
-	pause    time.Time   // by when more of the answer has to come; zero: none need
-	begun    bool        // the answer has
-	fired    bool        // the attempt was ended from here
+	timer    *time.Timer   // nil: none was needed yet
+	armed    time.Time     // when it goes off
+	end      *Cancellation // of the attempt; nil: there is none
+	deadline time.Time     // of the attempt; zero: none any more
+	pause    time.Time     // by when more of the answer has to come; zero: none need
+	begun    bool          // the answer has
+	fired    bool          // the attempt was ended from here
 }
 
 // start has an attempt end at a time.
-func (k *clock) start(end *Ending, deadline time.Time) {
+func (k *clock) start(end *Cancellation, deadline time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.end, k.deadline, k.pause, k.begun, k.fired = end, deadline, time.Time{}, false, false
@@ -76,7 +76,7 @@
 		k.arm(next)
 	default:
 		k.fired = true
-		k.end.End(cause)
+		k.end.Cancel(cause)
 	}
 }
 
--- a/internal/upstream/clock_test.go
+++ b/internal/upstream/clock_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				end, now := new(Ending), time.Now()
+				end, now := new(Cancellation), time.Now()
 				k := &clock{unread: func() bool { return false }}
 				defer k.close()
 				k.start(end, now.Add(time.Hour))
@@ -75,7 +75,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			pool := NewPool(Shares{Slots: budget.New(1).Join(1, nil)}, time.Minute, time.Minute)
+			pool := NewPool(Resources{Slots: budget.New(1).Join(1, nil)}, time.Minute, time.Minute)
 			conn, err := pool.dial(t.Context(), Endpoint{Addr: l.Addr().String()})
 			if err != nil {
 				t.Fatal(err)
@@ -95,7 +95,7 @@
 			if c.write != "" || c.close {
 				awaitReadable(t, conn)
 			}
-			end := new(Ending)
+			end := new(Cancellation)
 			conn.clock.start(end, time.Now().Add(time.Hour))
 			conn.clock.begin()
 			conn.clock.mu.Lock()
@@ -132,43 +132,43 @@
 func TestClock(t *testing.T) {
 	const step = answerPatience / 2
 	for name, c := range map[string]struct {
-		play  func(k *clock, end *Ending)
+		play  func(k *clock, end *Cancellation)
 		after time.Duration // from the start of the latest attempt; 0: it is never ended
 		cause error
 	}{
-		"silence": {func(k *clock, end *Ending) {}, 10 * step, errTimedOut},
-		"an answer that stops": {func(k *clock, end *Ending) {
+		"silence": {func(k *clock, end *Cancellation) {}, 10 * step, errTimedOut},
+		"an answer that stops": {func(k *clock, end *Cancellation) {
 			time.Sleep(step)
 			k.begin()
 		}, 3 * step, errStopped},
-		"pieces": {func(k *clock, end *Ending) {
+		"pieces": {func(k *clock, end *Cancellation) {
 			k.begin()
 			for range 5 {
 				time.Sleep(step)
 				k.moved()
 			}
 		}, 7 * step, errStopped},
-		"pieces beyond its time": {func(k *clock, end *Ending) {
+		"pieces beyond its time": {func(k *clock, end *Cancellation) {
 			k.begin()
 			for range 9 {
 				time.Sleep(step)
 				k.moved()
 			}
 		}, 10 * step, errTimedOut},
-		"whole": {func(k *clock, end *Ending) {
+		"whole": {func(k *clock, end *Cancellation) {
 			k.begin()
 			k.whole()
 		}, 10 * step, errTimedOut},
-		"passed on": {func(k *clock, end *Ending) {
+		"passed on": {func(k *clock, end *Cancellation) {
 			k.begin()
 			k.whole()
 			k.allow(time.Time{})
 		}, 0, nil},
-		"a body that took long": {func(k *clock, end *Ending) {
+		"a body that took long": {func(k *clock, end *Cancellation) {
 			time.Sleep(9 * step)
 			k.allow(time.Now().Add(10 * step))
 		}, 19 * step, errTimedOut},
-		"the next attempt": {func(k *clock, end *Ending) {
+		"the next attempt": {func(k *clock, end *Cancellation) {
 			k.begin()
 			time.Sleep(step)
 			k.stop()
@@ -178,7 +178,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				end, begun := new(Ending), time.Now()
+				end, begun := new(Cancellation), time.Now()
 				k := &clock{unread: func() bool { return false }}
 				defer k.close()
 				k.start(end, begun.Add(10*step))
--- a/internal/upstream/ending.go
+++ b/internal/upstream/ending.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Ending is how one attempt is told to end: once, by a cause; the first one counts. Its
+// Cancellation is how one attempt is told to end: once, by a cause; the first one counts. Its
 // zero value goes on. It is a context for what has to wait (a dial, a place), and made for
 // the usual attempt, for which nothing waits on it and that is never ended early: no
 // channel is made before one is asked for, and what is to be done at the end is one
 // function, that of the connection in use.
-type Ending struct {
+type Cancellation struct {
 	mu    sync.Mutex
 	cause error
 	done  chan struct{} // nil: nobody asked for it
 	at    func()        // nil: there is nothing to do
 }
 
-// End ends it, unless that was done before. It does not wait for what is done at the end:
+// Cancel ends it, unless that was done before. It does not wait for what is done at the end:
 // it may be called by who holds locks that this takes.
-func (e *Ending) End(cause error) {
+func (e *Cancellation) Cancel(cause error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cause != nil {
@@ -36,9 +36,9 @@
 	}
 }
 
-// EndUnsent ends it where nothing is to be done at the end, as before the attempt has a
+// CancelUnsent ends it where nothing is to be done at the end, as before the attempt has a
 // connection: nothing of it has been sent then.
-func (e *Ending) EndUnsent(cause error) {
+func (e *Cancellation) CancelUnsent(cause error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cause != nil || e.at != nil {
@@ -50,9 +50,9 @@
 	}
 }
 
-// At sets what is done at the end, in place of what was set before. Where that has been,
+// OnCancel sets what is done at the end, in place of what was set before. Where that has been,
 // it is done at once.
-func (e *Ending) At(do func()) {
+func (e *Cancellation) OnCancel(do func()) {
 	e.mu.Lock()
 	ended := e.cause != nil
 	if !ended {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Release takes back what is to be done, and reports whether it was not begun.
-func (e *Ending) Release() bool {
+// ClearOnCancel takes back what is to be done, and reports whether it was not begun.
+func (e *Cancellation) ClearOnCancel() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.at = nil
@@ -73,14 +73,14 @@
 }
 
 // Cause is why it has ended; nil: it has not.
-func (e *Ending) Cause() error {
+func (e *Cancellation) Cause() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cause
 }
 
 // Done is closed at the end.
-func (e *Ending) Done() <-chan struct{} {
+func (e *Cancellation) Done() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.done == nil {
@@ -93,12 +93,12 @@
 }
 
 // Err, Deadline and Value are those of a context without a deadline or values.
-func (e *Ending) Err() error {
+func (e *Cancellation) Err() error {
 	if e.Cause() != nil {
 		return context.Canceled
 	}
 	return nil
 }
 
-func (e *Ending) Deadline() (time.Time, bool) { return time.Time{}, false }
-func (e *Ending) Value(any) any               { return nil }
+func (e *Cancellation) Deadline() (time.Time, bool) { return time.Time{}, false }
+func (e *Cancellation) Value(any) any               { return nil }
--- a/internal/upstream/ending_test.go
+++ b/internal/upstream/ending_test.go
@@ -27,19 +27,19 @@
 }
 
 func endingInOrder(t *testing.T, order []string, first, second error) {
-	var e Ending
+	var e Cancellation
 	var cause error
 	set, done, told := "", map[string]int{}, false
 	want := map[string]int{}
 	at := func(what string) {
-		e.At(func() { done[what]++ })
+		e.OnCancel(func() { done[what]++ })
 		if set = what; cause != nil {
 			want[what]++
 			set = ""
 		}
 	}
 	end := func(by error) {
-		e.End(by)
+		e.Cancel(by)
 		if cause == nil {
 			if cause = by; set != "" {
 				want[set]++
@@ -56,7 +56,7 @@
 		case "set", "set again":
 			at(step)
 		case "take back":
-			if took := e.Release(); took != (cause == nil) {
+			if took := e.ClearOnCancel(); took != (cause == nil) {
 				t.Errorf("%v: taken back %v, ended by %v", order, took, cause)
 			}
 			set = ""
@@ -76,10 +76,10 @@
 // A context that waits on it ends with it, and leaves nothing behind once it is ended itself.
 func TestEndingAsAContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var e Ending
+		var e Cancellation
 		ctx, cancel := context.WithCancel(&e)
 		defer cancel()
-		e.End(ErrCalledOff)
+		e.Cancel(ErrCancelled)
 		synctest.Wait()
 		if ctx.Err() == nil {
 			t.Error("a context goes on after what it came of has ended")
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -18,22 +18,22 @@
 
 // gate is told of an attempt's look, and finds its endpoint as it is set.
 type gate struct {
-	endpoint      permit.Listing
+	endpoint      permit.EndpointStatus
 	looks, writes int
 }
 
-func (g *gate) Look(facts *permit.Attempt) {
+func (g *gate) FillFacts(facts *permit.Attempt) {
 	g.looks++
 	facts.Endpoint = g.endpoint
 }
 
-func (g *gate) Wrote(time.Duration) { g.writes++ }
+func (g *gate) FirstByteWritten(time.Duration) { g.writes++ }
 
 // Nothing is written where the gate refuses, on a kept connection and on a new one, and no
 // connection stays to an endpoint that is to get nothing new.
 func TestGateIsAskedBeforeTheFirstByte(t *testing.T) {
 	for _, kept := range []bool{false, true} {
-		for _, listing := range []permit.Listing{permit.Active, permit.Draining, permit.Gone, permit.Replaced} {
+		for _, listing := range []permit.EndpointStatus{permit.Active, permit.Draining, permit.Removed, permit.Replaced} {
 			came := make(chan string, 4)
 			addr := endpoint(t, func(c net.Conn, r *bufio.Reader) {
 				for {
@@ -48,17 +48,17 @@
 			p := newTestPool(2, 300<<10)
 			p.settle = 0
 			if kept {
-				p.Do(new(Ending), Endpoint{"s", addr}, request("before"), long, nil)
+				p.Do(new(Cancellation), Endpoint{"s", addr}, request("before"), long, nil)
 				<-came
 			}
 			g := &gate{endpoint: listing}
-			a, _ := p.Begin(new(Ending), Endpoint{"s", addr}, request("1"), Terms{Until: time.Now().Add(long), Gate: g}, nil)
+			a, _ := p.Begin(new(Cancellation), Endpoint{"s", addr}, request("1"), Constraints{Deadline: time.Now().Add(long), Gate: g}, nil)
 			served := listing == permit.Active
 			if served != (a.Result == policy.Served) || !served && a.Result != policy.NotSent || g.looks != 1 || (g.writes == 1) != served || (len(came) == 1) != served {
 				t.Errorf("kept %t, listed %d: %v refused as %v, %d looks, %d writes, %d requests came", kept, listing, a.Result, a.Refused, g.looks, g.writes, len(came))
 			}
-			if !served && (p.Open() != 0 || !a.Refused.OfEndpoint()) {
-				t.Errorf("kept %t, listed %d: %d connections are open, refused as %v", kept, listing, p.Open(), a.Refused)
+			if !served && (p.OpenConns() != 0 || !a.Refused.EndpointSpecific()) {
+				t.Errorf("kept %t, listed %d: %d connections are open, refused as %v", kept, listing, p.OpenConns(), a.Refused)
 			}
 			p.Close()
 		}
@@ -95,17 +95,17 @@
 // the endpoint's failure.
 func TestEndedWhileItWaitsIsNotSent(t *testing.T) {
 	addr := full(t)
-	for _, cause := range []error{ErrCalledOff, ErrNotThere} {
+	for _, cause := range []error{ErrCancelled, ErrEndpointUnavailable} {
 		p := newTestPool(1, 300<<10)
 		p.dialer.Timeout = long
-		end := new(Ending)
+		end := new(Cancellation)
 		go func() {
-			for p.Open() == 0 {
+			for p.OpenConns() == 0 {
 				runtime.Gosched()
 			}
-			end.EndUnsent(cause)
+			end.CancelUnsent(cause)
 		}()
-		if a, _ := p.Begin(end, Endpoint{"s", addr}, request("1"), Terms{Until: time.Now().Add(long), Gate: &gate{endpoint: permit.Gone}}, nil); a.Result != policy.NotSent {
+		if a, _ := p.Begin(end, Endpoint{"s", addr}, request("1"), Constraints{Deadline: time.Now().Add(long), Gate: &gate{endpoint: permit.Removed}}, nil); a.Result != policy.NotSent {
 			t.Errorf("%v: %v", cause, a.Result)
 		}
 	}
--- a/internal/upstream/lasting_test.go
+++ b/internal/upstream/lasting_test.go
@@ -64,7 +64,7 @@
 	ask := func(once, dialled bool) {
 		t.Helper()
 		r := request("1")
-		r.Once = once
+		r.NoRetry = once
 		if a := do(p, context.Background(), e, r, long); string(a.Body) != "ok" || a.Dialled != dialled {
 			t.Errorf("%+v, want dialled %v", a, dialled)
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -28,9 +28,9 @@
 	dialer  net.Dialer
 	maxIdle time.Duration
 	settle  time.Duration
-	stall   time.Duration // that a stream may take for its next piece
-	long    *budget.Part  // bytes that answers over maxBody may hold together
-	slots   *budget.Part  // one for every connection that is open or being made
+	stall   time.Duration     // that a stream may take for its next piece
+	long    *budget.Partition // bytes that answers over maxBody may hold together
+	slots   *budget.Partition // one for every connection that is open or being made
 	sent    *atomic.Uint64
 	mu      sync.Mutex
 	closed  bool                 // nothing is kept any more
@@ -54,27 +54,27 @@
 // close is lost.
 const idlePart = 0.6
 
-// Shares are what a pool may use beside those of other services.
-type Shares struct {
-	Slots *budget.Part   // connections
-	Long  *budget.Part   // bytes of answers that are longer than the protocol has them
-	Sent  *atomic.Uint64 // counts the attempts whose last byte was written; nil: nothing does
+// Resources are what a pool may use beside those of other services.
+type Resources struct {
+	Slots       *budget.Partition // connections
+	StreamBytes *budget.Partition // bytes of answers that are longer than the protocol has them
+	SentCount   *atomic.Uint64    // counts the attempts whose last byte was written; nil: nothing does
 }
 
 // NewPool makes a pool. An endpoint closes a connection that was idle for so
 // long.
-func NewPool(s Shares, connectTimeout, idle time.Duration) *Pool {
-	if s.Sent == nil {
-		s.Sent = new(atomic.Uint64)
+func NewPool(s Resources, connectTimeout, idle time.Duration) *Pool {
+	if s.SentCount == nil {
+		s.SentCount = new(atomic.Uint64)
 	}
 	return &Pool{
 		dialer:  net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
 		maxIdle: time.Duration(float64(idle) * idlePart),
 		settle:  settle,
 		stall:   streamPatience,
-		long:    s.Long,
+		long:    s.StreamBytes,
 		slots:   s.Slots,
-		sent:    s.Sent,
+		sent:    s.SentCount,
 		idle:    map[Endpoint][]*conn{},
 		lasting: lasting{},
 	}
@@ -151,7 +151,7 @@
 		if p.slots.TryAcquire(1) {
 			return nil
 		}
-		if p.Yield() || p.slots.Reclaim() {
+		if p.EvictIdle() || p.slots.Reclaim() {
 			continue
 		}
 		select {
@@ -175,9 +175,9 @@
 	return false
 }
 
-// Yield closes the connection that is idle longest; it reports false where
+// EvictIdle closes the connection that is idle longest; it reports false where
 // there is none.
-func (p *Pool) Yield() bool {
+func (p *Pool) EvictIdle() bool {
 	c := p.popOldest()
 	if c != nil {
 		p.discard(c)
@@ -238,9 +238,9 @@
 	}
 }
 
-// Forget closes the idle connections to an endpoint that gets no more requests.
+// RemoveEndpoint closes the idle connections to an endpoint that gets no more requests.
 // Those in use are closed some time after they have come back.
-func (p *Pool) Forget(e Endpoint) {
+func (p *Pool) RemoveEndpoint(e Endpoint) {
 	p.mu.Lock()
 	list := p.idle[e]
 	delete(p.idle, e)
@@ -266,7 +266,7 @@
 		p.discard(c)
 		return
 	}
-	p.slots.Offer() // a request that waits for a place needs it more
+	p.slots.NotifyIdle() // a request that waits for a place needs it more
 }
 
 // Close closes the idle connections, and those in use as they come back. What
@@ -275,7 +275,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	for p.Yield() {
+	for p.EvictIdle() {
 	}
 }
 
@@ -309,5 +309,5 @@
 	return nil
 }
 
-// Open counts the connections that are open or being made.
-func (p *Pool) Open() int { return int(p.slots.Used()) }
+// OpenConns counts the connections that are open or being made.
+func (p *Pool) OpenConns() int { return int(p.slots.Used()) }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -16,7 +16,7 @@
 // is slowed down by that, and so the endpoint is.
 type Stream struct {
 	conn *conn
-	end  *Ending
+	end  *Cancellation
 	body io.Reader
 	done chan struct{}
 	once sync.Once
@@ -28,7 +28,7 @@
 }
 
 // startStream makes the rest of an answer a stream.
-func (c *conn) startStream(end *Ending, a *Answer, body io.Reader, keep bool) error {
+func (c *conn) startStream(end *Cancellation, a *Answer, body io.Reader, keep bool) error {
 	if !c.pool.long.TryAcquire(streamRoom) {
 		return errNoRoom
 	}
@@ -59,10 +59,10 @@
 	return n, err
 }
 
-// Whole reports whether all of it has been read, and Failed whether the endpoint
+// Complete reports whether all of it has been read, and Failed whether the endpoint
 // ended it before that.
-func (s *Stream) Whole() bool  { return s.whole }
-func (s *Stream) Failed() bool { return s.failed }
+func (s *Stream) Complete() bool { return s.whole }
+func (s *Stream) Failed() bool   { return s.failed }
 
 // Abort ends a Read that waits: its reader has gone. It may be called at any
 // time.
@@ -84,7 +84,7 @@
 			t.sentAll()
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.end.End(errStopped) // an endpoint that reads no more need not be waited for; one that closed has maybe answered
+			t.end.Cancel(errStopped) // an endpoint that reads no more need not be waited for; one that closed has maybe answered
 		}
 	}()
 	return w
@@ -93,7 +93,7 @@
 // writeStream writes head and body. The last piece, and with it the end of a
 // body in chunks, goes out only once the source has said that it is whole.
 func writeStream(c *conn, t *try, head []byte) error {
-	rest := t.req.Rest
+	rest := t.req.Stream
 	put := func(parts net.Buffers) error {
 		c.SetWriteDeadline(time.Now().Add(c.pool.stall))
 		if t.end.Cause() != nil || !t.mayGoOn() {
@@ -117,7 +117,7 @@
 		}
 	}
 	if rest.taken.Swap(true) {
-		t.end.End(errSource) // no fault of this endpoint's
+		t.end.Cancel(errSource) // no fault of this endpoint's
 		return errSource
 	}
 	buf := make([]byte, streamRoom)
@@ -134,7 +134,7 @@
 		case err == io.EOF:
 			return nil
 		case err != nil:
-			t.end.End(errSource) // the request never comes whole: the endpoint need not wait
+			t.end.Cancel(errSource) // the request never comes whole: the endpoint need not wait
 			return err
 		}
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -53,14 +53,14 @@
 }
 
 func newTestPool(slots, room int64) *Pool {
-	return NewPool(Shares{Slots: budget.New(slots).Join(1, nil), Long: budget.New(room).Join(1, nil)}, time.Second, time.Minute)
+	return NewPool(Resources{Slots: budget.New(slots).Join(1, nil), StreamBytes: budget.New(room).Join(1, nil)}, time.Second, time.Minute)
 }
 
 // do makes an attempt and reads what is streamed of its answer into Body.
 func do(p *Pool, ctx context.Context, e Endpoint, r *Request, timeout time.Duration) Answer {
 	var text []byte
-	end := new(Ending)
-	defer context.AfterFunc(ctx, func() { end.End(context.Cause(ctx)) })()
+	end := new(Cancellation)
+	defer context.AfterFunc(ctx, func() { end.Cancel(context.Cause(ctx)) })()
 	a := p.Do(end, e, r, timeout, func(long Answer) bool {
 		go func() {
 			rest, _ := io.ReadAll(long.Stream)
@@ -98,7 +98,7 @@
 		"a copy behind":    {strings.Repeat(ok+"Content-Length: 2\r\n\r\nok", 2), policy.Served, "ok"},
 		"noise behind":     {ok + "Content-Length: 2\r\n\r\nok\x00\xff", policy.Served, "ok"},
 		"a report of junk": {ok + "Srv-Load: \xff=;;;\r\nContent-Length: 2\r\n\r\nok", policy.Served, "ok"},
-		"declined":         {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", policy.TurnedAway, ""},
+		"declined":         {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", policy.Declined, ""},
 		"overloaded":       {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, ""},
 		"an error":         {"HTTP/1.1 500 No\r\nContent-Length: 900\r\n\r\nsome", policy.Errored, ""},
 		"noise":            {"\x03\x8f\xff\x00\x17\x42\x11", policy.ConnectionLost, ""},
@@ -133,7 +133,7 @@
 			if a.Elapsed > long/2 {
 				t.Errorf("took %v", a.Elapsed)
 			}
-			if c.result == policy.ConnectionLost && p.Open() > 0 {
+			if c.result == policy.ConnectionLost && p.OpenConns() > 0 {
 				t.Error("the connection is kept")
 			}
 		})
@@ -143,7 +143,7 @@
 // A long answer that stops in the middle, and an endpoint that reads no more of a
 // long body, are given up after a while, and their connections with them.
 func TestStalls(t *testing.T) {
-	for name, rest := range map[string]*Rest{"answer": nil, "body": {Source: endless{}, Chunked: true, Patience: long}} {
+	for name, rest := range map[string]*BodyStream{"answer": nil, "body": {Source: endless{}, Chunked: true, AnswerTimeout: long}} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPool(4, 300<<10)
 			p.stall = 100 * time.Millisecond
@@ -153,14 +153,14 @@
 				}
 			})
 			req := request("1")
-			req.Rest = rest
+			req.Stream = rest
 			a := do(p, context.Background(), Endpoint{"s", addr}, req, long)
 			want := policy.ConnectionLost
 			if rest != nil {
 				want = policy.NoConnection // its last byte was never written
 			}
-			if a.Result != want || p.Open() != 0 {
-				t.Errorf("result %v, %d connections", a.Result, p.Open())
+			if a.Result != want || p.OpenConns() != 0 {
+				t.Errorf("result %v, %d connections", a.Result, p.OpenConns())
 			}
 		})
 	}
@@ -265,8 +265,8 @@
 	if n := conns.Load(); n != 2 {
 		t.Errorf("%d connections for two endpoints", n)
 	}
-	p.Forget(Endpoint{"old", addr})
-	if n := p.Open(); n != 1 {
+	p.RemoveEndpoint(Endpoint{"old", addr})
+	if n := p.OpenConns(); n != 1 {
 		t.Errorf("%d connections are kept, want that to the new endpoint alone", n)
 	}
 }
@@ -282,10 +282,10 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
 		<-got
-		cancel(ErrCalledOff)
+		cancel(ErrCancelled)
 	}()
-	if a := do(p, ctx, Endpoint{"s", addr}, request("1"), long); a.Result != policy.CalledOff || p.Open() != 0 {
-		t.Errorf("result %v, %d connections open", a.Result, p.Open())
+	if a := do(p, ctx, Endpoint{"s", addr}, request("1"), long); a.Result != policy.Cancelled || p.OpenConns() != 0 {
+		t.Errorf("result %v, %d connections open", a.Result, p.OpenConns())
 	}
 }
 
@@ -305,27 +305,27 @@
 	})
 	now := time.Now()
 	for name, c := range map[string]struct {
-		terms Terms
+		terms Constraints
 		kept  bool // there is a connection
 		want  policy.Result
 	}{
-		"the window is over":                                           {Terms{Until: now.Add(time.Hour), RepeatBy: now}, false, policy.NotSent},
-		"the window is over, on a kept connection":                     {Terms{Until: now.Add(time.Hour), RepeatBy: now}, true, policy.NotSent},
-		"its time is over, on a kept connection":                       {Terms{Until: now}, true, policy.NotSent},
-		"the window is over by the time that a process may be held up": {Terms{Until: now.Add(time.Hour), RepeatBy: now.Add(permit.HoldUp)}, false, policy.NotSent},
-		"neither is over":                                              {Terms{Until: now.Add(time.Hour), RepeatBy: now.Add(time.Hour)}, false, policy.Served},
+		"the window is over":                                           {Constraints{Deadline: now.Add(time.Hour), DedupUntil: now}, false, policy.NotSent},
+		"the window is over, on a kept connection":                     {Constraints{Deadline: now.Add(time.Hour), DedupUntil: now}, true, policy.NotSent},
+		"its time is over, on a kept connection":                       {Constraints{Deadline: now}, true, policy.NotSent},
+		"the window is over by the time that a process may be held up": {Constraints{Deadline: now.Add(time.Hour), DedupUntil: now.Add(permit.MaxStall)}, false, policy.NotSent},
+		"neither is over":                                              {Constraints{Deadline: now.Add(time.Hour), DedupUntil: now.Add(time.Hour)}, false, policy.Served},
 	} {
 		p := newTestPool(4, 300<<10)
 		p.settle = 0
 		if c.kept {
-			if a := p.Do(new(Ending), Endpoint{"s", addr}, request("before"), long, nil); a.Result != policy.Served {
+			if a := p.Do(new(Cancellation), Endpoint{"s", addr}, request("before"), long, nil); a.Result != policy.Served {
 				t.Fatal(a.Result)
 			}
 			<-got
 		}
-		a, _ := p.Begin(new(Ending), Endpoint{"s", addr}, request("1"), c.terms, nil)
-		if a.Result != c.want || p.Open() != 1 {
-			t.Errorf("%s: %v with %d connections open, %v and one are expected", name, a.Result, p.Open(), c.want)
+		a, _ := p.Begin(new(Cancellation), Endpoint{"s", addr}, request("1"), c.terms, nil)
+		if a.Result != c.want || p.OpenConns() != 1 {
+			t.Errorf("%s: %v with %d connections open, %v and one are expected", name, a.Result, p.OpenConns(), c.want)
 		}
 		if c.want != policy.Served && len(got) > 0 {
 			t.Errorf("%s: the endpoint got %s", name, <-got)
@@ -356,8 +356,8 @@
 			places := budget.New(1)
 			pool := func() *Pool {
 				var p *Pool
-				part := places.Join(1, func() bool { return p.Yield() })
-				p = NewPool(Shares{Slots: part, Long: budget.New(1).Join(1, nil)}, long, time.Minute)
+				part := places.Join(1, func() bool { return p.EvictIdle() })
+				p = NewPool(Resources{Slots: part, StreamBytes: budget.New(1).Join(1, nil)}, long, time.Minute)
 				t.Cleanup(p.Close)
 				return p
 			}
@@ -372,7 +372,7 @@
 			begin(first, "first")
 			<-came
 			begin(second, "second")
-			for !places.Waiting() {
+			for !places.HasWaiters() {
 				runtime.Gosched()
 			}
 			answer <- struct{}{}
@@ -408,7 +408,9 @@
 	defer p.Close()
 	var attempts sync.WaitGroup
 	begin := func(id string, until time.Time) {
-		attempts.Go(func() { p.Begin(new(Ending), Endpoint{"s", addr}, request(id), Terms{Until: until}, nil) })
+		attempts.Go(func() {
+			p.Begin(new(Cancellation), Endpoint{"s", addr}, request(id), Constraints{Deadline: until}, nil)
+		})
 	}
 	begin("first", time.Now().Add(whole)) // has the one connection there may be
 	<-came
@@ -432,22 +434,22 @@
 // endpoint: its client has left, which is no failed connection.
 func TestCalledOffBeforeSent(t *testing.T) {
 	addr := endpoint(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
-	for name, end := range map[string]func(e *Ending){
-		"ended":                 func(e *Ending) { e.End(ErrCalledOff) },
-		"ended before anything": func(e *Ending) { e.EndUnsent(ErrCalledOff) },
+	for name, end := range map[string]func(e *Cancellation){
+		"ended":                 func(e *Cancellation) { e.Cancel(ErrCancelled) },
+		"ended before anything": func(e *Cancellation) { e.CancelUnsent(ErrCancelled) },
 	} {
-		p, e := newTestPool(4, 300<<10), new(Ending)
+		p, e := newTestPool(4, 300<<10), new(Cancellation)
 		end(e)
-		if a := p.Do(e, Endpoint{"s", addr}, request("1"), long, nil); a.Result != policy.NotSent || p.Open() != 0 {
-			t.Errorf("%s: result %v, %d connections open", name, a.Result, p.Open())
+		if a := p.Do(e, Endpoint{"s", addr}, request("1"), long, nil); a.Result != policy.NotSent || p.OpenConns() != 0 {
+			t.Errorf("%s: result %v, %d connections open", name, a.Result, p.OpenConns())
 		}
 	}
-	if got := failure(ErrCalledOff, false); got != policy.NotSent {
+	if got := failure(ErrCancelled, false); got != policy.NotSent {
 		t.Errorf("called off while it was written: %v", got)
 	}
-	e := new(Ending)
-	e.At(func() { t.Error("an attempt that has its connection was ended as if nothing were sent") })
-	if e.EndUnsent(ErrCalledOff); e.Cause() != nil {
+	e := new(Cancellation)
+	e.OnCancel(func() { t.Error("an attempt that has its connection was ended as if nothing were sent") })
+	if e.CancelUnsent(ErrCancelled); e.Cause() != nil {
 		t.Errorf("ended by %v", e.Cause())
 	}
 }
@@ -461,10 +463,10 @@
 	}{
 		"out of time":     {errTimedOut, policy.NoAnswer},
 		"stopped":         {errStopped, policy.ConnectionLost},
-		"called off":      {ErrCalledOff, policy.CalledOff},
+		"called off":      {ErrCancelled, policy.Cancelled},
 		"the timer's own": {nil, policy.NoAnswer}, // it has gone off, and its call has not been made
 	} {
-		tr := &try{end: new(Ending), stream: takes(func(Answer) bool {
+		tr := &try{end: new(Cancellation), stream: takes(func(Answer) bool {
 			t.Errorf("%s: it was passed on", name)
 			return false
 		})}
@@ -472,7 +474,7 @@
 		if c.cause == nil {
 			tr.clock.fired = true
 		} else {
-			tr.end.End(c.cause)
+			tr.end.Cancel(c.cause)
 		}
 		freed := 0
 		if err := give(tr, &Answer{Stream: &Stream{}, free: func() { freed++ }}); err == nil || freed != 1 {
@@ -531,7 +533,7 @@
 			t.Fatalf("%d: %v", i, a.Result)
 		}
 		if i%2 == 0 {
-			p.Forget(e)
+			p.RemoveEndpoint(e)
 		}
 		if n := idle(p); n > slots {
 			t.Fatalf("connections to %d endpoints rest after %d requests, there is room for %d", n, i, slots)
--- a/internal/upstream/window_test.go
+++ b/internal/upstream/window_test.go
@@ -71,17 +71,17 @@
 				length = ChunkedLength
 			}
 			req := NewRequest(http.MethodPost, "/order", "b", length, http.Header{"Req-Id": {"1"}, "Idempotency-Key": {"k"}}, func(string) bool { return false })
-			req.Rest = &Rest{Source: body, Chunked: c.chunked, Patience: long}
-			by := time.Now().Add(permit.HoldUp + usable)
+			req.Stream = &BodyStream{Source: body, Chunked: c.chunked, AnswerTimeout: long}
+			by := time.Now().Add(permit.MaxStall + usable)
 			go func() {
 				<-body.first
 				if c.late {
-					<-time.After(time.Until(by.Add(-permit.HoldUp)) + time.Millisecond)
+					<-time.After(time.Until(by.Add(-permit.MaxStall)) + time.Millisecond)
 				}
 				close(body.last)
 			}()
-			a, _ := p.Begin(new(Ending), Endpoint{"s", addr}, req, Terms{Until: time.Now().Add(long), RepeatBy: by}, nil)
-			if a.Result != c.want || (len(whole) == 1) == c.late || (a.Refused == permit.RepeatWindowOver) != c.late {
+			a, _ := p.Begin(new(Cancellation), Endpoint{"s", addr}, req, Constraints{Deadline: time.Now().Add(long), DedupUntil: by}, nil)
+			if a.Result != c.want || (len(whole) == 1) == c.late || (a.Refused == permit.DedupWindowExpired) != c.late {
 				t.Errorf("%v, refused as %v, whole at the endpoint: %t", a.Result, a.Refused, len(whole) == 1)
 			}
 		})
@@ -92,10 +92,10 @@
 // rest of it is not written.
 func TestLongBodyWaitsUntilTheWindowIsOver(t *testing.T) {
 	const usable = 50 * time.Millisecond
-	by := time.Now().Add(permit.HoldUp + usable)
+	by := time.Now().Add(permit.MaxStall + usable)
 	whole := make(chan bool, 1)
 	addr := endpoint(t, func(conn net.Conn, r *bufio.Reader) {
-		<-time.After(time.Until(by.Add(-permit.HoldUp)) + time.Millisecond)
+		<-time.After(time.Until(by.Add(-permit.MaxStall)) + time.Millisecond)
 		req, err := http.ReadRequest(r)
 		if err == nil {
 			_, err = io.Copy(io.Discard, req.Body)
@@ -110,8 +110,8 @@
 	body := make([]byte, 1<<20)
 	req := NewRequest(http.MethodPost, "/order", "b", int64(len(body)), http.Header{"Req-Id": {"1"}, "Idempotency-Key": {"k"}}, func(string) bool { return false })
 	req.Body = body
-	a, _ := p.Begin(new(Ending), Endpoint{"s", addr}, req, Terms{Until: time.Now().Add(long), RepeatBy: by}, nil)
-	if a.Result != policy.NotSent || a.Refused != permit.RepeatWindowOver || <-whole {
+	a, _ := p.Begin(new(Cancellation), Endpoint{"s", addr}, req, Constraints{Deadline: time.Now().Add(long), DedupUntil: by}, nil)
+	if a.Result != policy.NotSent || a.Refused != permit.DedupWindowExpired || <-whole {
 		t.Errorf("%v, refused as %v", a.Result, a.Refused)
 	}
 }
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -29,7 +29,7 @@
 
 func startWrite(c *conn, t *try) *write {
 	req := t.req
-	short := req.Rest == nil && len(req.Head)+deadlineRoom+len(req.Body) <= inlineWrite
+	short := req.Stream == nil && len(req.Head)+deadlineRoom+len(req.Body) <= inlineWrite
 	if short {
 		buf := inlineBuffers.Get().(*[inlineWrite]byte)
 		head := append(deadline(append(buf[:0], req.Head...), t), req.Body...)
@@ -39,7 +39,7 @@
 		return &t.write
 	}
 	head := deadline(append(make([]byte, 0, len(req.Head)+deadlineRoom), req.Head...), t)
-	if req.Rest != nil {
+	if req.Stream != nil {
 		return startStream(c, t, head)
 	}
 	w := &write{done: make(chan struct{})}
--- a/internal/wheel/queue.go
+++ b/internal/wheel/queue.go
@@ -26,8 +26,8 @@
 // Len is how many timers are set.
 func (q *Queue[T]) Len() int { return q.wheel.Len() }
 
-// Room is how many there is a place for: as many as were ever set at once.
-func (q *Queue[T]) Room() int { return len(q.of) }
+// Cap is how many there is a place for: as many as were ever set at once.
+func (q *Queue[T]) Cap() int { return len(q.of) }
 
 // Add sets a timer.
 func (q *Queue[T]) Add(at time.Duration, of T) ID {
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -153,9 +153,9 @@
 }
 
 var results = map[string]policy.Result{
-	"served": policy.Served, "server_error": policy.Errored, "turned_away": policy.TurnedAway,
+	"served": policy.Served, "server_error": policy.Errored, "turned_away": policy.Declined,
 	"no_answer": policy.NoAnswer, "no_connection": policy.NoConnection,
-	"connection_lost": policy.ConnectionLost, "called_off": policy.CalledOff, "not_sent": policy.NotSent,
+	"connection_lost": policy.ConnectionLost, "called_off": policy.Cancelled, "not_sent": policy.NotSent,
 }
 
 func (r *reader) result() policy.Result {
@@ -169,19 +169,19 @@
 
 func (r *reader) endpoint() policy.Endpoint {
 	e := policy.Endpoint{
-		ID:      policy.EndpointID(r.id("endpoint")),
-		Kind:    r.integer("machine"),
-		Zone:    r.integer("region_part"),
-		Cell:    r.integer("group"),
-		Started: r.ms("start_time_ms"),
-		Nominal: r.number("nominal"),
+		ID:          policy.EndpointID(r.id("endpoint")),
+		Kind:        r.integer("machine"),
+		Zone:        r.integer("region_part"),
+		Cell:        r.integer("group"),
+		Started:     r.ms("start_time_ms"),
+		NominalSize: r.number("nominal"),
 	}
 	switch v, ok := r.lookup("readiness"); {
 	case !ok || v == "IN":
 	case v == "LAME":
 		e.Readiness = policy.Draining
 	case v == "OUT":
-		e.Readiness = policy.Gone
+		e.Readiness = policy.Removed
 	default:
 		r.fail("readiness", v, "IN, LAME or OUT")
 	}
@@ -258,9 +258,9 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"read_like": policy.Repeatable, "idempotency_key": policy.Keyed, "non_idempotent": policy.Unsafe}
+	effects = map[string]policy.Effect{"read_like": policy.Idempotent, "idempotency_key": policy.Keyed, "non_idempotent": policy.Unsafe}
 	scopes  = map[string]policy.Scope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
-	fields  = map[string]policy.Field{"rif": policy.FieldInFlight, "q": policy.FieldQueue, "rate": policy.FieldRate}
+	fields  = map[string]policy.ReportField{"rif": policy.FieldInFlight, "q": policy.FieldQueue, "rate": policy.FieldRate}
 )
 
 // unknown stands for a name the module has no value for; New refuses it.
@@ -281,12 +281,12 @@
 	}
 	p := policy.Settings{
 		FleetSize: o.FleetSize, Zone: o.Zone,
-		OnRequest: o.Discovery == "on_request", AskWithin: fromMS(o.Rules.AskWithin), DrainGrace: fromMS(o.Rules.DrainGrace),
-		ColdTime: fromMS(o.Rules.Cold), StartCapacity: o.Rules.StartCapacity,
-		FallMultiple: o.Rules.FallMultiple, FallTime: fromMS(o.Rules.FallTime),
-		MaxAttempts: o.Limits.SendCap, SecondCopies: o.Limits.SecondCopies,
+		DiscoveryOnRequest: o.Discovery == "on_request", PollWithin: fromMS(o.Rules.AskWithin), DrainGrace: fromMS(o.Rules.DrainGrace),
+		WarmupTime: fromMS(o.Rules.Cold), StartCapacity: o.Rules.StartCapacity,
+		OverloadMultiple: o.Rules.FallMultiple, OverloadTime: fromMS(o.Rules.FallTime),
+		MaxAttempts: o.Limits.SendCap, HedgedAttempts: o.Limits.SecondCopies,
 		Cancel: o.Limits.Cancelling, MayProbe: o.Limits.MayProbe,
-		ConnIdle: fromMS(o.Limits.ConnIdle), WarmKeys: o.Domain.WarmKeys, WorthByWork: o.WorthBy == "work",
+		ConnIdleTimeout: fromMS(o.Limits.ConnIdle), WarmKeys: o.Domain.WarmKeys, WorthByWork: o.WorthBy == "work",
 		Prices: policy.Prices{CrossZone: o.Penalties.CrossZone, Probe: o.Penalties.Probe, Connection: o.Penalties.Conn, Handshake: o.Penalties.Handshake},
 	}
 	s := Settings{
@@ -306,7 +306,7 @@
 		p.Tenants = append(p.Tenants, policy.Tenant{Share: t.Share})
 	}
 	for _, f := range o.Report.Fields {
-		p.Report = append(p.Report, fields[f])
+		p.ReportFields = append(p.ReportFields, fields[f])
 	}
 	s.Policy = p
 	return s, nil
@@ -331,8 +331,8 @@
 	case policy.Refuse:
 		dst = append(dst, "bounce"...)
 		num("xid", uint32(a.Request))
-		if a.After > 0 {
-			span("cool_down_ms", a.After)
+		if a.RetryAfter > 0 {
+			span("cool_down_ms", a.RetryAfter)
 		}
 	case policy.Fail:
 		dst = append(dst, "lose"...)
@@ -349,7 +349,7 @@
 		dst = strconv.AppendUint(dst, uint64(a.Token.Purpose), 10)
 		dst = append(dst, '.')
 		dst = strconv.AppendUint(dst, uint64(a.Token.Request), 10)
-		span("in_ms", max(a.In, 0))
+		span("in_ms", max(a.Delay, 0))
 	case policy.Subscribe:
 		dst = append(dst, "keep_informed\tenable=1"...)
 	default:
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -245,7 +245,7 @@
 	case "job_in":
 		q := policy.Request{
 			ID: policy.RequestID(r.id("xid")), Class: r.integer("tier_class"), Tenant: r.integer("party"),
-			Left: r.ms("left_ms"),
+			TimeLeft: r.ms("left_ms"),
 		}
 		q.Key, _ = r.lookup("object")
 		if r.integer("attrs")&1 != 0 {
@@ -254,7 +254,7 @@
 		call = func(b *policy.Balancer) []policy.Action { return b.Request(now, q) }
 	case "vanished":
 		id := policy.RequestID(r.id("xid"))
-		call = func(b *policy.Balancer) []policy.Action { return b.Gone(now, id) }
+		call = func(b *policy.Balancer) []policy.Action { return b.ClientDisconnected(now, id) }
 	case "result":
 		o := policy.Outcome{
 			Request: policy.RequestID(r.id("xid")), Attempt: r.integer("shot"), Endpoint: policy.EndpointID(r.id("endpoint")),
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -74,5 +74,5 @@
 		a.worth.add(w, sampleMemory)
 		weight *= math.Min(math.Pow(a.worth.value/w, worthOrder), 2*worthOrder)
 	}
-	return r.Owed || b.random() < math.Pow(a.level, weight)
+	return r.Guaranteed || b.random() < math.Pow(a.level, weight)
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -32,10 +32,10 @@
 		Endpoint EndpointID
 		Timeout  time.Duration
 	}
-	// Refuse ends a request and promises that a retry is harmless, best After.
+	// Refuse ends a request and promises that a retry is harmless, best RetryAfter.
 	Refuse struct {
-		Request RequestID
-		After   time.Duration
+		Request    RequestID
+		RetryAfter time.Duration
 	}
 	// Fail ends a request without a promise.
 	Fail struct{ Request RequestID }
@@ -46,10 +46,10 @@
 	}
 	// Probe asks an endpoint for its load report.
 	Probe struct{ Endpoint EndpointID }
-	// SetTimer asks for Balancer.Timer after In.
+	// SetTimer asks for Balancer.Timer after Delay.
 	SetTimer struct {
 		Token Token
-		In    time.Duration
+		Delay time.Duration
 	}
 	// Subscribe asks discovery for changes from now on.
 	Subscribe struct{}
@@ -107,9 +107,9 @@
 
 func grown[T any](s []T, n int) []T { return append(s, make([]T, max(n-len(s), 0))...) }
 
-// Known calls each for every row of what was learnt: of the load, of a kind, of a class of it, of
+// VisitLearned calls each for every row of what was learnt: of the load, of a kind, of a class of it, of
 // a class, of an endpoint. Each may change the numbers, but for an endpoint's third to sixth.
-func (b *Balancer) Known(now time.Duration, each func(what string, of, class int, x ...*float64)) {
+func (b *Balancer) VisitLearned(now time.Duration, each func(what string, of, class int, x ...*float64)) {
 	a, f := &b.adm, &b.fleet
 	a.fade(now)
 	each("load", 0, 0, &b.gap.value, &b.gap.weight, &a.pressure, &a.level, &a.retries, &a.worth.value, &a.worth.weight, &f.served.value, &f.served.weight)
@@ -127,7 +127,7 @@
 	for _, s := range f.servers {
 		h, available := s.at(now), s.bucket.available()
 		out, warm, speed, chance := float64(s.inFlight), s.warmth(now, &b.set), f.kinds[s.Kind].value(), s.chance
-		each("endpoint", int(s.ID), 0, &h, &available, &out, &warm, &speed, &chance, &s.Nominal)
+		each("endpoint", int(s.ID), 0, &h, &available, &out, &warm, &speed, &chance, &s.NominalSize)
 		s.bucket.restore(available)
 		s.standing, f.stale = standing{1 - h, now}, true
 	}
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -13,7 +13,7 @@
 	// once, from the latest answer of each: the time between two calls of a watch.
 	watchSpread = 2 * time.Second
 	// shortestStart to longestStart is that of a fleet that starts together, by its size; at most
-	// subscribeSpread of AskWithin.
+	// subscribeSpread of PollWithin.
 	shortestStart   = 2 * time.Second
 	longestStart    = 7 * time.Second
 	startRate       = 20.0 // calls a second
@@ -49,7 +49,7 @@
 
 // first is the wait before the first call of a process.
 func (n *renewal) first(set *Settings, random float64) time.Duration {
-	most := min(paced(set, startRate, shortestStart, longestStart), time.Duration(subscribeSpread*float64(set.AskWithin)))
+	most := min(paced(set, startRate, shortestStart, longestStart), time.Duration(subscribeSpread*float64(set.PollWithin)))
 	return time.Duration(random * float64(most))
 }
 
@@ -87,7 +87,7 @@
 		}
 		wait = less(time.Duration((1+renewalSpread*(2*random-1))*float64(mean)), out)
 	}
-	return min(wait, max(4*set.AskWithin-4*time.Second, time.Second))
+	return min(wait, max(4*set.PollWithin-4*time.Second, time.Second))
 }
 
 // less is a wait that counts from the beginning of the call that failed, which was out for a time.
@@ -113,9 +113,9 @@
 
 // planSubscribe sets the next call.
 func (b *Balancer) planSubscribe(in time.Duration) {
-	if b.set.OnRequest && !b.renewal.planned {
+	if b.set.DiscoveryOnRequest && !b.renewal.planned {
 		b.renewal.planned = true
-		b.do(SetTimer{Token: Token{Purpose: timerSubscribe}, In: in})
+		b.do(SetTimer{Token: Token{Purpose: timerSubscribe}, Delay: in})
 	}
 }
 
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -11,10 +11,10 @@
 // actions that come back.
 func Example() {
 	b, err := policy.New(policy.Settings{
-		Classes:       []policy.Class{{Aim: 100 * time.Millisecond, Deadline: time.Second, Effect: policy.Repeatable, Worth: 1}},
+		Classes:       []policy.Class{{Aim: 100 * time.Millisecond, Deadline: time.Second, Effect: policy.Idempotent, Worth: 1}},
 		FleetSize:     1,
 		MaxAttempts:   2,
-		ColdTime:      20 * time.Second,
+		WarmupTime:    20 * time.Second,
 		StartCapacity: 0.2,
 	}, 42)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	now := 5 * time.Second // the sidecar's own monotonic clock
 	b.Endpoints(now, []policy.Endpoint{{ID: 7}}, true)
-	for _, action := range b.Request(now, policy.Request{ID: 1, Left: time.Second}) {
+	for _, action := range b.Request(now, policy.Request{ID: 1, TimeLeft: time.Second}) {
 		switch a := action.(type) {
 		case policy.Send:
 			fmt.Println("send request", a.Request, "to endpoint", a.Endpoint)
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -15,7 +15,7 @@
 const (
 	Ready Readiness = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Endpoint is one entry of a listing.
@@ -24,7 +24,7 @@
 	Kind, Zone, Cell int
 	Readiness        Readiness
 	Started          time.Duration // clock time of the latest start; 0: long ago
-	Nominal          float64       // size against other endpoints; 0: not told
+	NominalSize      float64       // size against other endpoints; 0: not told
 }
 
 const (
@@ -89,8 +89,8 @@
 	}
 	for _, e := range list {
 		e.Kind = min(max(e.Kind, 0), maxKind)
-		if !usable(e.Nominal) {
-			e.Nominal = 1
+		if !usable(e.NominalSize) {
+			e.NominalSize = 1
 		}
 		s := f.byID[e.ID]
 		if s == nil {
@@ -100,7 +100,7 @@
 			s.standing, s.classes = standing{}, nil // a new process owes nothing for the old one's faults
 			s.bucket = f.slowStart.newBucket(now, random)
 		}
-		s.Endpoint, s.listed = e, e.Readiness != Gone
+		s.Endpoint, s.listed = e, e.Readiness != Removed
 	}
 	f.servers = slices.DeleteFunc(f.servers, func(s *server) bool {
 		if s.listed || s.inFlight > 0 {
@@ -122,7 +122,7 @@
 		for len(f.kinds) <= s.Kind {
 			f.kinds = append(f.kinds, kindSpeed{prior: 1, fit: make([]mean, f.classes)})
 		}
-		sizes[s.Kind].add(s.Nominal, math.Inf(1))
+		sizes[s.Kind].add(s.NominalSize, math.Inf(1))
 		f.kinds[s.Kind].prior = sizes[s.Kind].value
 	}
 }
@@ -175,10 +175,10 @@
 // warmth is the share of its capacity an endpoint is sure to have by now.
 func (s *server) warmth(now time.Duration, set *Settings) float64 {
 	age := now - s.Started
-	if s.Started <= 0 || age >= set.ColdTime {
+	if s.Started <= 0 || age >= set.WarmupTime {
 		return 1
 	}
-	return set.StartCapacity + (1-set.StartCapacity)*math.Max(0, age.Seconds()/set.ColdTime.Seconds())
+	return set.StartCapacity + (1-set.StartCapacity)*math.Max(0, age.Seconds()/set.WarmupTime.Seconds())
 }
 
 // refresh rebuilds weights, split and draw table for a class where due, and reports whether it did.
@@ -205,7 +205,7 @@
 		s.weight = 0
 		if s.usable() {
 			cell := math.Min(math.Exp(-f.cells[s.Cell&maxKind].shrunk()), 1) // what it shares may run short for all of it
-			s.weight = s.healthAt(now, class) * s.warmth(now, set) * cell * s.Nominal / f.kinds[s.Kind].prior
+			s.weight = s.healthAt(now, class) * s.warmth(now, set) * cell * s.NominalSize / f.kinds[s.Kind].prior
 			k[s.Kind] += s.weight
 		}
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -23,7 +23,7 @@
 func TestDrawFollowsTheSplit(t *testing.T) {
 	b := ready(t, ms, fleetOf(10))
 	for _, s := range b.fleet.servers {
-		s.Nominal = []float64{3, 1}[s.Kind]
+		s.NominalSize = []float64{3, 1}[s.Kind]
 	}
 	b.fleet.stale = true
 	b.refresh(0) // unknown rate: proportional, 3 to 1
@@ -45,10 +45,10 @@
 func TestDrawFollowsSizes(t *testing.T) {
 	list := fleetOf(4)
 	for i := range list {
-		list[i].Kind, list[i].Nominal = 0, 2
+		list[i].Kind, list[i].NominalSize = 0, 2
 	}
 	b := ready(t, ms, list)
-	b.Known(2*ms, func(what string, of, _ int, x ...*float64) {
+	b.VisitLearned(2*ms, func(what string, of, _ int, x ...*float64) {
 		if what == "endpoint" && of == int(list[0].ID) {
 			*x[6] = 6
 		}
@@ -247,7 +247,7 @@
 func TestSecondCopyGoesWhereTheClassIsServed(t *testing.T) {
 	for seed := range uint64(20) {
 		set := settings()
-		set.SecondCopies = true
+		set.HedgedAttempts = true
 		b, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -256,9 +256,9 @@
 		for _, s := range b.fleet.servers[:2] {
 			b.fleet.observe(s, 0, ms, 1)
 		}
-		first := b.Request(ms, Request{ID: 1, Left: 300 * ms})
+		first := b.Request(ms, Request{ID: 1, TimeLeft: 300 * ms})
 		timer := first[1].(SetTimer)
-		again := b.Timer(ms+timer.In, timer.Token)
+		again := b.Timer(ms+timer.Delay, timer.Token)
 		if len(again) == 0 {
 			t.Fatal("no second copy")
 		}
@@ -337,7 +337,7 @@
 	right := 0
 	for i := range 600 {
 		now := time.Duration(i) * 100 * ms
-		for _, a := range b.Request(now, Request{ID: RequestID(i), Class: i % 2, Left: time.Second}) {
+		for _, a := range b.Request(now, Request{ID: RequestID(i), Class: i % 2, TimeLeft: time.Second}) {
 			s, ok := a.(Send)
 			if !ok {
 				continue
@@ -362,7 +362,7 @@
 	b := start(t, settings())
 	b.Endpoints(0, fleetOf(10), true)
 	b.adm.retries = -10 // attempts that never ran need no budget
-	actions, sends := b.Request(ms, Request{ID: 1, Left: time.Second}), 0
+	actions, sends := b.Request(ms, Request{ID: 1, TimeLeft: time.Second}), 0
 	for len(actions) > 0 {
 		s, ok := actions[0].(Send)
 		if !ok {
@@ -371,7 +371,7 @@
 		if b.adm.pressure != 0 {
 			t.Errorf("pressure %v after %d full servers", b.adm.pressure, sends)
 		}
-		actions = b.Outcome(2*ms, Outcome{Request: 1, Attempt: sends, Endpoint: s.Endpoint, Result: TurnedAway, Elapsed: ms})
+		actions = b.Outcome(2*ms, Outcome{Request: 1, Attempt: sends, Endpoint: s.Endpoint, Result: Declined, Elapsed: ms})
 		sends++
 		if h := b.fleet.byID[s.Endpoint].healthAt(2*ms, 0); h > declineKeeps {
 			t.Errorf("health %v after being turned away", h)
@@ -397,7 +397,7 @@
 	for i := range 100 {
 		id := RequestID(i)
 		b.adm.pressure, b.adm.level = 0, 1 // calm
-		actions := b.Request(ms, Request{ID: id, Key: fmt.Sprint(i), Left: time.Second})
+		actions := b.Request(ms, Request{ID: id, Key: fmt.Sprint(i), TimeLeft: time.Second})
 		for n := 0; n < 3 && len(actions) > 0; n++ {
 			s, ok := actions[0].(Send)
 			if !ok {
@@ -406,7 +406,7 @@
 			if b.fleet.byID[s.Endpoint].Zone != set.Zone {
 				far[n]++
 			}
-			actions = b.Outcome(ms, Outcome{Request: id, Attempt: n, Endpoint: s.Endpoint, Result: TurnedAway})
+			actions = b.Outcome(ms, Outcome{Request: id, Attempt: n, Endpoint: s.Endpoint, Result: Declined})
 		}
 	}
 	if far[0] > 0 || far[1] > 0 || far[2] < 20 {
@@ -419,13 +419,13 @@
 func TestProbeStillOutLosesTheDraw(t *testing.T) {
 	for _, told := range []EndpointID{1, 2} {
 		set := settings()
-		set.MayProbe, set.Report = true, []Field{FieldRate, FieldInFlight}
+		set.MayProbe, set.ReportFields = true, []ReportField{FieldRate, FieldInFlight}
 		b := start(t, set)
 		b.Endpoints(ms, fleetOf(2), true)
-		got := b.Request(ms, Request{ID: 1, Left: 200 * ms})
+		got := b.Request(ms, Request{ID: 1, TimeLeft: 200 * ms})
 		timer := got[len(got)-1].(SetTimer)
 		b.Probed(2*ms, ProbeResult{Endpoint: told, Report: []float64{100, 3}})
-		got = b.Timer(ms+timer.In, timer.Token)
+		got = b.Timer(ms+timer.Delay, timer.Token)
 		if typeOf(got) != "policy.Send" || got[0].(Send).Endpoint != told {
 			t.Errorf("sent %v, want endpoint %d, which answered its probe", got, told)
 		}
@@ -444,7 +444,7 @@
 		b.fleet.served = mean{1, 20}
 		for i := range 400 {
 			now := 10*time.Second + time.Duration(i)*2*ms
-			for _, a := range b.Request(now, Request{ID: RequestID(i), Left: 200 * ms}) {
+			for _, a := range b.Request(now, Request{ID: RequestID(i), TimeLeft: 200 * ms}) {
 				if s, ok := a.(Send); ok {
 					n++
 					b.Outcome(now, Outcome{Request: s.Request, Endpoint: s.Endpoint, Result: result, Complete: result == Served, Elapsed: 10 * ms})
@@ -456,7 +456,7 @@
 	if n := sends(Served); n < 350 {
 		t.Errorf("%d attempts of 400 requests while all are served", n)
 	}
-	if n := sends(TurnedAway); n > 100 {
+	if n := sends(Declined); n > 100 {
 		t.Errorf("%d attempts on cold servers that turn all away", n)
 	}
 }
@@ -466,13 +466,13 @@
 func TestDearHandshakesConfineFirstAttempts(t *testing.T) {
 	met := func(price float64, gap time.Duration) int {
 		set := settings()
-		set.ConnIdle, set.Prices.Handshake, set.WarmKeys = 10*time.Second, price, true
+		set.ConnIdleTimeout, set.Prices.Handshake, set.WarmKeys = 10*time.Second, price, true
 		b := start(t, set)
 		b.Endpoints(0, fleetOf(60), true)
 		to := map[EndpointID]bool{}
 		for i := range 2000 {
 			now := time.Duration(i+1) * gap
-			for _, a := range b.Request(now, Request{ID: RequestID(i), Key: fmt.Sprint("k", i), Left: 300 * ms}) {
+			for _, a := range b.Request(now, Request{ID: RequestID(i), Key: fmt.Sprint("k", i), TimeLeft: 300 * ms}) {
 				if s, ok := a.(Send); ok {
 					to[s.Endpoint] = true
 					b.Outcome(now+ms, Outcome{Request: s.Request, Endpoint: s.Endpoint, Result: Served, Complete: true, Elapsed: ms})
@@ -498,7 +498,7 @@
 	for n := 1; n <= 6; n++ {
 		for seed := range uint64(40) {
 			set := settings()
-			set.ConnIdle, set.Prices.Handshake = 10*time.Second, 0.12
+			set.ConnIdleTimeout, set.Prices.Handshake = 10*time.Second, 0.12
 			b, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
@@ -507,7 +507,7 @@
 			to := map[EndpointID]bool{}
 			for i := range 40 {
 				now := time.Duration(i+1) * 5 * time.Second
-				s, ok := b.Request(now, Request{ID: RequestID(i), Left: 300 * ms})[0].(Send)
+				s, ok := b.Request(now, Request{ID: RequestID(i), TimeLeft: 300 * ms})[0].(Send)
 				if !ok {
 					t.Fatalf("%d endpoints, seed %d: request %d was not sent", n, seed, i)
 				}
@@ -548,7 +548,7 @@
 func TestPricedConnectionsStayFew(t *testing.T) {
 	for seed := range uint64(5) {
 		set := settings()
-		set.Prices.Connection, set.ConnIdle = 0.1, 5*time.Second
+		set.Prices.Connection, set.ConnIdleTimeout = 0.1, 5*time.Second
 		b, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -557,7 +557,7 @@
 		met := map[EndpointID]bool{}
 		for i := range 200 {
 			now := time.Duration(i+1) * time.Second
-			for _, a := range b.Request(now, Request{ID: RequestID(i), Left: time.Second}) {
+			for _, a := range b.Request(now, Request{ID: RequestID(i), TimeLeft: time.Second}) {
 				if s, ok := a.(Send); ok {
 					met[s.Endpoint] = true
 					b.Outcome(now+10*ms, Outcome{Request: s.Request, Endpoint: s.Endpoint, Complete: true, Elapsed: 10 * ms})
@@ -609,7 +609,7 @@
 	b.Endpoints(ms, list, true)
 	near, all := 0, 400
 	for i := range all {
-		to := b.Request(ms, Request{ID: RequestID(i), Left: 100 * ms})[0].(Send).Endpoint
+		to := b.Request(ms, Request{ID: RequestID(i), TimeLeft: 100 * ms})[0].(Send).Endpoint
 		b.Outcome(2*ms, Outcome{Request: RequestID(i), Endpoint: to, Complete: true, Elapsed: ms})
 		if b.fleet.byID[to].Zone == 1 {
 			near++
@@ -625,7 +625,7 @@
 	}
 	spilt := 0
 	for i := range 50 {
-		to := b.Request(ms, Request{ID: RequestID(1000 + i), Left: 100 * ms})[0].(Send).Endpoint
+		to := b.Request(ms, Request{ID: RequestID(1000 + i), TimeLeft: 100 * ms})[0].(Send).Endpoint
 		if b.fleet.byID[to].Zone != 1 {
 			spilt++
 		}
@@ -637,10 +637,10 @@
 
 func TestProbedPairGoesToTheLessBusy(t *testing.T) {
 	set := settings()
-	set.MayProbe, set.Report = true, []Field{FieldRate, FieldInFlight}
+	set.MayProbe, set.ReportFields = true, []ReportField{FieldRate, FieldInFlight}
 	b := start(t, set)
 	b.Endpoints(ms, fleetOf(2), true)
-	got := b.Request(ms, Request{ID: 1, Left: 200 * ms})
+	got := b.Request(ms, Request{ID: 1, TimeLeft: 200 * ms})
 	if len(got) != 3 {
 		t.Fatalf("want two probes and a timer, got %v", got)
 	}
@@ -650,9 +650,9 @@
 		t.Fatalf("sent %v, want endpoint 2", got)
 	}
 	// A probe that never comes back must not hold the request for good.
-	got = b.Request(2*time.Second, Request{ID: 3, Left: 200 * ms})
+	got = b.Request(2*time.Second, Request{ID: 3, TimeLeft: 200 * ms})
 	last := got[len(got)-1].(SetTimer)
-	got = b.Timer(2*time.Second+last.In, last.Token)
+	got = b.Timer(2*time.Second+last.Delay, last.Token)
 	if typeOf(got) != "policy.Send" {
 		t.Fatalf("got %v, want an attempt", got)
 	}
@@ -710,14 +710,14 @@
 			b := start(t, settings()) // there is no endpoint
 			b.begin(ms)
 			b.adm.level, b.adm.updated, b.times[c.class].per = c.level, ms, c.usual.Seconds()
-			got := b.Request(ms, Request{ID: 1, Class: c.class, Left: left})
+			got := b.Request(ms, Request{ID: 1, Class: c.class, TimeLeft: left})
 			if len(got) != 1 || got[0] != (Refuse{1, c.want}) {
 				t.Errorf("got %v, want a refusal for %v", got, c.want)
 			}
 		})
 	}
 	b := start(t, settings())
-	if got := b.Request(ms, Request{ID: 1, Class: 99, Left: left}); len(got) != 1 || typeOf(got[0:1]) != "policy.Refuse" {
+	if got := b.Request(ms, Request{ID: 1, Class: 99, TimeLeft: left}); len(got) != 1 || typeOf(got[0:1]) != "policy.Refuse" {
 		t.Errorf("of a class that there is not: %v", got)
 	}
 }
@@ -727,7 +727,7 @@
 	b := ready(t, ms, fleetOf(4))
 	refused := func(from RequestID) (n int) {
 		for i := range RequestID(60) {
-			if typeOf(b.Request(b.now, Request{ID: from + i, Tenant: int(i) % 2, Left: 100 * ms})) == "policy.Refuse" {
+			if typeOf(b.Request(b.now, Request{ID: from + i, Tenant: int(i) % 2, TimeLeft: 100 * ms})) == "policy.Refuse" {
 				n++
 			}
 		}
@@ -758,31 +758,31 @@
 	}
 	refused := 0
 	for i := range RequestID(100) {
-		if typeOf(b.Request(2*ms, Request{ID: i, Left: 10 * ms})) == "policy.Refuse" {
+		if typeOf(b.Request(2*ms, Request{ID: i, TimeLeft: 10 * ms})) == "policy.Refuse" {
 			refused++
 		}
 	}
 	if refused < 70 || refused == 100 {
 		t.Errorf("%d of 100 hopeless requests were refused", refused)
 	}
-	if typeOf(b.Request(3*ms, Request{ID: 500, Left: 200 * ms})) != "policy.Send" {
+	if typeOf(b.Request(3*ms, Request{ID: 500, TimeLeft: 200 * ms})) != "policy.Send" {
 		t.Error("a request with time enough was refused")
 	}
 }
 
 func TestDiscoveryBacksOffWithJitter(t *testing.T) {
 	set := settings()
-	set.OnRequest = true
+	set.DiscoveryOnRequest = true
 	b := start(t, set)
 	got := b.Endpoints(ms, fleetOf(2), true)
 	if len(got) != 1 {
 		t.Fatalf("want the timer of the first call, got %v", got)
 	}
 	first := got[0].(SetTimer)
-	if first.In > set.AskWithin {
-		t.Errorf("the first call comes after %v, too late for the rules", first.In)
+	if first.Delay > set.PollWithin {
+		t.Errorf("the first call comes after %v, too late for the rules", first.Delay)
 	}
-	if got = b.Timer(first.In, first.Token); len(got) != 1 || got[0] != (Subscribe{}) {
+	if got = b.Timer(first.Delay, first.Token); len(got) != 1 || got[0] != (Subscribe{}) {
 		t.Fatalf("got %v, want a subscription", got)
 	}
 	// A call that is not answered fails after 2 s, and a change counts as told 6 s after
@@ -792,7 +792,7 @@
 	var all []time.Duration
 	for i := range 200 {
 		got = b.DiscoveryFailed(time.Duration(i) * time.Minute)
-		in := got[0].(SetTimer).In
+		in := got[0].(SetTimer).Delay
 		if in > longest || in < shortest {
 			t.Errorf("wait %d is %v, %v to %v are expected", i, in, shortest, longest)
 		}
@@ -804,12 +804,12 @@
 	}
 }
 
-// After a failed call the list that is known holds for four times AskWithin from that call,
+// After a failed call the list that is known holds for four times PollWithin from that call,
 // which may itself take 4 s to fail: the next one is made before that.
 func TestCallsWhileAListHolds(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, time.Minute} {
 		set := settings()
-		set.OnRequest, set.AskWithin = true, within
+		set.DiscoveryOnRequest, set.PollWithin = true, within
 		b := start(t, set)
 		b.Endpoints(ms, fleetOf(2), true)
 		now := time.Minute
@@ -817,10 +817,10 @@
 		for i := range 50 {
 			now += time.Minute
 			wait := b.DiscoveryFailed(now)[0].(SetTimer)
-			if most := 4*within - 4*time.Second; wait.In > most {
-				t.Errorf("AskWithin %v, failure %d: the next call after %v, %v at most is expected", within, i, wait.In, most)
+			if most := 4*within - 4*time.Second; wait.Delay > most {
+				t.Errorf("PollWithin %v, failure %d: the next call after %v, %v at most is expected", within, i, wait.Delay, most)
 			}
-			now += wait.In
+			now += wait.Delay
 			b.Timer(now, wait.Token)
 		}
 	}
@@ -834,7 +834,7 @@
 	for i := range bench.N {
 		now := time.Duration(i) * ms
 		id := RequestID(i)
-		for _, a := range b.Request(now, Request{ID: id, Left: 100 * ms}) {
+		for _, a := range b.Request(now, Request{ID: id, TimeLeft: 100 * ms}) {
 			if s, ok := a.(Send); ok {
 				b.Outcome(now+ms, Outcome{Request: id, Endpoint: s.Endpoint, Complete: true, Elapsed: ms})
 			}
@@ -848,7 +848,7 @@
 	b := start(t, settings())
 	b.Endpoints(ms, fleetOf(3), true)
 	for _, class := range []int{0, 3} {
-		got := b.Request(ms, Request{ID: RequestID(class), Class: class, Left: 300 * ms})[0].(Send)
+		got := b.Request(ms, Request{ID: RequestID(class), Class: class, TimeLeft: 300 * ms})[0].(Send)
 		if got.Timeout != 300*ms {
 			t.Errorf("class %d: timeout %v, want all that the client waits", class, got.Timeout)
 		}
@@ -872,7 +872,7 @@
 		{"not hinted, overtaken", 0, true, 10 * ms, 0},
 	} {
 		set := settings()
-		set.SecondCopies = true
+		set.HedgedAttempts = true
 		b := start(t, set)
 		b.Endpoints(ms, fleetOf(3), true)
 		for _, s := range b.fleet.servers {
@@ -881,7 +881,7 @@
 		now, id := ms, RequestID(0)
 		request := func() (Send, SetTimer) {
 			id++
-			actions := b.Request(now, Request{ID: id, Left: 300 * ms, Cost: c.cost})
+			actions := b.Request(now, Request{ID: id, TimeLeft: 300 * ms, Cost: c.cost})
 			return actions[0].(Send), actions[1].(SetTimer)
 		}
 		answer := func(s Send) {
@@ -893,7 +893,7 @@
 			answer(s)
 		}
 		long, timer := request()
-		due := now + timer.In
+		due := now + timer.Delay
 		now += ms
 		for range 60 {
 			s, _ := request()
@@ -912,21 +912,21 @@
 func TestOverdueAttemptsCountBeforeTheirAnswer(t *testing.T) {
 	b := start(t, settings())
 	b.Endpoints(ms, fleetOf(3), true)
-	sent := b.Request(ms, Request{ID: 1, Left: 300 * ms})
+	sent := b.Request(ms, Request{ID: 1, TimeLeft: 300 * ms})
 	if len(sent) != 2 {
 		t.Fatalf("want an attempt and a timer, got %v", sent)
 	}
 	timer := sent[1].(SetTimer)
-	b.Timer(timer.In, timer.Token)
+	b.Timer(timer.Delay, timer.Token)
 	if !b.calm() {
 		t.Error("judged before it was overdue")
 	}
-	b.Timer(ms+timer.In, timer.Token)
+	b.Timer(ms+timer.Delay, timer.Token)
 	pressure := b.adm.pressure
 	if b.calm() || b.fleet.byID[sent[0].(Send).Endpoint].healthAt(b.now, 0) > failureKeeps*1.01 {
 		t.Error("an overdue attempt was not judged")
 	}
-	b.Timer(2*ms+timer.In, timer.Token)
+	b.Timer(2*ms+timer.Delay, timer.Token)
 	b.Outcome(200*ms, Outcome{Request: 1, Endpoint: sent[0].(Send).Endpoint, Result: Served, Complete: true, Elapsed: 199 * ms})
 	if b.adm.pressure > pressure {
 		t.Error("judged twice")
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -21,7 +21,7 @@
 // are dear, clients with little traffic met all endpoints, each on a new connection that soon closed.
 func (b *Balancer) part() float64 {
 	least := math.Max(leastPart, indicator(b.set.Prices.Handshake < dearHandshake))
-	return math.Max(least, b.set.ConnIdle.Seconds()/math.Max(b.gap.value, 1e-3)/partReuse/float64(len(b.fleet.table)))
+	return math.Max(least, b.set.ConnIdleTimeout.Seconds()/math.Max(b.gap.value, 1e-3)/partReuse/float64(len(b.fleet.table)))
 }
 
 // keepsTo reports whether first attempts go to an endpoint.
--- a/policy/many_cold_test.go
+++ b/policy/many_cold_test.go
@@ -26,7 +26,7 @@
 		list = append(list, e)
 	}
 	for i, b := range m.sidecars {
-		b.set.ColdTime, b.set.StartCapacity = coldTime, least
+		b.set.WarmupTime, b.set.StartCapacity = coldTime, least
 		m.carryOut(i, b.Endpoints(m.now, list, true))
 	}
 	m.run(capacity*0.6, 12*time.Second)
@@ -53,7 +53,7 @@
 	m.now = begun
 	started := make([]time.Duration, len(m.endpoints)) // 0: never replaced
 	for _, b := range m.sidecars {
-		b.set.ColdTime, b.set.StartCapacity = coldTime, least
+		b.set.WarmupTime, b.set.StartCapacity = coldTime, least
 	}
 	list := func() (l []Endpoint) {
 		for i := range m.endpoints {
@@ -140,7 +140,7 @@
 			}
 			restart := func(i int) {
 				set := m.sidecars[i].set
-				set.ColdTime, set.StartCapacity, set.FleetSize = coldTime, least, sidecars
+				set.WarmupTime, set.StartCapacity, set.FleetSize = coldTime, least, sidecars
 				b, err := New(set, uint64(1000+i))
 				if err != nil {
 					t.Fatal(err)
--- a/policy/many_discovery_test.go
+++ b/policy/many_discovery_test.go
@@ -33,7 +33,7 @@
 		for _, a := range append([]Action(nil), actions...) {
 			switch a := a.(type) {
 			case SetTimer:
-				m.after(a.In, func() { carryOut(i, m.sidecars[i].Timer(m.now, a.Token)) })
+				m.after(a.Delay, func() { carryOut(i, m.sidecars[i].Timer(m.now, a.Token)) })
 			case Subscribe:
 				calls[m.now.Truncate(time.Second)]++
 				if m.now < outage {
@@ -51,7 +51,7 @@
 		}
 	}
 	set := settings()
-	set.OnRequest, set.FleetSize = true, 80
+	set.DiscoveryOnRequest, set.FleetSize = true, 80
 	for i := range 80 {
 		b, err := New(set, uint64(i))
 		if err != nil {
--- a/policy/many_mass_test.go
+++ b/policy/many_mass_test.go
@@ -52,9 +52,9 @@
 	sum := 0.0
 	for i := range massSidecars {
 		b, err := New(Settings{
-			Classes: manyClasses, FleetSize: massSidecars, Zone: i % massZones, OnRequest: true, AskWithin: 10 * time.Second,
-			MaxAttempts: 3, SecondCopies: true, Cancel: true, WorthByWork: true, ColdTime: massCold, StartCapacity: massLeast,
-			ConnIdle: 10 * time.Second, Prices: Prices{Handshake: 0.06},
+			Classes: manyClasses, FleetSize: massSidecars, Zone: i % massZones, DiscoveryOnRequest: true, PollWithin: 10 * time.Second,
+			MaxAttempts: 3, HedgedAttempts: true, Cancel: true, WorthByWork: true, WarmupTime: massCold, StartCapacity: massLeast,
+			ConnIdleTimeout: 10 * time.Second, Prices: Prices{Handshake: 0.06},
 		}, uint64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -122,9 +122,9 @@
 		class := m.rng.IntN(2)
 		m.class[[2]int{i, id}] = class
 		m.worth[0] += manyClasses[class].Worth
-		q := Request{ID: RequestID(id), Class: class, Left: manyClasses[class].Deadline, Cost: manyWork[class].Seconds()}
+		q := Request{ID: RequestID(id), Class: class, TimeLeft: manyClasses[class].Deadline, Cost: manyWork[class].Seconds()}
 		if m.seers {
-			m.send(i, Send{Request: q.ID, Endpoint: EndpointID(m.pick(i)), Timeout: q.Left})
+			m.send(i, Send{Request: q.ID, Endpoint: EndpointID(m.pick(i)), Timeout: q.TimeLeft})
 		} else {
 			m.carryOut(i, m.sidecars[i].Request(m.now, q))
 		}
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -80,7 +80,7 @@
 		m.endpoints = append(m.endpoints, &busy{slow: 1})
 	}
 	for i := range sidecars {
-		b, err := New(Settings{Classes: manyClasses, FleetSize: sidecars, MaxAttempts: 3, SecondCopies: true, Cancel: true, WorthByWork: true}, uint64(i))
+		b, err := New(Settings{Classes: manyClasses, FleetSize: sidecars, MaxAttempts: 3, HedgedAttempts: true, Cancel: true, WorthByWork: true}, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 		key := [2]int{i, id + int(m.now/time.Second)<<20}
 		m.class[key] = class
 		m.asked[class]++
-		m.carryOut(i, m.sidecars[i].Request(m.now, Request{ID: RequestID(key[1]), Class: class, Left: manyClasses[class].Deadline, Cost: manyWork[class].Seconds()}))
+		m.carryOut(i, m.sidecars[i].Request(m.now, Request{ID: RequestID(key[1]), Class: class, TimeLeft: manyClasses[class].Deadline, Cost: manyWork[class].Seconds()}))
 		m.after(time.Duration(m.rng.ExpFloat64()/rate(m.now-begun)*float64(time.Second)), arrive)
 	}
 	m.after(0, arrive)
@@ -135,7 +135,7 @@
 		case Fail:
 			delete(m.class, [2]int{i, int(a.Request)})
 		case SetTimer:
-			m.after(a.In, func() { m.carryOut(i, m.sidecars[i].Timer(m.now, a.Token)) })
+			m.after(a.Delay, func() { m.carryOut(i, m.sidecars[i].Timer(m.now, a.Token)) })
 		case Subscribe:
 			if m.subscribe != nil {
 				m.subscribe(i)
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -29,7 +29,7 @@
 
 // loadField is the place of the load in a report; -1 where there is none.
 func (b *Balancer) loadField() int {
-	return max(slices.Index(b.set.Report, FieldInFlight), slices.Index(b.set.Report, FieldQueue))
+	return max(slices.Index(b.set.ReportFields, FieldInFlight), slices.Index(b.set.ReportFields, FieldQueue))
 }
 
 // hold waits for probes of a pair; a dear second one only if the first is busy.
@@ -45,7 +45,7 @@
 	}
 	b.waiting = append(b.waiting, r)
 	limit := min(b.set.Classes[r.Class].Aim, r.deadline()-b.now)
-	b.do(SetTimer{Token: Token{timerHold, r.ID}, In: time.Duration(float64(limit) * holdPart)})
+	b.do(SetTimer{Token: Token{timerHold, r.ID}, Delay: time.Duration(float64(limit) * holdPart)})
 }
 
 // probe asks a server for its load, unless that is known or on its way.
@@ -94,7 +94,7 @@
 	s.probing = false
 	if p.Result != Served {
 		s.load, s.loadAt = math.Inf(1), now
-		s.observe(now, 1-(1-failureKeeps)*indicator(p.Result != TurnedAway))
+		s.observe(now, 1-(1-failureKeeps)*indicator(p.Result != Declined))
 	} else if i := b.loadField(); i >= 0 && i < len(p.Report) {
 		s.load, s.loadAt = math.Max(p.Report[i], 0), now
 	}
--- a/policy/renewal_test.go
+++ b/policy/renewal_test.go
@@ -20,7 +20,7 @@
 		for _, a := range append([]Action(nil), actions...) {
 			switch a := a.(type) {
 			case SetTimer:
-				m.after(a.In, func() { carryOut(i, m.sidecars[i].Timer(m.now, a.Token)) })
+				m.after(a.Delay, func() { carryOut(i, m.sidecars[i].Timer(m.now, a.Token)) })
 			case Subscribe:
 				if m.now < lost || m.now > end+currentFor {
 					continue
@@ -32,7 +32,7 @@
 		}
 	}
 	set := settings()
-	set.OnRequest, set.FleetSize = true, sidecars
+	set.DiscoveryOnRequest, set.FleetSize = true, sidecars
 	for i := range sidecars {
 		b, err := New(set, uint64(i))
 		if err != nil {
--- a/policy/request.go
+++ b/policy/request.go
@@ -16,11 +16,11 @@
 	ID            RequestID
 	Class, Tenant int
 	Key           string              // empty: none
-	Left          time.Duration       // until the client gives this try up
-	Upload        time.Duration       // that its body may take to come, of Left
+	TimeLeft      time.Duration       // until the client gives this try up
+	UploadTime    time.Duration       // that its body may take to come, of TimeLeft
 	Cost          float64             // expected seconds on a standard core; 0: not told
-	Owed          bool                // by a contract: not turned away for the sake of others
-	Only          func(Endpoint) bool // where its key's effect may not be doubled, of which an earlier request may have run; nil: anywhere
+	Guaranteed    bool                // by a contract: not turned away for the sake of others
+	Eligible      func(Endpoint) bool // where its key's effect may not be doubled, of which an earlier request may have run; nil: anywhere
 }
 
 // Result is how an attempt ended.
@@ -29,16 +29,16 @@
 const (
 	Served         Result = iota
 	Errored               // may have run
-	TurnedAway            // never ran
+	Declined              // never ran
 	NoAnswer              // may have run
 	NoConnection          // never ran
 	ConnectionLost        // may have run
-	CalledOff             // may have run
+	Cancelled             // may have run
 	NotSent               // never ran
 )
 
 // NeverRan reports whether the result proves that the attempt did not run.
-func (r Result) NeverRan() bool { return r == TurnedAway || r == NoConnection || r == NotSent }
+func (r Result) NeverRan() bool { return r == Declined || r == NoConnection || r == NotSent }
 
 // Outcome reports the end of one attempt.
 type Outcome struct {
@@ -78,7 +78,7 @@
 	keyShare                 float64 // estimated part of the traffic
 }
 
-func (r *request) deadline() time.Duration { return r.arrived + r.Left }
+func (r *request) deadline() time.Duration { return r.arrived + r.TimeLeft }
 
 // open counts the attempts that are out, ran those that may have run by now.
 func (r *request) open() int { return r.count(func(a *attempt) bool { return a.open }) }
@@ -100,7 +100,7 @@
 	b.requests[q.ID] = r
 	b.gap.add((now - b.lastIn).Seconds(), sampleMemory)
 	b.lastIn = now
-	if q.Class < 0 || q.Class >= len(b.set.Classes) || q.Left <= 0 {
+	if q.Class < 0 || q.Class >= len(b.set.Classes) || q.TimeLeft <= 0 {
 		r.Class = 0 // there is one
 		b.finish(r)
 		return b.actions
@@ -112,7 +112,7 @@
 		r.key = hashKey(r.Key)
 		r.keyShare = b.keys.add(r.key)
 	}
-	if b.expected(r) > q.Left.Seconds() && b.random() > leastAdmitted || // some go, or a wrong estimate stays
+	if b.expected(r) > q.TimeLeft.Seconds() && b.random() > leastAdmitted || // some go, or a wrong estimate stays
 		!b.admit(r) || !b.attempt(r) {
 		b.finish(r)
 	}
@@ -160,7 +160,7 @@
 // draw draws two servers, by key where that pays (a hot one among more). Where
 // connections are priced the client's own stands in; a calm client starts near.
 func (b *Balancer) draw(r *request, ok func(*server) bool) (x, y *server) {
-	key, want, n := b.home, b.set.ConnIdle.Seconds()/math.Max(b.gap.value, 1e-3)/homeReuse, float64(len(b.fleet.table))
+	key, want, n := b.home, b.set.ConnIdleTimeout.Seconds()/math.Max(b.gap.value, 1e-3)/homeReuse, float64(len(b.fleet.table))
 	if b.set.WarmKeys && r.Key != "" {
 		key, want = r.key, math.Ceil(keySpread*r.keyShare*n)
 	} else if b.set.Prices.Connection <= 0 {
@@ -177,16 +177,16 @@
 }
 
 func (b *Balancer) send(r *request, s *server) {
-	b.adm.retries -= indicator(r.ran() > 0 && !b.set.HostRetries)
+	b.adm.retries -= indicator(r.ran() > 0 && !b.set.HostRetryBudget)
 	s.inFlight++
-	s.kept = b.now + b.set.ConnIdle/2
+	s.kept = b.now + b.set.ConnIdleTimeout/2
 	b.charge(r, s)
-	patience := r.Upload + time.Duration(overduePart*float64(b.set.Classes[r.Class].Aim))
+	patience := r.UploadTime + time.Duration(overduePart*float64(b.set.Classes[r.Class].Aim))
 	a := attempt{server: s, zone: s.Zone, cell: s.Cell, sent: b.now, due: b.now + patience, open: true}
 	r.attempts = append(r.attempts, a)
 	b.do(Send{Request: r.ID, Endpoint: s.ID, Timeout: r.deadline() - b.now})
 	if a.due < r.deadline() {
-		b.do(SetTimer{Token: Token{timerLate, r.ID}, In: a.due - b.now})
+		b.do(SetTimer{Token: Token{timerLate, r.ID}, Delay: a.due - b.now})
 	}
 }
 
@@ -211,14 +211,14 @@
 // mayAttempt holds the rules on one more attempt, wherever it goes.
 func (b *Balancer) mayAttempt(r *request) bool {
 	return !r.answered && !r.streamed && len(r.attempts) < r.most && b.now < r.deadline() &&
-		(b.set.SecondCopies || r.open() == 0) && (r.ran() == 0 || b.set.Classes[r.Class].Effect != Unsafe)
+		(b.set.HedgedAttempts || r.open() == 0) && (r.ran() == 0 || b.set.Classes[r.Class].Effect != Unsafe)
 }
 
 // maySend holds the rule on keyed repeats: only where and while they are discarded.
 func (b *Balancer) maySend(r *request, s *server) bool {
 	c := &b.set.Classes[r.Class]
-	window := min(time.Duration(float64(c.DedupWindow)*(1-dedupMargin)), c.DedupWindow-permit.HoldUp)
-	return (r.Only == nil || r.Only(s.Endpoint)) && r.count(func(a *attempt) bool {
+	window := min(time.Duration(float64(c.DedupWindow)*(1-dedupMargin)), c.DedupWindow-permit.MaxStall)
+	return (r.Eligible == nil || r.Eligible(s.Endpoint)) && r.count(func(a *attempt) bool {
 		shared := c.Scope == ScopeAll || c.Scope == ScopeZone && a.zone == s.Zone || c.Scope == ScopeCell && a.cell == s.Cell
 		return c.Effect == Keyed && (a.open || a.ran) && (b.now-a.sent >= window || !shared)
 	}) == 0
@@ -226,7 +226,7 @@
 
 // mayRefuse reports whether the client may be told that a retry is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
-	safe := func(c *Class) bool { return c.Effect == Repeatable || c.Effect == Keyed && c.Scope == ScopeAll }
+	safe := func(c *Class) bool { return c.Effect == Idempotent || c.Effect == Keyed && c.Scope == ScopeAll }
 	return r.ran() == 0 || safe(&b.set.Classes[r.Class])
 }
 
@@ -234,7 +234,7 @@
 // back for a late answer that is worth nothing took the place of others. Harm: one that was in time.
 func (b *Balancer) finish(r *request) {
 	if b.mayRefuse(r) {
-		left, c := float64(r.deadline()-r.Upload-b.now), &b.set.Classes[r.Class]
+		left, c := float64(r.deadline()-r.UploadTime-b.now), &b.set.Classes[r.Class]
 		after := math.Max(1-b.adm.level, leastAdmitted) * comeBack * left
 		if c.LateWorth <= 0 && after+b.expected(r)*float64(time.Second) > float64(c.Aim) {
 			after = left
@@ -304,7 +304,7 @@
 
 // learn takes an outcome. A quick error is no speed sample, a time-out a slow one.
 func (b *Balancer) learn(r *request, a *attempt, o Outcome) {
-	if o.Result == CalledOff || o.Result == NotSent {
+	if o.Result == Cancelled || o.Result == NotSent {
 		return
 	}
 	failed, was := o.Result != Served, a.server.healthAt(b.now, r.Class)
@@ -317,7 +317,7 @@
 	if !a.late {
 		keeps := 1 - (1-failureKeeps)*indicator(failed)
 		switch {
-		case o.Result == TurnedAway: // Failure answered: quick refusals make an endpoint look idle.
+		case o.Result == Declined: // Failure answered: quick refusals make an endpoint look idle.
 			keeps = declineKeeps
 		case late && (!failed || o.Result == NoAnswer):
 			keeps = a.server.lateKeeps(b.now, r.Class)
@@ -341,8 +341,8 @@
 	}
 }
 
-// Gone tells that the client left: the request is over and owed nothing.
-func (b *Balancer) Gone(now time.Duration, id RequestID) []Action {
+// ClientDisconnected tells that the client left: the request is over and owed nothing.
+func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) []Action {
 	b.begin(now)
 	if r := b.requests[id]; r != nil {
 		b.conclude(r)
--- a/policy/retune_test.go
+++ b/policy/retune_test.go
@@ -23,7 +23,7 @@
 	for i := range n {
 		now += 10 * time.Millisecond
 		var sent *Send
-		for _, a := range b.Request(now, Request{ID: RequestID(i + 1), Left: time.Second}) {
+		for _, a := range b.Request(now, Request{ID: RequestID(i + 1), TimeLeft: time.Second}) {
 			if s, ok := a.(Send); ok {
 				sent = &s
 			}
@@ -48,7 +48,7 @@
 	now := teach(t, b, 40, 20*time.Millisecond)
 	per := b.times[0].per
 	send := func(id RequestID, class int) *Send {
-		for _, a := range b.Request(now, Request{ID: id, Class: class, Left: time.Second}) {
+		for _, a := range b.Request(now, Request{ID: id, Class: class, TimeLeft: time.Second}) {
 			if s, ok := a.(Send); ok {
 				return &s
 			}
@@ -73,7 +73,7 @@
 	}
 	send(1001, 2)
 	again := func(s *Send) (more bool) {
-		for _, a := range b.Outcome(now, Outcome{Request: s.Request, Endpoint: s.Endpoint, Result: TurnedAway}) {
+		for _, a := range b.Outcome(now, Outcome{Request: s.Request, Endpoint: s.Endpoint, Result: Declined}) {
 			_, ok := a.(Send)
 			more = more || ok
 		}
@@ -96,7 +96,7 @@
 	ask := func(result Result) float64 {
 		now += time.Second
 		id := RequestID(now / time.Second)
-		for _, a := range b.Request(now, Request{ID: id, Left: time.Second}) {
+		for _, a := range b.Request(now, Request{ID: id, TimeLeft: time.Second}) {
 			if s, ok := a.(Send); ok {
 				b.Outcome(now, Outcome{Request: id, Endpoint: s.Endpoint, Result: result, Complete: result == Served, Elapsed: time.Millisecond})
 				return b.fleet.byID[1].healthAt(now, 0)
@@ -106,7 +106,7 @@
 		return 0
 	}
 	ask(Served)
-	low := ask(TurnedAway)
+	low := ask(Declined)
 	if low > declineKeeps*1.01 {
 		t.Errorf("health %v after one", low)
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -15,14 +15,14 @@
 func settings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Aim: 100 * ms, Deadline: 400 * ms, Effect: Repeatable, Worth: 1, LateWorth: 0.5},
+			{Aim: 100 * ms, Deadline: 400 * ms, Effect: Idempotent, Worth: 1, LateWorth: 0.5},
 			{Aim: 100 * ms, Deadline: 400 * ms, Effect: Keyed, Scope: ScopeCell, DedupWindow: 150 * ms, Worth: 3},
 			{Aim: 100 * ms, Deadline: 400 * ms, Effect: Keyed, Scope: ScopeZone, DedupWindow: 900 * ms, Worth: 3},
 			{Aim: 100 * ms, Deadline: 400 * ms, Effect: Keyed, Scope: ScopeAll, DedupWindow: 900 * ms, Worth: 3},
 			{Aim: 100 * ms, Deadline: 400 * ms, Effect: Unsafe, Worth: 2},
 		},
 		Tenants:   []Tenant{{Share: 0.7}, {Share: 0.3}},
-		FleetSize: 3, AskWithin: 10 * time.Second, ColdTime: 20 * time.Second, StartCapacity: 0.2,
+		FleetSize: 3, PollWithin: 10 * time.Second, WarmupTime: 20 * time.Second, StartCapacity: 0.2,
 		MaxAttempts: 3, Cancel: true,
 	}
 }
@@ -79,7 +79,7 @@
 			l.refused++
 			r := l.end(a.Request)
 			c := l.set.Classes[r.Class]
-			if r.mayRun() && !(c.Effect == Repeatable || c.Effect == Keyed && c.Scope == ScopeAll) {
+			if r.mayRun() && !(c.Effect == Idempotent || c.Effect == Keyed && c.Scope == ScopeAll) {
 				l.t.Fatalf("refused %d, which may have run", a.Request)
 			}
 		case Fail:
@@ -94,7 +94,7 @@
 			}
 			l.probes = append(l.probes, a.Endpoint)
 		case SetTimer:
-			l.timers = append(l.timers, timer{l.now + a.In, a.Token})
+			l.timers = append(l.timers, timer{l.now + a.Delay, a.Token})
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	}
 	for _, b := range r.attempts {
 		shared := c.Scope == ScopeAll || c.Scope == ScopeZone && b.to.Zone == to.Zone || c.Scope == ScopeCell && b.to.Cell == to.Cell
-		if b.open && !l.set.SecondCopies {
+		if b.open && !l.set.HedgedAttempts {
 			l.t.Fatal("two attempts out")
 		}
 		if c.Effect == Keyed && (b.open || b.ran) && (!shared || l.now > b.at+c.DedupWindow) {
@@ -151,13 +151,13 @@
 func playRandom(t *testing.T, seed uint64) *ledger {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	set := settings()
-	set.OnRequest, set.Cancel, set.SecondCopies = seed%2 == 0, seed%3 > 0, seed%5 == 0
+	set.DiscoveryOnRequest, set.Cancel, set.HedgedAttempts = seed%2 == 0, seed%3 > 0, seed%5 == 0
 	set.WarmKeys = seed%4 == 0
 	if seed%3 == 0 {
 		set.Tenants = nil
 	}
 	if seed%2 == 1 {
-		set.MayProbe, set.Report = true, []Field{FieldRate, FieldInFlight}
+		set.MayProbe, set.ReportFields = true, []ReportField{FieldRate, FieldInFlight}
 		set.Prices = Prices{CrossZone: 0.01 * float64(seed%4), Probe: 0.01 * float64(seed%3)}
 	}
 	b := start(t, set)
@@ -170,7 +170,7 @@
 				continue
 			}
 			list = append(list, Endpoint{ID: id, Kind: int(id) % 3, Zone: int(id) % 2, Cell: int(id) % 4,
-				Readiness: []Readiness{Ready, Ready, Ready, Draining, Gone}[rng.IntN(5)],
+				Readiness: []Readiness{Ready, Ready, Ready, Draining, Removed}[rng.IntN(5)],
 				Started:   time.Duration(rng.IntN(3)) * l.now / 2})
 		}
 		if whole {
@@ -232,11 +232,11 @@
 		case 3:
 			if len(order) > 0 && !order[0].done {
 				order[0].done = true
-				l.take(b.Gone(l.now, order[0].ID))
+				l.take(b.ClientDisconnected(l.now, order[0].ID))
 			}
 		}
-		q := Request{ID: id, Class: rng.IntN(5), Tenant: rng.IntN(2), Left: time.Duration(20+rng.IntN(300)) * ms, Key: fmt.Sprint("k", rng.IntN(9))}
-		e := &entry{Request: q, due: l.now + q.Left}
+		q := Request{ID: id, Class: rng.IntN(5), Tenant: rng.IntN(2), TimeLeft: time.Duration(20+rng.IntN(300)) * ms, Key: fmt.Sprint("k", rng.IntN(9))}
+		e := &entry{Request: q, due: l.now + q.TimeLeft}
 		l.open[id] = e
 		order = append(order, e)
 		l.take(b.Request(l.now, q))
@@ -256,7 +256,7 @@
 		all = append(all, slices.Clone(b.Endpoints(ms, fleetOf(9), true)))
 		for i := range 200 {
 			now := time.Duration(i) * 10 * ms
-			all = append(all, slices.Clone(b.Request(now, Request{ID: RequestID(i), Class: i % 5, Left: 300 * ms})))
+			all = append(all, slices.Clone(b.Request(now, Request{ID: RequestID(i), Class: i % 5, TimeLeft: 300 * ms})))
 		}
 		return all
 	}
@@ -281,8 +281,8 @@
 		"key_scope":      func(s *Settings) { s.Classes[1].Scope = 200 },
 		"send_cap":       func(s *Settings) { s.MaxAttempts = 0 },
 		"start_capacity": func(s *Settings) { s.StartCapacity = 2 },
-		"fall_multiple":  func(s *Settings) { s.FallMultiple = -1 },
-		"fall_ms":        func(s *Settings) { s.FallTime = -1 },
+		"fall_multiple":  func(s *Settings) { s.OverloadMultiple = -1 },
+		"fall_ms":        func(s *Settings) { s.OverloadTime = -1 },
 	}
 	for name, spoil := range cases {
 		set := settings()
@@ -304,7 +304,7 @@
 
 func TestOddRequestsAreAnsweredAtOnce(t *testing.T) {
 	b := start(t, settings())
-	good := Request{Left: 100 * ms}
+	good := Request{TimeLeft: 100 * ms}
 	answer := func(name string, q Request) {
 		t.Helper()
 		q.ID = RequestID(len(name) + 100)
@@ -320,11 +320,11 @@
 	b.Endpoints(ms, draining, true)
 	answer("all draining", good)
 	b.Endpoints(ms, fleetOf(3), true)
-	answer("class out of range", Request{Class: 9, Left: 100 * ms})
-	answer("negative class", Request{Class: -1, Left: 100 * ms})
-	answer("no time left", Request{Left: 0})
-	answer("negative time", Request{Left: -ms})
-	if got := b.Request(ms, Request{ID: 7, Tenant: 99, Left: 100 * ms}); !reflect.DeepEqual(typeOf(got), "policy.Send") {
+	answer("class out of range", Request{Class: 9, TimeLeft: 100 * ms})
+	answer("negative class", Request{Class: -1, TimeLeft: 100 * ms})
+	answer("no time left", Request{TimeLeft: 0})
+	answer("negative time", Request{TimeLeft: -ms})
+	if got := b.Request(ms, Request{ID: 7, Tenant: 99, TimeLeft: 100 * ms}); !reflect.DeepEqual(typeOf(got), "policy.Send") {
 		t.Errorf("tenant out of range: %v", got)
 	}
 }
@@ -343,8 +343,8 @@
 func TestLateResultAndStaleTimerAreIgnored(t *testing.T) {
 	b := start(t, settings())
 	b.Endpoints(ms, fleetOf(4), true)
-	to := b.Request(ms, Request{ID: 1, Left: 100 * ms})[0].(Send).Endpoint
-	b.Gone(2*ms, 1)
+	to := b.Request(ms, Request{ID: 1, TimeLeft: 100 * ms})[0].(Send).Endpoint
+	b.ClientDisconnected(2*ms, 1)
 	if got := b.Outcome(3*ms, Outcome{Request: 1, Endpoint: to, Result: Served, Complete: true, Elapsed: 2 * ms}); len(got) != 0 {
 		t.Errorf("late result led to %v", got)
 	}
@@ -359,7 +359,7 @@
 func TestStreamedRequestIsNeverSentAgain(t *testing.T) {
 	b := start(t, settings())
 	b.Endpoints(ms, fleetOf(4), true)
-	to := b.Request(ms, Request{ID: 1, Left: 100 * ms})[0].(Send).Endpoint
+	to := b.Request(ms, Request{ID: 1, TimeLeft: 100 * ms})[0].(Send).Endpoint
 	b.StreamStarted(2*ms, 1, 0)
 	if got := b.Outcome(3*ms, Outcome{Request: 1, Endpoint: to, Result: ConnectionLost, Complete: true}); len(got) != 0 {
 		t.Errorf("broken stream led to %v", got)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -10,7 +10,7 @@
 type Effect uint8
 
 const (
-	Repeatable Effect = iota // may run any number of times
+	Idempotent Effect = iota // may run any number of times
 	Keyed                    // repeats are discarded within Class.DedupWindow by the endpoints of Class.Scope
 	Unsafe                   // must never run twice
 )
@@ -38,14 +38,14 @@
 // Tenant describes a party with an agreed fraction of the service.
 type Tenant struct{ Share float64 }
 
-// Field names one value of a load report.
-type Field uint8
+// ReportField names one value of a load report.
+type ReportField uint8
 
 const (
-	FieldOther    Field = iota // skipped
-	FieldInFlight              // requests held
-	FieldQueue                 // requests waiting
-	FieldRate                  // requests served per second
+	FieldOther    ReportField = iota // skipped
+	FieldInFlight                    // requests held
+	FieldQueue                       // requests waiting
+	FieldRate                        // requests served per second
 )
 
 // Prices are points of the operator's result per first try; of 100 connections.
@@ -53,27 +53,27 @@
 
 // Settings is what an instance is told before its first event.
 type Settings struct {
-	Classes       []Class
-	Tenants       []Tenant
-	FleetSize     int // sidecars that send to the same endpoints
-	Zone          int
-	OnRequest     bool          // discovery speaks only when asked
-	AskWithin     time.Duration // unsubscribed and silent for longer counts as told
-	DrainGrace    time.Duration // in which sends to an endpoint cease that drains or is gone; the host counts those after it
-	ColdTime      time.Duration // a started endpoint is warm after this
-	StartCapacity float64       // share of its capacity it starts with at least
-	FallMultiple  float64       // a cold endpoint falls that all sidecars send this many times what it can do; 0: not told
-	FallTime      time.Duration // if they do so for so long; 0: not told
-	MaxAttempts   int
-	HostRetries   bool // the host holds the retry budgets: what it has no room for ends as NotSent
-	SecondCopies  bool // two attempts of a request may be out together
-	Cancel        bool // attempts may be called off
-	MayProbe      bool
-	Report        []Field // order of the values in a load report
-	Prices        Prices
-	ConnIdle      time.Duration // a connection closes after so long without use
-	WorthByWork   bool          // worth counts per unit of work
-	WarmKeys      bool          // an endpoint that met a key lately serves it with less work
+	Classes            []Class
+	Tenants            []Tenant
+	FleetSize          int // sidecars that send to the same endpoints
+	Zone               int
+	DiscoveryOnRequest bool          // discovery speaks only when asked
+	PollWithin         time.Duration // unsubscribed and silent for longer counts as told
+	DrainGrace         time.Duration // in which sends to an endpoint cease that drains or is gone; the host counts those after it
+	WarmupTime         time.Duration // a started endpoint is warm after this
+	StartCapacity      float64       // share of its capacity it starts with at least
+	OverloadMultiple   float64       // a cold endpoint falls that all sidecars send this many times what it can do; 0: not told
+	OverloadTime       time.Duration // if they do so for so long; 0: not told
+	MaxAttempts        int
+	HostRetryBudget    bool // the host holds the retry budgets: what it has no room for ends as NotSent
+	HedgedAttempts     bool // two attempts of a request may be out together
+	Cancel             bool // attempts may be called off
+	MayProbe           bool
+	ReportFields       []ReportField // order of the values in a load report
+	Prices             Prices
+	ConnIdleTimeout    time.Duration // a connection closes after so long without use
+	WorthByWork        bool          // worth counts per unit of work
+	WarmKeys           bool          // an endpoint that met a key lately serves it with less work
 }
 
 // validate names the first field that can't be worked with.
@@ -91,8 +91,8 @@
 	if !(s.StartCapacity >= 0 && s.StartCapacity <= 1) {
 		return fmt.Errorf("settings: start_capacity %v is outside 0 to 1", s.StartCapacity)
 	}
-	if !(s.FallMultiple >= 0) || math.IsInf(s.FallMultiple, 0) || s.FallTime < 0 {
-		return fmt.Errorf("settings: fall_multiple %v or fall_ms %v is below 0", s.FallMultiple, s.FallTime)
+	if !(s.OverloadMultiple >= 0) || math.IsInf(s.OverloadMultiple, 0) || s.OverloadTime < 0 {
+		return fmt.Errorf("settings: fall_multiple %v or fall_ms %v is below 0", s.OverloadMultiple, s.OverloadTime)
 	}
 	return nil
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -94,7 +94,7 @@
 func (s *server) isCold(now time.Duration, set *Settings) bool { return s.warmth(now, set) < 1 }
 
 // fallMultiple is how many times what it can do a cold endpoint may be sent before it falls.
-func (set *Settings) fallMultiple() float64 { return cmp.Or(set.FallMultiple, defaultFallMultiple) }
+func (set *Settings) fallMultiple() float64 { return cmp.Or(set.OverloadMultiple, defaultFallMultiple) }
 
 // gain is how much more than its part of the requests, by its lowest possible warmth, a cold
 // endpoint may be sent at most. Where the others have room that is its part, and more as more of
@@ -127,7 +127,7 @@
 			continue
 		}
 		chances += s.chance
-		sizes += s.Nominal * s.warmth(now, set)
+		sizes += s.NominalSize * s.warmth(now, set)
 		if s.isCold(now, set) {
 			coldChances += s.chance
 			f.slowStart.cold = append(f.slowStart.cold, s)
@@ -141,7 +141,7 @@
 		warm := s.warmth(now, set)
 		start.refill(&s.bucket, endpointBurst, now, warm, 0)
 		byChance := emptier / (1 + warm) * s.chance / math.Max(chances, math.SmallestNonzeroFloat64)
-		bySize := gain * s.Nominal * warm / sizes
+		bySize := gain * s.NominalSize * warm / sizes
 		s.bucket.rate = math.Min(byChance, bySize) * (1 + growth*start.coldShare)
 		start.all.rate += s.bucket.rate
 		start.warmth += warm
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -66,7 +66,7 @@
 // restart gives a sidecar a new process, which is told of the endpoints after a while.
 func (c *coldFleet) restart(t *testing.T, i int, told time.Duration) {
 	set := c.sidecars[i].set
-	set.ColdTime, set.StartCapacity, set.FallMultiple = c.coldTime, c.least, c.multiple
+	set.WarmupTime, set.StartCapacity, set.OverloadMultiple = c.coldTime, c.least, c.multiple
 	b, err := New(set, c.rng.Uint64())
 	if err != nil {
 		t.Fatal(err)
@@ -235,7 +235,7 @@
 		toldOver(0)(c, t)
 	}
 	if scene.decline {
-		c.failWarm(TurnedAway, func(EndpointID) bool { return c.rng.IntN(3) == 0 })
+		c.failWarm(Declined, func(EndpointID) bool { return c.rng.IntN(3) == 0 })
 	}
 	if scene.down {
 		c.failWarm(NoConnection, func(id EndpointID) bool { return id%2 == 0 && c.now >= time.Hour+5*time.Second })
@@ -305,13 +305,13 @@
 func TestLittleTimeIsNoLittleWork(t *testing.T) {
 	b := halfCold(t, 5)
 	warm := b.fleet.servers[5]
-	quick := &request{Request: Request{Class: 1, Left: 60 * ms}, arrived: b.now}
+	quick := &request{Request: Request{Class: 1, TimeLeft: 60 * ms}, arrived: b.now}
 	for i := range 200 { // each of which has the same work, and waits for 0 to 199 ms
 		takes := time.Duration(i*37%200)*ms + 10*ms
 		answerOf(b, warm, takes)
 		o := Outcome{Endpoint: warm.ID, Result: Served, Complete: true, Elapsed: takes}
-		if takes > quick.Left {
-			o.Result, o.Elapsed = NoAnswer, quick.Left
+		if takes > quick.TimeLeft {
+			o.Result, o.Elapsed = NoAnswer, quick.TimeLeft
 		}
 		b.learn(quick, &attempt{server: warm, sent: b.now, open: true}, o)
 	}
@@ -324,7 +324,7 @@
 func TestOneEndpointIsNotSentWhatIsDueToAll(t *testing.T) {
 	b := halfCold(t, 5)
 	b.fleet.slowStart.all.tokens = 20
-	r, sent := &request{Request: Request{Left: time.Second}}, 0
+	r, sent := &request{Request: Request{TimeLeft: time.Second}}, 0
 	for cold := b.fleet.slowStart.cold[0]; sent < 20 && b.withinBudget(r, cold); sent++ {
 		b.charge(r, cold)
 	}
@@ -351,13 +351,13 @@
 // A request that waited for probes was sent to a cold endpoint that others had sent its budget meanwhile.
 func TestHeldForProbesAndOverItsBudget(t *testing.T) {
 	set := settings()
-	set.MayProbe, set.Report, set.ColdTime, set.StartCapacity = true, []Field{FieldRate, FieldInFlight}, time.Minute, 0.5
+	set.MayProbe, set.ReportFields, set.WarmupTime, set.StartCapacity = true, []ReportField{FieldRate, FieldInFlight}, time.Minute, 0.5
 	b := start(t, set)
 	list := fleetOf(2)
 	list[1].Started = time.Hour
 	b.Endpoints(time.Hour, list, true)
 	b.fleet.slowStart.all.tokens = 0
-	held := b.Request(time.Hour, Request{ID: 1, Left: 200 * ms})
+	held := b.Request(time.Hour, Request{ID: 1, TimeLeft: 200 * ms})
 	if len(b.waiting) != 1 {
 		t.Fatalf("%v: nothing waits for probes", held)
 	}
@@ -376,7 +376,7 @@
 	first := map[EndpointID]int{}
 	for seed := range uint64(100) {
 		set := settings()
-		set.WarmKeys, set.ColdTime, set.StartCapacity, set.FleetSize = true, time.Minute, 0.1, 100
+		set.WarmKeys, set.WarmupTime, set.StartCapacity, set.FleetSize = true, time.Minute, 0.1, 100
 		b, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -400,7 +400,7 @@
 
 // answerOf has a request of class 0 end at an endpoint, after a time.
 func answerOf(b *Balancer, s *server, elapsed time.Duration) {
-	r := &request{Request: Request{Left: time.Second}, arrived: b.now}
+	r := &request{Request: Request{TimeLeft: time.Second}, arrived: b.now}
 	a := attempt{server: s, sent: b.now, open: true}
 	b.learn(r, &a, Outcome{Endpoint: s.ID, Result: Served, Complete: true, Elapsed: elapsed})
 }
@@ -408,7 +408,7 @@
 // halfCold is an instance before ten endpoints, of which the first few have just started.
 func halfCold(t *testing.T, cold int) *Balancer {
 	set := settings()
-	set.ColdTime, set.StartCapacity = time.Hour, 0.1
+	set.WarmupTime, set.StartCapacity = time.Hour, 0.1
 	b := start(t, set)
 	list := fleetOf(10)
 	for i := range list[:cold] {
@@ -467,7 +467,7 @@
 			b.refresh(0)
 			if overdue {
 				cold := b.fleet.servers[i%5]
-				r := &request{Request: Request{Left: time.Second}, arrived: b.now - 75*ms}
+				r := &request{Request: Request{TimeLeft: time.Second}, arrived: b.now - 75*ms}
 				r.attempts = []attempt{{server: cold, sent: b.now - 75*ms, due: b.now, open: true}}
 				b.overdue(r) // and is answered in time, as are the next:
 				b.learn(r, &r.attempts[0], Outcome{Endpoint: cold.ID, Result: Served, Complete: true, Elapsed: 80 * ms})
@@ -551,11 +551,11 @@
 	warm, costs := b.fleet.servers[5], [2]float64{0.01, 0.02}
 	requests := [2]*request{}
 	for class := range requests {
-		requests[class] = &request{Request: Request{Class: class, Left: 60 * ms, Cost: costs[class]}, arrived: b.now}
+		requests[class] = &request{Request: Request{Class: class, TimeLeft: 60 * ms, Cost: costs[class]}, arrived: b.now}
 	}
 	for i := range 200 { // each of which waits for 0 to 199 ms; those that may wait are answered
 		class, takes := i%2, time.Duration(i*37%200)*ms+10*ms
-		b.Request(b.now, Request{ID: RequestID(1000 + i), Class: class, Left: time.Second, Cost: costs[class]})
+		b.Request(b.now, Request{ID: RequestID(1000 + i), Class: class, TimeLeft: time.Second, Cost: costs[class]})
 		o := Outcome{Endpoint: warm.ID, Result: Served, Complete: true, Elapsed: takes}
 		if class == 1 && takes > 60*ms {
 			o.Result, o.Elapsed = NoAnswer, 60*ms
--- a/policy/soak_test.go
+++ b/policy/soak_test.go
@@ -21,9 +21,9 @@
 	)
 	rng := rand.New(rand.NewPCG(5, 5))
 	b, err := New(Settings{
-		Classes: manyClasses, Tenants: []Tenant{{0.6}, {0.4}}, FleetSize: 300, OnRequest: true, AskWithin: 10 * time.Second, MaxAttempts: 3,
-		SecondCopies: true, Cancel: true, WorthByWork: true, WarmKeys: true, ColdTime: 20 * time.Second, StartCapacity: 0.13,
-		ConnIdle: 10 * time.Second, Prices: Prices{Handshake: 0.06},
+		Classes: manyClasses, Tenants: []Tenant{{0.6}, {0.4}}, FleetSize: 300, DiscoveryOnRequest: true, PollWithin: 10 * time.Second, MaxAttempts: 3,
+		HedgedAttempts: true, Cancel: true, WorthByWork: true, WarmKeys: true, WarmupTime: 20 * time.Second, StartCapacity: 0.13,
+		ConnIdleTimeout: 10 * time.Second, Prices: Prices{Handshake: 0.06},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 			switch a := a.(type) {
 			case SetTimer:
 				pending++
-				m.after(a.In, func() { pending--; carryOut(b.Timer(m.now, a.Token)) })
+				m.after(a.Delay, func() { pending--; carryOut(b.Timer(m.now, a.Token)) })
 			case Refuse:
 				delete(attempts, a.Request)
 			case Fail:
@@ -60,7 +60,7 @@
 				case 1:
 					result = ConnectionLost
 				case 2:
-					result = TurnedAway
+					result = Declined
 				}
 				if ends >= a.Timeout {
 					ends, result = a.Timeout, NoAnswer
@@ -81,7 +81,7 @@
 			l = append(l, Endpoint{ID: EndpointID(i), Cell: i, Kind: i % 200, Started: m.now})
 		}
 		if !full { // what is gone is told, not left out
-			l = []Endpoint{{ID: EndpointID(oldest - 1), Readiness: Gone}, l[len(l)-1]}
+			l = []Endpoint{{ID: EndpointID(oldest - 1), Readiness: Removed}, l[len(l)-1]}
 		}
 		carryOut(b.Endpoints(m.now, l, full))
 	}
@@ -93,14 +93,14 @@
 		if id++; m.now >= end {
 			return
 		}
-		q := Request{ID: id, Class: int(id) % 2, Tenant: rng.IntN(3) - 1, Left: manyClasses[id%2].Deadline, Key: fmt.Sprint("new ", id)}
+		q := Request{ID: id, Class: int(id) % 2, Tenant: rng.IntN(3) - 1, TimeLeft: manyClasses[id%2].Deadline, Key: fmt.Sprint("new ", id)}
 		if id%5 == 0 {
 			q.Key = "popular"
 		}
 		attempts[id] = 0
 		carryOut(b.Request(m.now, q))
 		if of := id; id%17 == 0 {
-			m.after(5*time.Millisecond, func() { delete(attempts, of); carryOut(b.Gone(m.now, of)) })
+			m.after(5*time.Millisecond, func() { delete(attempts, of); carryOut(b.ClientDisconnected(m.now, of)) })
 		}
 		m.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
