--- a/internal/fleet/council/council.go
+++ b/internal/fleet/coordination/coordinator.go
@@ -1,22 +1,22 @@
-// Package council puts together what gateways decide for all of them: who holds the duty
-// (package duty), and what its holder makes of all that they see (package weights). It is
+// Package coordination puts together what gateways decide for all of them: who holds the duty
+// (package election), and what its holder makes of all that they see (package weights). It is
 // pure. What runs and what is played in virtual time is this one piece.
-package council
+package coordination
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"spokegw/internal/fleet/duty"
+	"spokegw/internal/fleet/election"
 	"spokegw/internal/fleet/sites"
 	"spokegw/internal/fleet/weights"
 )
 
 // Message is one message. One of its fields is told.
 type Message struct {
-	LeaderReport *duty.Report
-	LeaderReply  *duty.Reply
+	LeaderReport *election.Report
+	LeaderReply  *election.Reply
 	Report       *weights.Report
 	Answer       *weights.Answer
 }
@@ -42,7 +42,7 @@
 	name    string
 	plan    []string // gateways
 	planner *planner // the latest; nil: there was none
-	duty    *duty.Node
+	duty    *election.Node
 	weights *weights.Node
 	sight   Observer
 	next    time.Duration   // when weights are next
@@ -75,8 +75,8 @@
 
 // NewNode makes a gateway that has just started, one of the plan. incarnation is to be drawn
 // at random, and below 2^32. of are the fleet's sites; nil: it has none.
-func NewNode(now time.Duration, set duty.Settings, name string, incarnation uint64, plan []string, sight Observer, of *Sites) *Node {
-	n := &Node{name: name, plan: plan, duty: duty.NewNode(now, set, name, incarnation, plan), sight: sight, next: now, sites: of}
+func NewNode(now time.Duration, set election.Settings, name string, incarnation uint64, plan []string, sight Observer, of *Sites) *Node {
+	n := &Node{name: name, plan: plan, duty: election.NewNode(now, set, name, incarnation, plan), sight: sight, next: now, sites: of}
 	if of == nil {
 		n.weights = weights.NewNode(name, set.Lease, nil)
 		return n
--- a/internal/fleet/council/council_test.go
+++ b/internal/fleet/coordination/coordinator_test.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"spokegw/internal/fleet/duty"
+	"spokegw/internal/fleet/election"
 	"spokegw/internal/fleet/sites"
 	"spokegw/internal/fleet/weights"
 )
@@ -23,7 +23,7 @@
 	spent time.Duration // by the first gateway, which holds the duty, on messages and its tables
 }
 
-var set = duty.Settings{Lease: 2 * time.Second, Drift: 0.01}
+var set = election.Settings{Lease: 2 * time.Second, Drift: 0.01}
 
 func newFleet(gateways, endpoints, per int) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(1, 1)), per: per}
--- a/internal/fleet/council/plan.go
+++ b/internal/fleet/coordination/plan.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"math"
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/election/election.go
@@ -1,4 +1,4 @@
-// Package duty has one of many gateways hold a duty for all, such as computing a table that
+// Package election has one of many gateways hold a duty for all, such as computing a table that
 // all use, with at most one of them at each instant: whatever is dropped, delayed, repeated
 // or cut, whoever crashes, stands still or starts anew. It is pure: time and messages come
 // in, messages go out; there is no I/O, no clock, no goroutine.
@@ -21,7 +21,7 @@
 //
 // Each holder has a term, higher than any that those promised to it knew of, so that what an
 // earlier one left behind is told from what the present one says.
-package duty
+package election
 
 import (
 	"hash/fnv"
--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/election/election_test.go
@@ -1,4 +1,4 @@
-package duty
+package election
 
 import (
 	"errors"
--- a/internal/fleet/duty/schedule_test.go
+++ b/internal/fleet/election/schedule_test.go
@@ -1,11 +1,11 @@
-package duty_test
+package election_test
 
 import (
 	"flag"
 	"testing"
 	"time"
 
-	"spokegw/internal/fleet/duty"
+	"spokegw/internal/fleet/election"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/lab/gateways"
 )
@@ -17,7 +17,7 @@
 
 // way has one gateway take part: whoever holds the duty may admit the whole quota, so that
 // two holders at once are over it.
-type way struct{ node *duty.Node }
+type way struct{ node *election.Node }
 
 // fleet makes ways, and has the latest of each gateway.
 type fleet map[string]way
@@ -31,7 +31,7 @@
 	for _, g := range plan {
 		names = append(names, g.Name)
 	}
-	f[name] = way{duty.NewNode(now, duty.Settings{Lease: set.Lease, Drift: set.Drift}, name, incarnation, names)}
+	f[name] = way{election.NewNode(now, election.Settings{Lease: set.Lease, Drift: set.Drift}, name, incarnation, names)}
 	return f[name]
 }
 
@@ -40,7 +40,7 @@
 }
 
 func (w way) Take(now time.Duration, body any) []gateways.Message {
-	out := body.(duty.Outgoing)
+	out := body.(election.Outgoing)
 	if out.Reply != nil {
 		w.node.HandleReply(now, *out.Reply)
 		return nil
@@ -49,10 +49,10 @@
 	if !ok {
 		return nil
 	}
-	return messages([]duty.Outgoing{reply})
+	return messages([]election.Outgoing{reply})
 }
 
-func messages(all []duty.Outgoing) (out []gateways.Message) {
+func messages(all []election.Outgoing) (out []gateways.Message) {
 	for _, o := range all {
 		out = append(out, gateways.Message{To: o.To, Body: o})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,7 +33,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"spokegw/internal/fleet/council"
+	"spokegw/internal/fleet/coordination"
 	"spokegw/internal/fleet/message"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/fleet/rank"
@@ -76,7 +76,7 @@
 
 // Pool is what the fleet's weights are of in this process.
 type Pool interface {
-	council.Observer
+	coordination.Observer
 	// SetFactors puts factors of the list's weights in force; what is not there has 1. nil:
 	// there are none, and each process goes by its own sight.
 	SetFactors(map[weights.ID]float64)
@@ -92,8 +92,8 @@
 	Gateways  []quota.Gateway
 	Addresses map[string]string // of gateways by name, that they are reached at from here
 	Contracts []Contract
-	Pool      Pool           // nil: the fleet decides on no weights
-	Sites     *council.Sites // nil: nor on sites, which it does with weights alone
+	Pool      Pool                // nil: the fleet decides on no weights
+	Sites     *coordination.Sites // nil: nor on sites, which it does with weights alone
 	quota.Settings
 }
 
@@ -101,7 +101,7 @@
 type Status struct {
 	Up        []string // gateways, by name
 	Contracts map[string]ContractStatus
-	Council   council.Status
+	Council   coordination.Status
 }
 
 // ContractStatus is where one contract stands here.
@@ -248,7 +248,7 @@
 // Reconfigure takes other gateways, parts, addresses and sites, among them this one's. What was given
 // under those before is counted to its end. Parts that grow may be used at once: those that
 // become less are to be in force everywhere before.
-func (f *Fleet) Reconfigure(gateways []quota.Gateway, addresses map[string]string, of *council.Sites) error {
+func (f *Fleet) Reconfigure(gateways []quota.Gateway, addresses map[string]string, of *coordination.Sites) error {
 	next := &plan{gateways, addresses}
 	part, known := next.part(f.config.Name)
 	if !known || len(gateways) > quota.MaxGateways {
--- a/internal/fleet/message/message.go
+++ b/internal/fleet/message/message.go
@@ -12,8 +12,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"spokegw/internal/fleet/council"
-	"spokegw/internal/fleet/duty"
+	"spokegw/internal/fleet/coordination"
+	"spokegw/internal/fleet/election"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/fleet/weights"
 )
@@ -38,7 +38,7 @@
 	Contract string // of Report or Reply
 	Report   *quota.Report
 	Reply    *quota.Reply
-	Council  council.Message
+	Council  coordination.Message
 }
 
 // body is a message on the wire. Numbers of fields are never used for anything else.
@@ -190,7 +190,7 @@
 }
 
 // setCouncil fills in a message of the council's; false: there is none.
-func (w *body) setCouncil(m *council.Message) bool {
+func (w *body) setCouncil(m *coordination.Message) bool {
 	switch {
 	case m.LeaderReport != nil:
 		r := m.LeaderReport
@@ -215,15 +215,15 @@
 }
 
 // council is the council's message; none of another kind.
-func (w *body) council() (m council.Message) {
+func (w *body) council() (m coordination.Message) {
 	if len(w.Packed) == 0 {
 		w.Packed = nil
 	}
 	switch w.Kind {
 	case dutyReport:
-		m.LeaderReport = &duty.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Vote: w.Promise, Term: duty.Term(w.Term)}
+		m.LeaderReport = &election.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Vote: w.Promise, Term: election.Term(w.Term)}
 	case dutyReply:
-		m.LeaderReply = &duty.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Term: duty.Term(w.Term), Leader: w.Holder, KnownIncarnation: w.Known}
+		m.LeaderReply = &election.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Term: election.Term(w.Term), Leader: w.Holder, KnownIncarnation: w.Known}
 	case weightsReport:
 		m.Report = &weights.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, Heartbeat: w.Beat, Part: w.Part, TableVersion: weights.Version{Term: w.Term, Seq: w.Number}, TableParts: w.Parts, Stats: w.Packed}
 	case weightsAnswer:
--- a/internal/fleet/message/message_test.go
+++ b/internal/fleet/message/message_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"spokegw/internal/fleet/council"
-	"spokegw/internal/fleet/duty"
+	"spokegw/internal/fleet/coordination"
+	"spokegw/internal/fleet/election"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/fleet/weights"
 )
@@ -20,12 +20,12 @@
 	{Contract: "c", Report: &quota.Report{From: "g1", Incarnation: 1 << 63, Seq: 1, To: "g1"}},
 	{Contract: "c", Reply: &quota.Reply{From: "g2", Incarnation: 9, Seq: 1 << 40, To: "g1", ToIncarnation: 7, Ack: 3, Grant: 4, GrantTTL: time.Second, LendTarget: 5, LoanInUse: 6}},
 	{Contract: "c", Reply: &quota.Reply{From: "g2", Incarnation: 9, To: "g1", ToIncarnation: 7, KnownIncarnation: 8}},
-	{Council: council.Message{LeaderReport: &duty.Report{From: "g1", Incarnation: 7, Seq: 3, To: "g2", ToIncarnation: 9, Ack: 2, Vote: true, Term: 1 << 40}}},
-	{Council: council.Message{LeaderReply: &duty.Reply{From: "g2", Incarnation: 9, Seq: 4, To: "g1", ToIncarnation: 7, Ack: 3, Term: 1 << 40, Leader: "g2"}}},
-	{Council: council.Message{Report: &weights.Report{From: "g1", To: "g2", Incarnation: 7, Heartbeat: 9, Seq: 3, Part: 2, TableVersion: weights.Version{Term: 5, Seq: 6}, TableParts: 3, Stats: []byte("sums")}}},
-	{Council: council.Message{Report: &weights.Report{From: "g1", To: "g2", Incarnation: 7, Heartbeat: 9, Seq: 3}}},
-	{Council: council.Message{Answer: &weights.Answer{From: "g2", To: "g1", ToIncarnation: 7, Heartbeat: 9, Seq: 3, Part: 2, Table: weights.Version{Term: 5, Seq: 6}, Index: 1, Parts: 4, Entries: []byte("factors")}}},
-	{Council: council.Message{Answer: &weights.Answer{From: "g2", To: "g1", ToIncarnation: 7, Heartbeat: 9, Seq: 3, Part: -1, Index: -1, Parts: 1}}},
+	{Council: coordination.Message{LeaderReport: &election.Report{From: "g1", Incarnation: 7, Seq: 3, To: "g2", ToIncarnation: 9, Ack: 2, Vote: true, Term: 1 << 40}}},
+	{Council: coordination.Message{LeaderReply: &election.Reply{From: "g2", Incarnation: 9, Seq: 4, To: "g1", ToIncarnation: 7, Ack: 3, Term: 1 << 40, Leader: "g2"}}},
+	{Council: coordination.Message{Report: &weights.Report{From: "g1", To: "g2", Incarnation: 7, Heartbeat: 9, Seq: 3, Part: 2, TableVersion: weights.Version{Term: 5, Seq: 6}, TableParts: 3, Stats: []byte("sums")}}},
+	{Council: coordination.Message{Report: &weights.Report{From: "g1", To: "g2", Incarnation: 7, Heartbeat: 9, Seq: 3}}},
+	{Council: coordination.Message{Answer: &weights.Answer{From: "g2", To: "g1", ToIncarnation: 7, Heartbeat: 9, Seq: 3, Part: 2, Table: weights.Version{Term: 5, Seq: 6}, Index: 1, Parts: 4, Entries: []byte("factors")}}},
+	{Council: coordination.Message{Answer: &weights.Answer{From: "g2", To: "g1", ToIncarnation: 7, Heartbeat: 9, Seq: 3, Part: -1, Index: -1, Parts: 1}}},
 }
 
 func TestRoundTrip(t *testing.T) {
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
-	"spokegw/internal/fleet/council"
-	"spokegw/internal/fleet/duty"
+	"spokegw/internal/fleet/coordination"
+	"spokegw/internal/fleet/election"
 	"spokegw/internal/fleet/message"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/fleet/rank"
@@ -23,17 +23,17 @@
 type table struct {
 	mu    rank.Mutex
 	queue chan message.Message
-	node  *council.Node // nil: the fleet decides on no weights
+	node  *coordination.Node // nil: the fleet decides on no weights
 	order order
-	was   council.Status // when it was last told
-	inUse bool           // factors are in force
-	hurt  bool           // a site is not met whole
+	was   coordination.Status // when it was last told
+	inUse bool                // factors are in force
+	hurt  bool                // a site is not met whole
 }
 
 func newTable(c *Config, incarnation uint64) *table {
 	t := &table{mu: rank.Mutex{Rank: rankCouncil, Name: "council"}, queue: make(chan message.Message, councilQueue)}
 	if c.Pool != nil {
-		t.node = council.NewNode(0, duty.Settings{Lease: c.Lease, Drift: c.Drift}, c.Name, incarnation, names(c.Gateways), c.Pool, c.Sites)
+		t.node = coordination.NewNode(0, election.Settings{Lease: c.Lease, Drift: c.Drift}, c.Name, incarnation, names(c.Gateways), c.Pool, c.Sites)
 	}
 	return t
 }
@@ -45,7 +45,7 @@
 	return all
 }
 
-func (f *Fleet) replaceTable(gateways []quota.Gateway, of *council.Sites) {
+func (f *Fleet) replaceTable(gateways []quota.Gateway, of *coordination.Sites) {
 	f.council.mu.Lock()
 	defer f.council.mu.Unlock()
 	if f.council.node != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (f *Fleet) tickCouncil() []council.Outgoing {
+func (f *Fleet) tickCouncil() []coordination.Outgoing {
 	t := f.council
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +80,7 @@
 	return out
 }
 
-func (f *Fleet) takeCouncil(m council.Message) []council.Outgoing {
+func (f *Fleet) takeCouncil(m coordination.Message) []coordination.Outgoing {
 	t := f.council
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,9 +124,9 @@
 }
 
 // sendCouncil sends what is to go out. Messages to this process itself are taken at once.
-func (f *Fleet) sendCouncil(out []council.Outgoing) {
+func (f *Fleet) sendCouncil(out []coordination.Outgoing) {
 	for len(out) > 0 {
-		var next []council.Outgoing // which ends: a report is answered, and an answer is not
+		var next []coordination.Outgoing // which ends: a report is answered, and an answer is not
 		for _, o := range out {
 			if o.To == f.config.Name {
 				next = append(next, f.takeCouncil(o.Message)...)
--- a/internal/fleet/weights/node.go
+++ b/internal/fleet/weights/node.go
@@ -20,7 +20,7 @@
 	Answer *Answer
 }
 
-// Leadership is what package duty knows at this gateway.
+// Leadership is what package election knows at this gateway.
 type Leadership struct {
 	Leader      string // "": nobody, as far as is known
 	Term        uint64 // the holder's
--- a/internal/fleet/weights/weights.go
+++ b/internal/fleet/weights/weights.go
@@ -3,7 +3,7 @@
 // messages go out; there is no I/O, no clock, no goroutine.
 //
 // Each gateway sums up what it sees of each endpoint (Reporter), and tells whoever holds the
-// duty (package duty) each sum once. The holder estimates what each endpoint can do
+// duty (package election) each sum once. The holder estimates what each endpoint can do
 // (Estimator), moves a table towards that in bounded steps (Assigner), and answers reports
 // with it. A member puts a table in force while it is fresh (Replica), and goes back to the
 // list's own weights in steps when it is not.
--- a/internal/lab/hardware/factors.go
+++ b/internal/lab/hardware/factors.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"spokegw/internal/fleet/council"
+	"spokegw/internal/fleet/coordination"
 	"spokegw/internal/fleet/weights"
 )
 
@@ -74,6 +74,6 @@
 }
 
 // Status is where a gateway stands.
-func (l *Lab) Status(gateway int) council.Status {
+func (l *Lab) Status(gateway int) coordination.Status {
 	return l.order[gateway].node.Status(l.Clock(l.Nodes[gateway]))
 }
--- a/internal/lab/hardware/gateway.go
+++ b/internal/lab/hardware/gateway.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"spokegw/internal/fleet/council"
-	"spokegw/internal/fleet/duty"
+	"spokegw/internal/fleet/coordination"
+	"spokegw/internal/fleet/election"
 	"spokegw/internal/fleet/message"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/fleet/sites"
@@ -18,7 +18,7 @@
 type gateway struct {
 	lab      *Lab
 	name     string
-	node     *council.Node
+	node     *coordination.Node
 	balancer *policy.Balancer
 	sums     []weights.Stats
 	sizes    map[weights.ID]float64
@@ -42,7 +42,7 @@
 	for _, p := range plan {
 		names = append(names, p.Name)
 	}
-	g.node = council.NewNode(now, duty.Settings{Lease: set.Lease, Drift: set.Drift}, name, incarnation, names, g, l.layout(names))
+	g.node = coordination.NewNode(now, election.Settings{Lease: set.Lease, Drift: set.Drift}, name, incarnation, names, g, l.layout(names))
 	g.balancer, g.contract = l.balancer(incarnation), l.newContract(now, set, name, incarnation, plan)
 	at := time.Duration(0)
 	if l.World != nil { // it is started again
@@ -134,7 +134,7 @@
 	if o, ok := body.(quota.Outgoing); ok {
 		return quotaMessages(g.contract.take(now, o))
 	}
-	out, _ := g.node.Handle(now, body.(council.Message))
+	out, _ := g.node.Handle(now, body.(coordination.Message))
 	return g.messages(out)
 }
 
@@ -145,7 +145,7 @@
 	return g.contract.enforce(now)
 }
 
-func (g *gateway) messages(all []council.Outgoing) (out []gateways.Message) {
+func (g *gateway) messages(all []coordination.Outgoing) (out []gateways.Message) {
 	for _, o := range all {
 		if b, err := message.Append(nil, message.Message{Council: o.Message}); err == nil && o.To != g.name {
 			g.lab.Bytes += len(b)
--- a/internal/lab/hardware/sites.go
+++ b/internal/lab/hardware/sites.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"spokegw/internal/fleet/council"
+	"spokegw/internal/fleet/coordination"
 	"spokegw/internal/fleet/sites"
 	"spokegw/internal/fleet/weights"
 	"spokegw/policy"
@@ -19,11 +19,11 @@
 )
 
 // layout is the fleet's sites: gateways are in them in turn.
-func (l *Lab) layout(names []string) *council.Sites {
+func (l *Lab) layout(names []string) *coordination.Sites {
 	if l.Way < Sites || len(l.SiteNames) == 0 {
 		return nil
 	}
-	s := &council.Sites{Settings: sites.DefaultSettings, Home: map[string]string{}, Near: map[string][]string{}}
+	s := &coordination.Sites{Settings: sites.DefaultSettings, Home: map[string]string{}, Near: map[string][]string{}}
 	for i, name := range names {
 		s.Home[name] = l.SiteNames[i%len(l.SiteNames)]
 	}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"spokegw/internal/fleet/council"
+	"spokegw/internal/fleet/coordination"
 	"spokegw/internal/fleet/message"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/fleet/sites"
@@ -148,11 +148,11 @@
 }
 
 // Sites are the fleet's; nil: it has none.
-func (f *Fleet) Sites() *council.Sites {
+func (f *Fleet) Sites() *coordination.Sites {
 	if len(f.Places) == 0 {
 		return nil
 	}
-	all := &council.Sites{Settings: f.Settings, Home: map[string]string{}, Near: map[string][]string{}}
+	all := &coordination.Sites{Settings: f.Settings, Home: map[string]string{}, Near: map[string][]string{}}
 	for _, s := range f.Places {
 		all.Near[s.Name] = s.Near
 	}
