--- a/internal/fleet/duty/schedule_test.go
+++ b/internal/fleet/election/schedule_test.go
@@ -1,11 +1,11 @@
-package duty_test
+package election_test
 
 import (
 	"flag"
 	"testing"
 	"time"
 
-	"spokegw/internal/fleet/duty"
+	"spokegw/internal/fleet/election"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/lab/gateways"
 )
@@ -17,7 +17,7 @@
 
 // way has one gateway take part: whoever holds the duty may admit the whole quota, so that
 // two holders at once are over it.
-type way struct{ node *duty.Node }
+type way struct{ node *election.Node }
 
 // fleet makes ways, and has the latest of each gateway.
 type fleet map[string]way
@@ -31,7 +31,7 @@
 	for _, g := range plan {
 		names = append(names, g.Name)
 	}
-	f[name] = way{duty.NewNode(now, duty.Settings{Lease: set.Lease, Drift: set.Drift}, name, incarnation, names)}
+	f[name] = way{election.NewNode(now, election.Settings{Lease: set.Lease, Drift: set.Drift}, name, incarnation, names)}
 	return f[name]
 }
 
@@ -40,19 +40,19 @@
 }
 
 func (w way) Take(now time.Duration, body any) []gateways.Message {
-	out := body.(duty.Out)
+	out := body.(election.Outgoing)
 	if out.Reply != nil {
-		w.node.Take(now, *out.Reply)
+		w.node.HandleReply(now, *out.Reply)
 		return nil
 	}
-	reply, ok := w.node.TakeReport(now, *out.Report)
+	reply, ok := w.node.HandleReport(now, *out.Report)
 	if !ok {
 		return nil
 	}
-	return messages([]duty.Out{reply})
+	return messages([]election.Outgoing{reply})
 }
 
-func messages(all []duty.Out) (out []gateways.Message) {
+func messages(all []election.Outgoing) (out []gateways.Message) {
 	for _, o := range all {
 		out = append(out, gateways.Message{To: o.To, Body: o})
 	}
@@ -60,10 +60,10 @@
 }
 
 func (w way) Limit(now time.Duration) quota.Limit {
-	if w.node.Holds(now) == 0 {
+	if w.node.LeaderTerm(now) == 0 {
 		return quota.Limit{}
 	}
-	return quota.Limit{Grant: quota.Whole, Until: w.node.HoldsUntil()}
+	return quota.Limit{Grant: quota.Whole, Until: w.node.LeaderUntil()}
 }
 
 // Whatever happens, at most one holds the duty; and when it is over one does again, whom
@@ -96,7 +96,7 @@
 		}
 		known := map[string]bool{}
 		for _, n := range w.Nodes {
-			holder, _ := f[n.Name].node.Holder(w.Clock(n))
+			holder, _ := f[n.Name].node.Leader(w.Clock(n))
 			known[holder] = true
 		}
 		if len(known) != 1 || known[""] {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"spokegw/internal/fleet/council"
+	"spokegw/internal/fleet/coordination"
 	"spokegw/internal/fleet/message"
 	"spokegw/internal/fleet/quota"
 	"spokegw/internal/fleet/sites"
@@ -56,7 +56,7 @@
 		Drift:  t.number("drift", 0.01, 0, 1),
 	}
 	f.Weights = get(t, "weights", "true or false", false)
-	f.Settings = sites.Settings{Utilisation: t.number("utilisation", sites.Usual.Utilisation, 0.1, 1), Floor: t.number("floor", sites.Usual.Floor, 0, 0.5)}
+	f.Settings = sites.Settings{Utilisation: t.number("utilisation", sites.DefaultSettings.Utilisation, 0.1, 1), Floor: t.number("floor", sites.DefaultSettings.Floor, 0, 0.5)}
 	for _, s := range t.tables("site", sites.MaxSites) {
 		f.Places = append(f.Places, FleetSite{Name: name(s), Near: s.texts("near", sites.MaxSites)})
 		s.end()
@@ -148,11 +148,11 @@
 }
 
 // Sites are the fleet's; nil: it has none.
-func (f *Fleet) Sites() *council.Sites {
+func (f *Fleet) Sites() *coordination.Sites {
 	if len(f.Places) == 0 {
 		return nil
 	}
-	all := &council.Sites{Settings: f.Settings, Home: map[string]string{}, Near: map[string][]string{}}
+	all := &coordination.Sites{Settings: f.Settings, Home: map[string]string{}, Near: map[string][]string{}}
 	for _, s := range f.Places {
 		all.Near[s.Name] = s.Near
 	}
@@ -198,7 +198,7 @@
 				part = p.Part
 			}
 		}
-		all = append(all, quota.Gateway{Name: g.Name, Partner: g.Partner, Part: quota.Of(part / float64(n))})
+		all = append(all, quota.Gateway{Name: g.Name, Partner: g.Partner, Part: quota.PartOf(part / float64(n))})
 	}
 	return all
 }
