--- a/internal/compact/compact.go
+++ b/internal/compact/compact.go
@@ -1,33 +1,33 @@
-// Package compact holds a table of values by a 64-bit key, for many small entries that
-// come and go: open addressing with linear probing over indexes of four bytes, and the
-// entries in one slab. It is beside a map of the same in bench/structures.
+// Package compact implements a hash table with 64-bit keys for many small short-lived
+// entries: open addressing with linear probing over four-byte indexes, and the entries
+// in one slab. bench/structures compares it with a map.
 //
-// An entry keeps its handle for as long as it is there, so that lists and timers
-// (internal/wheel) can name it. The slab holds no pointer if V holds none: the
-// collector has nothing to look at.
+// An entry keeps its handle while it exists, so that lists and timers (internal/wheel)
+// can refer to it. The slab holds no pointers if V holds none: the garbage collector
+// does not scan it.
 package compact
 
 import "math/bits"
 
-// Handle names an entry while it is there. Handles are small: the next that is free.
+// Handle identifies an entry while it exists. Handles are small: freed ones are reused.
 type Handle = uint32
 
-// None is no entry's handle.
+// None is a Handle that no entry has.
 const None = ^Handle(0)
 
 const (
-	firstSlots = 8
-	mixer      = 0x9E3779B97F4A7C15 // 2^64 divided by the golden ratio (Knuth, TAOCP 3, 6.4)
+	minSlots       = 8
+	hashMultiplier = 0x9E3779B97F4A7C15 // 2^64 divided by the golden ratio (Knuth, TAOCP 3, 6.4)
 )
 
-// Table is the table; its zero value is empty and ready. It is for one goroutine. What
-// bounds it is who puts entries in: it never drops one, and keeps its room.
+// Table is a hash table; its zero value is empty and ready to use. It is not for
+// concurrent use. It never drops an entry or releases memory: callers bound its size.
 //
-// Keys that many entries share a slot of make it slow. Where others choose keys, they
-// have to be hashed with a secret first.
+// Many keys with the same home slot make it slow. Keys chosen by others have to be
+// hashed with a secret first.
 type Table[V any] struct {
-	slots []uint32 // handle+1, at the key's slot or behind it; 0: free. A power of two
-	shift uint8    // from the mixed key's 64 bits to a slot
+	slots []uint32 // handle+1, at or after the key's home slot; 0: free. The length is a power of two
+	shift uint8    // reduces the mixed 64-bit key to a slot
 	slab  []entry[V]
 	free  []Handle
 }
@@ -37,21 +37,21 @@
 	value V
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (t *Table[V]) Len() int { return len(t.slab) - len(t.free) }
 
-// At is an entry's value, to be read and changed until the next FindOrInsert.
+// At returns an entry's value, to be read and changed until the next FindOrInsert.
 func (t *Table[V]) At(h Handle) *V { return &t.slab[h].value }
 
-// Key is an entry's key.
+// Key returns an entry's key.
 func (t *Table[V]) Key(h Handle) uint64 { return t.slab[h].key }
 
-// Find is the handle of a key's entry, None if there is none.
+// Find returns the handle of a key's entry, or None.
 func (t *Table[V]) Find(key uint64) Handle {
 	if len(t.slots) == 0 {
 		return None
 	}
-	for i := t.home(key); t.slots[i] != 0; i = t.after(i) {
+	for i := t.homeSlot(key); t.slots[i] != 0; i = t.nextSlot(i) {
 		if h := t.slots[i] - 1; t.slab[h].key == key {
 			return h
 		}
@@ -59,8 +59,8 @@
 	return None
 }
 
-// FindOrInsert is the handle of a key's entry, a fresh one of V's zero value if there was none.
-func (t *Table[V]) FindOrInsert(key uint64) (h Handle, fresh bool) {
+// FindOrInsert returns the handle of a key's entry, inserting the zero value if there is none.
+func (t *Table[V]) FindOrInsert(key uint64) (h Handle, inserted bool) {
 	if h = t.Find(key); h != None {
 		return h, false
 	}
@@ -73,20 +73,20 @@
 		h, t.slab = Handle(len(t.slab)), append(t.slab, entry[V]{})
 	}
 	t.slab[h].key = key
-	t.place(h)
+	t.insertSlot(h)
 	return h, true
 }
 
-// Remove takes an entry out. Its handle goes to another one.
+// Remove deletes an entry. Its handle will be reused.
 func (t *Table[V]) Remove(h Handle) {
-	i := t.home(t.slab[h].key)
+	i := t.homeSlot(t.slab[h].key)
 	for t.slots[i] != h+1 {
-		i = t.after(i)
+		i = t.nextSlot(i)
 	}
-	// What stands behind moves up, as far as its own slot: no mark of the removed is
-	// left for searches to step over (TAOCP 3, 6.4, algorithm R).
-	for j := t.after(i); t.slots[j] != 0; j = t.after(j) {
-		home := t.home(t.slab[t.slots[j]-1].key)
+	// The entries behind move up, at most to their home slot, so that no tombstones are
+	// needed (TAOCP 3, 6.4, algorithm R).
+	for j := t.nextSlot(i); t.slots[j] != 0; j = t.nextSlot(j) {
+		home := t.homeSlot(t.slab[t.slots[j]-1].key)
 		if t.distance(home, j) >= t.distance(i, j) {
 			t.slots[i] = t.slots[j]
 			i = j
@@ -97,28 +97,28 @@
 	t.free = append(t.free, h)
 }
 
-func (t *Table[V]) home(key uint64) int { return int(key * mixer >> t.shift) }
-func (t *Table[V]) after(i int) int     { return (i + 1) & (len(t.slots) - 1) }
+func (t *Table[V]) homeSlot(key uint64) int { return int(key * hashMultiplier >> t.shift) }
+func (t *Table[V]) nextSlot(i int) int      { return (i + 1) & (len(t.slots) - 1) }
 
-// distance is how many slots it is from one to another, going on.
+// distance returns the number of slots from one to another, with wrap-around.
 func (t *Table[V]) distance(from, to int) int { return (to - from) & (len(t.slots) - 1) }
 
-func (t *Table[V]) place(h Handle) {
-	i := t.home(t.slab[h].key)
+func (t *Table[V]) insertSlot(h Handle) {
+	i := t.homeSlot(t.slab[h].key)
 	for t.slots[i] != 0 {
-		i = t.after(i)
+		i = t.nextSlot(i)
 	}
 	t.slots[i] = h + 1
 }
 
-// grow doubles the slots. The free handles are those that no slot names.
+// grow doubles the slots. The free handles are those that no slot refers to.
 func (t *Table[V]) grow() {
 	old := t.slots
-	t.slots = make([]uint32, max(2*len(old), firstSlots))
+	t.slots = make([]uint32, max(2*len(old), minSlots))
 	t.shift = uint8(64 - bits.TrailingZeros(uint(len(t.slots))))
-	for _, named := range old {
-		if named != 0 {
-			t.place(named - 1)
+	for _, ref := range old {
+		if ref != 0 {
+			t.insertSlot(ref - 1)
 		}
 	}
 }
--- a/internal/compact/compact_test.go
+++ b/internal/compact/compact_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Beside a map: after any course each key has its value, at the handle it was given.
-// The keys share slots on purpose.
-func TestAgainstMap(t *testing.T) {
+// Compares the table with a map: after any sequence of operations each key has its value,
+// at its original handle. The keys are chosen to share slots.
+func TestTableMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
 		model, handles := map[uint64]int{}, map[uint64]Handle{}
@@ -17,9 +17,9 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				k, v := key.Draw(t, "key"), rapid.IntRange(1, 1000).Draw(t, "value")
-				h, fresh := table.FindOrInsert(k)
-				if _, known := model[k]; fresh == known || fresh && *table.At(h) != 0 {
-					t.Fatalf("key %d: fresh %v, value %d", k, fresh, *table.At(h))
+				h, inserted := table.FindOrInsert(k)
+				if _, known := model[k]; inserted == known || inserted && *table.At(h) != 0 {
+					t.Fatalf("key %d: inserted %v, value %d", k, inserted, *table.At(h))
 				}
 				*table.At(h), model[k], handles[k] = v, v, h
 			},
@@ -35,14 +35,14 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				seen := maps.Clone(model)
-				for k, v := range seen {
+				expected := maps.Clone(model)
+				for k, v := range expected {
 					if h := table.Find(k); h == None || h != handles[k] || *table.At(h) != v || table.Key(h) != k {
 						t.Fatalf("key %d: handle %d", k, h)
 					}
 				}
 				if table.Len() != len(model) {
-					t.Fatalf("%d entries, not %d", table.Len(), len(model))
+					t.Fatalf("%d entries, want %d", table.Len(), len(model))
 				}
 			},
 		})
--- a/internal/compact/rapid_test.go
+++ b/internal/compact/rapid_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The same verdict every time; another course is tried with -rapid.seed=N.
+// Fixed seed for reproducible results; others can be tried with -rapid.seed=N.
 func init() { flag.Set("rapid.seed", "1") }
