--- a/internal/discovery/age.go
+++ b/internal/discovery/age.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// MaxListAge is how old a list may be: what discovery had for longer, and could be had,
-// counts as notified.
+// MaxListAge is the maximum age of the list: a change that discovery has offered for
+// longer counts as notified.
 const MaxListAge = 6 * time.Second
 
-// clockStart is what ages are counted from: the clock of the day may be set meanwhile.
-var clockStart = time.Now()
+// epoch is the reference for ages, which must not depend on changes of the wall clock.
+var epoch = time.Now()
 
-// Counts are the calls of a watcher by their outcome. A late one counts again as it ends.
-type Counts struct{ answered, failed, late atomic.Uint64 }
+// Counts are the calls of a watcher by outcome. An overdue call counts again when it ends.
+type Counts struct{ answered, failed, overdue atomic.Uint64 }
 
-// Calls are the calls that were answered, that failed, and whose answer was late.
-func (w *Watcher) Calls() (answered, failed, late uint64) {
-	return w.counts.answered.Load(), w.counts.failed.Load(), w.counts.late.Load()
+// Calls returns the numbers of calls that were answered, failed, or became overdue.
+func (w *Watcher) Calls() (answered, failed, overdue uint64) {
+	return w.counts.answered.Load(), w.counts.failed.Load(), w.counts.overdue.Load()
 }
 
-// lastCurrent is when the list was last known to be current; zero: it never was.
+// lastCurrent returns when the list was last known to be current; zero: never.
 func (w *Watcher) lastCurrent() time.Time {
-	at := w.current.Load()
+	at := w.currentAt.Load()
 	if at == 0 {
 		return time.Time{}
 	}
-	return clockStart.Add(time.Duration(at))
+	return epoch.Add(time.Duration(at))
 }
 
-// SinceCurrent is how long ago the list was last known to be current, before what is told just
-// now; 0: it never was.
+// SinceCurrent returns how long ago the list was last known to be current, not counting
+// the update being delivered; 0: never.
 func (w *Watcher) SinceCurrent() time.Duration {
-	if w.current.Load() == 0 {
+	if w.currentAt.Load() == 0 {
 		return 0
 	}
 	return w.Age()
 }
 
-// Age is how long ago the list was last known to be current; of one that never was, how
+// Age returns how long ago the list was last known to be current or, if it never was, how
 // long the process has run.
 func (w *Watcher) Age() time.Duration {
-	return time.Since(clockStart) - time.Duration(w.current.Load())
+	return time.Since(epoch) - time.Duration(w.currentAt.Load())
 }
--- a/internal/discovery/collect_test.go
+++ b/internal/discovery/collect_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// indented is a list of n endpoints as a registry may write it: over many lines.
+// indented returns a list of n endpoints over many lines, as a registry may write it.
 func indented(n int) []byte {
 	list := map[string]any{"version": 9, "full": true}
 	var servers []Entry
@@ -18,18 +18,18 @@
 		servers = append(servers, Entry{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", State: "leaving", Weight: 1})
 	}
 	list["servers"] = servers
-	text, _ := json.MarshalIndent(list, "\t", "    ") // of plain values
+	text, _ := json.MarshalIndent(list, "\t", "    ") // plain values always marshal
 	return append(text, "\n\n"...)
 }
 
-// An indented list comes in pieces of a few bytes, cut anywhere, and never pauses for
-// long. What is written counts as told: each entry is known 100 ms after its last byte,
-// and not when the list ends, seconds later.
-func TestListInSmallPieces(t *testing.T) {
+// An indented list arrives in pieces of a few bytes, cut anywhere, without long pauses.
+// What is written counts as notified: each entry is known 100 ms after its last byte,
+// not at the end of the list seconds later.
+func TestCollectSmallPieces(t *testing.T) {
 	const entries, piece, every = 100, 7, 2 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe()
-		var written []time.Time // when the last byte of each entry was; the writer's until it has ended
+		var written []time.Time // time of the last byte of each entry; owned by the writer until it has ended
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -43,28 +43,28 @@
 			}
 			w.Close()
 		}()
-		told := map[string]time.Time{}
-		begun := time.Now()
-		list, err := collect(r, func(some []Entry) {
-			for _, e := range some {
-				told[e.ID] = time.Now()
+		reported := map[string]time.Time{}
+		start := time.Now()
+		list, err := collect(r, func(part []Entry) {
+			for _, e := range part {
+				reported[e.ID] = time.Now()
 			}
 		})
 		if err != nil || len(list.Servers) != entries || list.Version != 9 || !list.Full {
 			t.Fatalf("version %d, full %t, %d entries: %v", list.Version, list.Full, len(list.Servers), err)
 		}
-		whole := time.Now()
+		end := time.Now()
 		<-ended
-		late := time.Duration(0)
+		delay := time.Duration(0)
 		for i, e := range list.Servers {
-			at, early := told[e.ID]
+			at, early := reported[e.ID]
 			if !early {
-				at = whole
+				at = end
 			}
-			late = max(late, at.Sub(written[i]))
+			delay = max(delay, at.Sub(written[i]))
 		}
-		if took := whole.Sub(begun); took < 2*time.Second || late > entryGap+10*time.Millisecond {
-			t.Errorf("of a list that took %v an entry was known only after %v", took, late)
+		if took := end.Sub(start); took < 2*time.Second || delay > entryFlushDelay+10*time.Millisecond {
+			t.Errorf("the list took %v, and an entry was known only after %v", took, delay)
 		}
 	})
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery asks the registry for the endpoints: the whole list, or a
-// watch on what changes.
+// Package discovery gets the endpoints from the registry: the whole list, or a
+// watch on changes.
 package discovery
 
 import (
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Entry is one endpoint as the registry lists it.
+// Entry is an endpoint as listed by the registry.
 type Entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -30,7 +30,7 @@
 	Labels    Labels  `json:"labels,omitempty"`
 }
 
-// Labels are what an installation's own registry says more of an endpoint.
+// Labels are additional properties of an endpoint from an installation's own registry.
 type Labels map[string]string
 
 const (
@@ -38,12 +38,12 @@
 	maxLabelBytes = 128
 )
 
-// UnmarshalJSON reads labels. What are none, or too many or too long, are left out: a
-// list is worth more than they are.
+// UnmarshalJSON reads labels. Invalid, surplus or too long ones are dropped, as the
+// list matters more.
 func (l *Labels) UnmarshalJSON(text []byte) error {
 	var raw map[string]any
 	if json.Unmarshal(text, &raw) != nil {
-		return nil // it is JSON, but not of this form
+		return nil // valid JSON, but not an object
 	}
 	for _, name := range slices.Sorted(maps.Keys(raw)) {
 		value, ok := raw[name].(string)
@@ -66,24 +66,24 @@
 }
 
 const (
-	// What a registry gone wrong can make us hold, of memory that may be 32 MB in all.
-	maxAnswer  = 2 << 20 // bytes
-	maxHead    = 16 << 10
-	maxEntries = 1 << 12
-	pieceGap   = time.Second            // an answer that pauses for longer has broken off
-	entryGap   = 100 * time.Millisecond // entries that came whole are told when the rest takes longer
+	// Limits on the memory that a faulty registry can make us use, of 32 MB in all.
+	maxAnswerBytes    = 2 << 20
+	maxHeadBytes      = 16 << 10
+	maxEntries        = 1 << 12
+	answerIdleTimeout = time.Second            // timeout for an answer that pauses
+	entryFlushDelay   = 100 * time.Millisecond // delay after which whole entries are reported before the remaining list
 )
 
-// Decode reads a list. On an error it returns the entries that came whole.
+// Decode reads a list. On an error it returns the entries before the error.
 func Decode(r io.Reader) (List, error) {
 	var list List
 	err := decode(r, &list, func(e Entry) { list.Servers = append(list.Servers, e) })
 	return list, err
 }
 
-// decode reads a list and hands out every entry as soon as it is whole: an
-// answer may stop at any byte, and what came before that is true.
-func decode(r io.Reader, list *List, each func(Entry)) error {
+// decode reads a list and emits each entry as soon as it is complete: an answer may
+// be truncated at any byte, and the entries before that are valid.
+func decode(r io.Reader, list *List, emit func(Entry)) error {
 	dec := json.NewDecoder(r)
 	if err := expect(dec, '{'); err != nil {
 		return err
@@ -99,7 +99,7 @@
 		case "full":
 			err = dec.Decode(&list.Full)
 		case "servers":
-			err = decodeEntries(dec, each)
+			err = decodeEntries(dec, emit)
 		default:
 			var skipped json.RawMessage
 			err = dec.Decode(&skipped)
@@ -111,7 +111,7 @@
 	return expect(dec, '}')
 }
 
-func decodeEntries(dec *json.Decoder, each func(Entry)) error {
+func decodeEntries(dec *json.Decoder, emit func(Entry)) error {
 	if err := expect(dec, '['); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 			return fmt.Errorf("more than %d entries", maxEntries)
 		}
 		if e.ID != "" {
-			each(e)
+			emit(e)
 		}
 	}
 	return expect(dec, ']')
@@ -136,7 +136,7 @@
 		return io.ErrUnexpectedEOF
 	}
 	if err == nil && got != want {
-		return fmt.Errorf("%v in place of %v", got, want)
+		return fmt.Errorf("found %v, expected %v", got, want)
 	}
 	return err
 }
@@ -156,46 +156,46 @@
 			DialContext:     (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
 			MaxConnsPerHost: maxCalls,
 
-			MaxResponseHeaderBytes: maxHead,
+			MaxResponseHeaderBytes: maxHeadBytes,
 			DisableCompression:     true,
 		}},
 	}
 }
 
-// CloseIdle closes the connection kept for the next call. After a failure a
-// new one is wanted: the old may be one on which nothing comes any more.
+// CloseIdle closes the connection kept for the next call. After a failure a new
+// connection is needed: the old one may be dead.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
-// request is a call, and what is told while it is out.
+// request is a call and its callbacks.
 type request struct {
-	whole          bool          // the whole list is asked for, whatever since is
-	since          int64         // what is newer is asked for
-	wait, patience time.Duration // that the call may wait for something newer, and the answer take to begin after that
-	giveUp         time.Duration // with nothing coming, after which the call is ended, from when it is late
-	late           func()        // is called when the answer is late, maybe more than once
-	early          func([]Entry) // gets entries whose answer takes its time; the list returned holds them all again
+	full                bool          // ask for the whole list, regardless of since
+	since               int64         // ask for what is newer than this version
+	wait, answerTimeout time.Duration // long-poll time for something newer, and time for the answer to begin after that
+	abandonAfter        time.Duration // silence after which an overdue call is abandoned
+	onOverdue           func()        // called when the answer is overdue, maybe more than once
+	onEntries           func([]Entry) // gets the entries of a slow answer; the returned list contains them again
 }
 
 func (r *request) url(base string) string {
-	if r.whole {
+	if r.full {
 		return base
 	}
 	query := url.Values{"since": {strconv.FormatInt(r.since, 10)}, "timeout_ms": {strconv.FormatInt(r.wait.Milliseconds(), 10)}}
 	return base + "?" + query.Encode()
 }
 
-// call asks for the list, or what is newer. On an error the list holds the entries that
-// came whole.
+// call asks for the list, or for what is newer. On an error the list holds the entries
+// before the error.
 func (c *Client) call(ctx context.Context, r request) (List, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	late := newSilence(r.wait+r.patience, r.late)
-	defer late.stop()
-	over := newSilence(r.wait+r.patience+r.giveUp, func() { cancel(errSilent) })
-	defer over.stop()
-	moved := func() {
-		late.allow(pieceGap)
-		over.allow(pieceGap + r.giveUp)
+	overdueTimer := newIdleTimer(r.wait+r.answerTimeout, r.onOverdue)
+	defer overdueTimer.stop()
+	abandonTimer := newIdleTimer(r.wait+r.answerTimeout+r.abandonAfter, func() { cancel(errTimeout) })
+	defer abandonTimer.stop()
+	extend := func() {
+		overdueTimer.extend(answerIdleTimeout)
+		abandonTimer.extend(answerIdleTimeout + r.abandonAfter)
 	}
 
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url(c.base), nil)
@@ -204,26 +204,26 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return List{}, cause(ctx, err)
+		return List{}, preferCause(ctx, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return List{}, fmt.Errorf("%w: %d", errRefused, resp.StatusCode)
+		return List{}, fmt.Errorf("%w: %d", errStatus, resp.StatusCode)
 	}
-	moved()
-	list, err := collect(progress{io.LimitReader(resp.Body, maxAnswer), moved}, r.early)
-	return list, cause(ctx, err)
+	extend()
+	list, err := collect(progressReader{io.LimitReader(resp.Body, maxAnswerBytes), extend}, r.onEntries)
+	return list, preferCause(ctx, err)
 }
 
-// collect reads an answer to its end, so that its connection can be used again. Entries
-// are given to early once the first of them has waited for entryGap: they are told when
-// they are written, and the rest may come as slowly as it likes, a piece at a time. A
-// gap counted from the latest entry would hold a list back that never pauses.
-func collect(body io.Reader, early func([]Entry)) (List, error) {
+// collect reads an answer to its end, so that its connection can be reused. Entries are
+// passed to onEntries once the first of them has waited for entryFlushDelay: they count as
+// notified when they are written, however slowly the remaining list arrives. A delay
+// from the latest entry would hold back a list that never pauses.
+func collect(body io.Reader, onEntries func([]Entry)) (List, error) {
 	var list List
 	entries := make(chan Entry)
 	done := make(chan error, 1)
-	go func() { // it ends with the body, which the caller closes or lets end
+	go func() { // ends with the body, which the caller closes or whose call times out
 		err := decode(body, &list, func(e Entry) { entries <- e })
 		if err == nil {
 			_, err = io.Copy(io.Discard, body)
@@ -232,9 +232,9 @@
 		done <- err
 	}()
 	var got []Entry
-	told := 0
-	gap := time.NewTimer(entryGap)
-	defer gap.Stop()
+	reported := 0
+	flush := time.NewTimer(entryFlushDelay)
+	defer flush.Stop()
 	for {
 		select {
 		case e, more := <-entries:
@@ -243,37 +243,37 @@
 				list.Servers = got
 				return list, err
 			}
-			if told == len(got) {
-				gap.Reset(entryGap)
+			if reported == len(got) {
+				flush.Reset(entryFlushDelay)
 			}
 			got = append(got, e)
-		case <-gap.C:
-			if told < len(got) {
-				early(got[told:])
-				told = len(got)
+		case <-flush.C:
+			if reported < len(got) {
+				onEntries(got[reported:])
+				reported = len(got)
 			}
 		}
 	}
 }
 
-// cause prefers the reason for which ctx was ended to the error it led to.
-func cause(ctx context.Context, err error) error {
+// preferCause returns the cause of ctx's cancellation in place of the error it led to.
+func preferCause(ctx context.Context, err error) error {
 	if err != nil && ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	return err
 }
 
-// progress calls moved whenever something was read.
-type progress struct {
+// progressReader calls onRead whenever it has read something.
+type progressReader struct {
 	io.Reader
-	moved func()
+	onRead func()
 }
 
-func (p progress) Read(b []byte) (int, error) {
+func (p progressReader) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
 	if n > 0 {
-		p.moved()
+		p.onRead()
 	}
 	return n, err
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A registry gone wrong can't make the sidecar hold more than it has room for;
-// what came whole before that is kept.
+// A faulty registry can't make the sidecar exceed its memory limits; the entries before
+// the error are kept.
 func TestBounds(t *testing.T) {
 	entry := func(i int, zone string) string {
 		return fmt.Sprintf(`{"id":"s%d","zone":%q,"state":"active"}`, i, zone)
@@ -34,9 +34,9 @@
 	}{
 		"usual":           {"", list(64, "a"), false},
 		"too many":        {"", list(maxEntries+1, "a"), true},
-		"too many bytes":  {"", list(4, strings.Repeat("x", maxAnswer/3)), true},
+		"too many bytes":  {"", list(4, strings.Repeat("x", maxAnswerBytes/3)), true},
 		"one long string": {"", list(1, strings.Repeat("x", 4<<20)), true},
-		"a long head":     {strings.Repeat("x", 2*maxHead), list(1, "a"), true},
+		"long head":       {strings.Repeat("x", 2*maxHeadBytes), list(1, "a"), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,7 +46,7 @@
 			defer s.Close()
 			client := NewClient(s.Listener.Addr().String())
 			defer client.CloseIdle()
-			got, err := client.call(context.Background(), request{whole: true, patience: 20 * time.Second, giveUp: time.Second, late: func() {}, early: func([]Entry) {}})
+			got, err := client.call(context.Background(), request{full: true, answerTimeout: 20 * time.Second, abandonAfter: time.Second, onOverdue: func() {}, onEntries: func([]Entry) {}})
 			if (err != nil) != c.fails || len(got.Servers) > maxEntries {
 				t.Errorf("%d entries, error %v", len(got.Servers), err)
 			}
--- a/internal/discovery/idle_timer.go
+++ b/internal/discovery/idle_timer.go
@@ -9,58 +9,58 @@
 )
 
 var (
-	errRefused = errors.New("discovery refused a call")
-	errSilent  = errors.New("discovery is silent")
-	errLate    = errors.New("discovery is late with an answer")
-	errPanic   = errors.New("a panic in a call")
+	errStatus  = errors.New("unexpected status from discovery")
+	errTimeout = errors.New("discovery call timed out")
+	errOverdue = errors.New("discovery call is overdue")
+	errPanic   = errors.New("panic in a discovery call")
 )
 
-// readAfterStall is the time that reading what came during a stall may take. What discovery
-// has written counts as told, also where this process could not read it.
+// readAfterStall is the time allowed for reading what arrived during a process stall. What
+// discovery has written counts as notified, even if this process could not read it.
 const readAfterStall = 100 * time.Millisecond
 
-// silence ends a call on which nothing has come for as long as it may.
-type silence struct {
-	end func()
+// idleTimer expires when nothing has arrived on a call for too long.
+type idleTimer struct {
+	onExpire func()
 
-	mu    sync.Mutex
-	due   time.Time
-	timer *time.Timer
+	mu       sync.Mutex
+	deadline time.Time
+	timer    *time.Timer
 }
 
-func newSilence(patience time.Duration, end func()) *silence {
-	s := &silence{end: end, due: time.Now().Add(patience)}
-	s.mu.Lock() // the timer may go off before it is noted
-	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(patience, s.ring)
-	return s
+func newIdleTimer(timeout time.Duration, onExpire func()) *idleTimer {
+	t := &idleTimer{onExpire: onExpire, deadline: time.Now().Add(timeout)}
+	t.mu.Lock() // the timer may fire before the field is set
+	defer t.mu.Unlock()
+	t.timer = time.AfterFunc(timeout, t.fire)
+	return t
 }
 
-// allow has the call end so long after now, unless something comes before.
-func (s *silence) allow(patience time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.wait(patience)
+// extend makes the timer expire after timeout, unless it is extended again.
+func (t *idleTimer) extend(timeout time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.reset(timeout)
 }
 
-func (s *silence) wait(patience time.Duration) {
-	s.due = time.Now().Add(patience)
-	s.timer.Reset(patience)
+func (t *idleTimer) reset(timeout time.Duration) {
+	t.deadline = time.Now().Add(timeout)
+	t.timer.Reset(timeout)
 }
 
-func (s *silence) stop() { s.timer.Stop() }
+func (t *idleTimer) stop() { t.timer.Stop() }
 
-// ring ends the call if nothing has come. After a stall that is known only once what
-// waits has been read.
-func (s *silence) ring() {
-	s.mu.Lock()
-	late := time.Since(s.due)
-	stalled := stall.Detected(late)
+// fire expires the timer if nothing has arrived. After a stall that is known only once the
+// pending data has been read.
+func (t *idleTimer) fire() {
+	t.mu.Lock()
+	overdue := time.Since(t.deadline)
+	stalled := stall.Detected(overdue)
 	if stalled {
-		s.wait(readAfterStall)
+		t.reset(readAfterStall)
 	}
-	s.mu.Unlock()
-	if late >= 0 && !stalled {
-		s.end()
+	t.mu.Unlock()
+	if overdue >= 0 && !stalled {
+		t.onExpire()
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,47 +11,47 @@
 	"time"
 )
 
-type members struct {
-	lists chan []Entry
-	fails chan struct{}
+type testHandler struct {
+	lists    chan []Entry
+	failures chan struct{}
 }
 
-func newMembers() members {
-	return members{make(chan []Entry, 64), make(chan struct{}, 64)}
+func newTestHandler() testHandler {
+	return testHandler{make(chan []Entry, 64), make(chan struct{}, 64)}
 }
 
-func (m members) EndpointsUpdated(entries []Entry, _ bool) {
+func (h testHandler) EndpointsUpdated(entries []Entry, _ bool) {
 	select {
-	case m.lists <- entries:
+	case h.lists <- entries:
 	default:
 	}
 }
 
-func (m members) DiscoveryLost(time.Time, bool) {
+func (h testHandler) DiscoveryLost(time.Time, bool) {
 	select {
-	case m.fails <- struct{}{}:
+	case h.failures <- struct{}{}:
 	default:
 	}
 }
 
-// A sidecar that knows a list asks for what is newer, also of the very first version:
-// a fleet that starts together and asks for whole lists keeps the registry busy for so
-// long that it turns all calls away, and nobody hears of a release.
-func TestFirstCallOfAWatch(t *testing.T) {
+// A sidecar that knows a list asks for newer changes, also if it is the first version. A fleet
+// that starts together and asks for whole lists keeps the registry so busy that it refuses
+// all calls, and no sidecar is notified of a release.
+func TestFirstCallVersion(t *testing.T) {
 	for name, c := range map[string]struct {
 		version int64
 		known   bool
 		since   string
 	}{
-		"knows nothing":           {0, false, ""},
-		"knows the first version": {0, true, "0"},
-		"knows a later one":       {41, true, "41"},
+		"no version known":    {0, false, ""},
+		"first version known": {0, true, "0"},
+		"later version known": {41, true, "41"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan string, 16)
+			queries := make(chan string, 16)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				select {
-				case asked <- r.URL.Query().Get("since"):
+				case queries <- r.URL.Query().Get("since"):
 				default:
 				}
 				fmt.Fprint(w, `{"version":42,"full":false,"servers":[]}`)
@@ -59,17 +59,17 @@
 			defer s.Close()
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan struct{})
-			w := NewWatcher(s.Listener.Addr().String(), c.version, c.known, newMembers())
+			w := NewWatcher(s.Listener.Addr().String(), c.version, c.known, newTestHandler())
 			go func() { w.Run(ctx, OnDemand); close(done) }()
 			w.Subscribe()
 			for _, want := range []string{c.since, "42"} {
 				select {
-				case got := <-asked:
+				case got := <-queries:
 					if got != want {
-						t.Errorf("the call asked for what is newer than %q, not %q", got, want)
+						t.Errorf("the call asked for changes since %q, want %q", got, want)
 					}
 				case <-time.After(10 * time.Second):
-					t.Fatal("no call came")
+					t.Fatal("no call within 10 s")
 				}
 			}
 			stop()
@@ -78,24 +78,24 @@
 	}
 }
 
-// What discovery sends when it is down: an error, noise, a list that breaks off. What
-// came whole of it is true and told as a part; each counts as a failed call; and the
-// truth is asked for by the version that is known for sure.
-func TestWatchThroughNoise(t *testing.T) {
+// Discovery sends an error, noise or a truncated list. Complete entries are passed on as
+// changes, each such answer counts as a failed call, and the next call asks by the
+// latest version that was received completely.
+func TestWatchWithInvalidAnswers(t *testing.T) {
 	entry := func(id string) string { return `{"id":"` + id + `","addr":"127.0.0.1:1","state":"active"}` }
 	answers := []string{
-		"", // 503
+		"", // status 503
 		"\x00\xff\x17 no list \x80",
 		`{"version":99,"full":true,"servers":[` + entry("a") + `,` + entry("b") + `,{"id":"c","ad`,
 		`[]`,
 		`{"version":7,"full":true,"servers":[` + entry("a") + `]}`,
 	}
-	asked := make(chan string, 64)
+	queries := make(chan string, 64)
 	var calls atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := int(calls.Add(1)) - 1
 		select {
-		case asked <- r.URL.Query().Get("since"):
+		case queries <- r.URL.Query().Get("since"):
 		default:
 		}
 		switch {
@@ -111,29 +111,29 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	m := newMembers()
-	w := NewWatcher(s.Listener.Addr().String(), 3, true, m)
+	h := newTestHandler()
+	w := NewWatcher(s.Listener.Addr().String(), 3, true, h)
 	go func() { w.Run(ctx, OnDemand); close(done) }()
 	for i := range answers {
 		w.Subscribe()
-		if since := await(t, asked); since != "3" {
-			t.Errorf("call %d asked for what is newer than %q", i, since)
+		if since := await(t, queries); since != "3" {
+			t.Errorf("call %d asked for changes since %q", i, since)
 		}
 		if i == 2 {
-			for told := ""; told != "ab"; { // maybe more than once
-				for _, e := range await(t, m.lists) {
-					if !strings.Contains(told, e.ID) {
-						told += e.ID
+			for reported := ""; reported != "ab"; { // entries may be reported more than once
+				for _, e := range await(t, h.lists) {
+					if !strings.Contains(reported, e.ID) {
+						reported += e.ID
 					}
 				}
 			}
 		}
 		if i < len(answers)-1 {
-			await(t, m.fails)
+			await(t, h.failures)
 		}
 	}
-	if since := await(t, asked); since != "7" {
-		t.Errorf("after the truth the call asked for what is newer than %q", since)
+	if since := await(t, queries); since != "7" {
+		t.Errorf("after a valid list the call asked for changes since %q", since)
 	}
 	stop()
 	<-done
@@ -144,7 +144,7 @@
 	select {
 	case got = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatal("waited in vain")
+		t.Fatal("nothing received within 10 s")
 	}
 	return got
 }
