--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -9,12 +9,12 @@
 	"spokegw/policy"
 )
 
-// readHead reads the head of the answer, past those of 1xx answers.
+// readHead reads the head of the answer and skips 1xx answers before it.
 func (c *conn) readHead() (framing.Answer, error) {
 	if _, err := c.r.Peek(1); err != nil {
 		return framing.Answer{}, err
 	}
-	c.clock.begin()
+	c.timer.begin()
 	for range maxInterim {
 		text, err := c.peekHead()
 		if err != nil {
@@ -24,7 +24,7 @@
 		if err != nil {
 			return a, err
 		}
-		c.r.Discard(len(text)) // they are there
+		c.r.Discard(len(text)) // already buffered
 		if a.Status >= 200 {
 			return a, nil
 		}
@@ -32,46 +32,46 @@
 			break
 		}
 	}
-	return framing.Answer{}, errInterim
+	return framing.Answer{}, errInvalidInterim
 }
 
-// peekHead waits until a whole head stands in the reader's buffer. What can't
-// be one is seen as early as may be: the connection of such an answer stays
-// open, and waiting for the rest of it would use up the request's time.
+// peekHead waits until the reader's buffer holds a whole head. Bytes that can't be a
+// head are rejected as early as possible: such a connection stays open, and waiting
+// for more would use up the request's time.
 func (c *conn) peekHead() ([]byte, error) {
-	const start = "HTTP/1."
+	const prefix = "HTTP/1."
 	for n := 1; n <= framing.MaxHead; n = c.r.Buffered() + 1 {
 		if _, err := c.r.Peek(n); err != nil {
 			return nil, err
 		}
 		text, _ := c.r.Peek(c.r.Buffered())
-		if k := min(len(text), len(start)); string(text[:k]) != start[:k] {
-			return nil, errHead
+		if k := min(len(text), len(prefix)); string(text[:k]) != prefix[:k] {
+			return nil, errInvalidHead
 		}
 		if end := framing.End(text); end > 0 {
 			return text[:end], nil
 		}
 	}
-	return nil, errHead
+	return nil, errInvalidHead
 }
 
-// endTold reports whether an answer without a length says that its end is that
-// of the connection. Where it does not say so, one that was spoilt on its way
-// would look the same; and one that ends by a reset is not whole in any case.
-func endTold(head *framing.Answer) bool { return head.Minor == 0 || head.Close }
+// declaresClose reports whether an answer without a length declares that it ends with
+// the connection. Without that declaration an answer corrupted in transit would look
+// the same. An answer that ends with a reset is never complete.
+func declaresClose(head *framing.Answer) bool { return head.Minor == 0 || head.Close }
 
-// readAnswer reads an answer: whole, or up to where its stream begins. It
-// reports whether the connection may be kept after it.
-func (c *conn) readAnswer(t *try) (a Answer, keep bool, err error) {
+// readAnswer reads an answer, whole or up to the start of its stream. It reports
+// whether the connection can be kept afterwards.
+func (c *conn) readAnswer(t *transaction) (a Answer, keep bool, err error) {
 	head, err := c.readHead()
 	defer func() {
-		switch inTime := c.clock.whole(); {
+		switch inTime := c.timer.complete(); {
 		case inTime || err != nil:
 		case a.Stream != nil:
 			a.Free()
-			err = errStopped
+			err = errStalled
 		default:
-			keep = false // it has been ended as it came whole
+			keep = false // the attempt was cancelled just as the answer became complete
 		}
 	}()
 	if err != nil {
@@ -89,43 +89,43 @@
 	if t.req.headOnly {
 		return a, !head.Ends, nil
 	}
-	toEnd := head.Length < 0 && !head.Chunked // as long as the connection
+	untilClose := head.Length < 0 && !head.Chunked // until the connection closes
 	switch {
-	case a.Result != policy.Served && (toEnd || head.Length > maxBody):
-		return a, false, nil // of an error the head has told all there is to know
-	case head.Length > MaxStreamBytes, toEnd && !endTold(&head):
-		return a, false, errBody
+	case a.Result != policy.Served && (untilClose || head.Length > maxBufferedBody):
+		return a, false, nil // the head of an error holds all that is needed
+	case head.Length > MaxStreamBytes, untilClose && !declaresClose(&head):
+		return a, false, errInvalidLength
 	}
-	body := c.bodyOf(&head)
-	whole, err := readBody(&a, body, &c.clock)
+	body := c.newBody(&head)
+	complete, err := readBody(&a, body, &c.timer)
 	switch {
 	case err != nil && a.Result != policy.Served:
 		return a, false, nil
 	case err != nil:
 		return a, false, err
-	case whole: // What stands behind an answer is nobody's: the caller finds it and
-		// gives the connection up. That the length told is too short, and this
-		// answer so not whole, would look the same; it has not been seen.
+	case complete: // Bytes after the answer belong to no request: the caller finds them and
+		// closes the connection. A stated length that is too short, so that the answer
+		// is incomplete, would look the same; it has not been observed.
 		return a, !head.Ends, nil
 	case a.Result != policy.Served:
-		return a, false, nil // an error that goes on
+		return a, false, nil // an error with a long body
 	case t.stream == nil:
-		return a, false, errBody
+		return a, false, errInvalidLength
 	}
-	return a, false, c.startStream(t.end, &a, body, !head.Ends)
+	return a, false, c.startAnswerStream(t.cancellation, &a, body, !head.Ends)
 }
 
-// readBody reads a body whole, or of a long one what there is of its beginning.
-func readBody(a *Answer, body io.Reader, k *clock) (whole bool, err error) {
-	begun, limit := time.Now(), int64(maxBody)+1
+// readBody reads a short body whole, and the beginning of a long one.
+func readBody(a *Answer, body io.Reader, timer *attemptTimer) (complete bool, err error) {
+	start, limit := time.Now(), int64(maxBufferedBody)+1
 	size := min(int64(4<<10), limit)
 	if a.Length >= 0 {
 		size = a.Length
-		if a.Length > maxBody {
-			limit, size = 4<<10, 4<<10 // enough to know that it comes
+		if a.Length > maxBufferedBody {
+			limit, size = 4<<10, 4<<10 // enough to know that the body arrives
 		}
 	}
-	a.Body = a.room(size)
+	a.Body = a.newBuffer(size)
 	for {
 		if a.Length >= 0 && int64(len(a.Body)) == a.Length {
 			return true, nil
@@ -133,10 +133,10 @@
 		if len(a.Body) == cap(a.Body) {
 			a.Body = append(a.Body, 0)[:len(a.Body)]
 		}
-		room := min(cap(a.Body), int(limit))
-		n, err := body.Read(a.Body[len(a.Body):room])
+		end := min(cap(a.Body), int(limit))
+		n, err := body.Read(a.Body[len(a.Body):end])
 		if n > 0 {
-			k.moved()
+			timer.progress()
 		}
 		a.Body = a.Body[:len(a.Body)+n]
 		got := int64(len(a.Body))
@@ -147,7 +147,7 @@
 			return false, io.ErrUnexpectedEOF
 		case err != nil:
 			return false, err
-		case got > maxBody, a.Length > maxBody, a.Length < 0 && got > 0 && time.Since(begun) > mostHeld:
+		case got > maxBufferedBody, a.Length > maxBufferedBody, a.Length < 0 && got > 0 && time.Since(start) > maxBufferTime:
 			return false, nil
 		}
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,45 +14,45 @@
 	"spokegw/policy"
 )
 
-// Request is what is written to an endpoint, maybe more than once.
+// Request is a request to an endpoint. It may be written more than once.
 type Request struct {
-	Head   []byte      // request line and headers, up to the deadline's value
-	Body   []byte      // that is held, or the part of it
-	Stream *BodyStream // of the body, which can be given once; nil: Body is all
+	Head   []byte      // request line and headers, up to the value of Req-Deadline
+	Body   []byte      // the buffered body, or the buffered part of it
+	Stream *BodyStream // remaining body, which can be read once; nil: Body is complete
 
-	NoRetry  bool // it can't be sent again: it takes no connection that its endpoint may be about to end
-	headOnly bool // no body comes with the answer
+	NoRetry  bool // can't be retried: it uses no connection that its endpoint may be about to close
+	headOnly bool // the answer has no body
 }
 
-// BodyStream is the part of a body that is passed on as it comes. One attempt alone
-// reads it.
+// BodyStream is the part of a request body that is forwarded as it arrives. Only one
+// attempt reads it.
 type BodyStream struct {
 	Source interface {
-		io.Reader   // io.EOF tells that it was whole
-		Interrupt() // ends a Read that waits; the body is not read on after that
+		io.Reader   // io.EOF states that the body is complete
+		Interrupt() // ends a blocked Read; nothing is read afterwards
 	}
-	Chunked       bool          // its length is not told
-	AnswerTimeout time.Duration // for the answer, from the last byte on
+	Chunked       bool          // its length is unknown
+	AnswerTimeout time.Duration // for the answer, from the last byte of the body
 
-	taken atomic.Bool
+	claimed atomic.Bool
 }
 
-// Consumed reports whether some of the body may have been read: it can't be given
-// again.
-func (r *BodyStream) Consumed() bool { return r != nil && r.taken.Load() }
+// Consumed reports whether some of the body may have been read, so that it can't be
+// sent again.
+func (s *BodyStream) Consumed() bool { return s != nil && s.claimed.Load() }
 
-// UnknownLength stands for a length that is not told, and ChunkedLength for that of a
-// body in chunks.
+// UnknownLength is the length of a body of unknown length, and ChunkedLength that of
+// a chunked body.
 const (
 	UnknownLength = -1
 	ChunkedLength = -2
 )
 
-// NewRequest makes a request without a body. length is that of the body that
-// is to come; of the fields those go on that do by their names, but for those that without
-// names. The head ends in Req-Deadline, whose value is left to the attempt.
+// NewRequest makes a request without a body; length is that of the body to be added.
+// It copies the header fields that may be forwarded, except those for which without
+// returns true. The head ends with Req-Deadline, whose value each attempt appends.
 func NewRequest(method, target, host string, length int64, header http.Header, without func(name string) bool) *Request {
-	b := make([]byte, 0, usualHead)
+	b := make([]byte, 0, typicalHeadSize)
 	b = append(append(append(b, method...), ' '), target...)
 	b = append(append(append(b, " HTTP/1.1\r\nHost: "...), host...), "\r\n"...)
 	b = fields.Append(b, header, without)
@@ -67,181 +67,179 @@
 }
 
 const (
-	// maxBody is the longest answer that is read whole before any of it is passed
-	// on. Longer ones are streamed, up to MaxStreamBytes; what is said to be longer
-	// still is no answer, and not waited for.
-	maxBody        = 64 << 10
-	MaxStreamBytes = 40 << 20
-	// streamRoom is what a stream holds of the pool's room for long ones.
-	streamRoom = 32 << 10
-	// streamPatience is for the next piece of a long answer, or of a long body,
-	// to be moved. It could cut off an endpoint that works for longer in the
-	// midst of an answer.
-	streamPatience = 10 * time.Second
-	// mostHeld is how long an answer whose length is not told is held, from its
-	// first piece on, while more of it comes. One that takes longer is no short
-	// one, whose pieces come together: its first bytes are what its client waits
-	// for. One that is short and slow, and then breaks off, is not tried again.
-	mostHeld = 20 * time.Millisecond
-	// usualHead is what most heads fit in, in bytes.
-	usualHead = 512
-	// inlineWrite is what every fresh socket buffer takes without waiting.
-	inlineWrite = 8 << 10
-	// answerPatience is for the next piece of an answer, from its first byte on.
-	// The endpoint has it all by then, so one that stops in the middle is spoilt,
-	// and the time that is left is better spent on another attempt. It could
-	// cut off good answers on a link that pauses for longer.
-	answerPatience = 150 * time.Millisecond
-	// maxInterim bounds the 1xx answers ahead of one.
+	// maxBufferedBody is the longest answer, in bytes, that is read whole before any of
+	// it is passed on. Longer ones are streamed, up to MaxStreamBytes; an answer with a
+	// greater length is invalid, and not waited for.
+	maxBufferedBody = 64 << 10
+	MaxStreamBytes  = 40 << 20
+	// streamBufferSize is what a stream takes of the pool's budget, in bytes.
+	streamBufferSize = 32 << 10
+	// streamTimeout is for the next piece of a long answer or body to be moved. It may
+	// cut off an endpoint that pauses for longer in the middle of an answer.
+	streamTimeout = 10 * time.Second
+	// maxBufferTime is how long an answer of unknown length is buffered, from its first
+	// piece on. The pieces of a short answer arrive together; if one takes longer, its
+	// client waits for the first bytes. A short, slow answer that then breaks off is
+	// not retried.
+	maxBufferTime = 20 * time.Millisecond
+	// typicalHeadSize is, in bytes, what most heads fit in.
+	typicalHeadSize = 512
+	// inlineWriteSize is, in bytes, what every new socket buffer takes without blocking.
+	inlineWriteSize = 8 << 10
+	// answerIdleTimeout is for the next piece of an answer, from its first byte on. The
+	// endpoint has all of it by then, so an answer that stalls is corrupted, and the time
+	// left is better spent on another attempt. It may cut off good answers on a link that
+	// pauses for longer.
+	answerIdleTimeout = 150 * time.Millisecond
+	// maxInterim limits the 1xx answers before the final one.
 	maxInterim = 8
 )
 
 var (
-	// ErrCancelled is the cause with which an attempt's context is ended when
-	// its result is not wanted any more.
-	ErrCancelled = errors.New("called off")
-	// ErrEndpointUnavailable is the cause for one that has sent nothing yet, and whose endpoint is to get
-	// nothing new.
-	ErrEndpointUnavailable = errors.New("the endpoint is to get nothing new")
-	errRefused             = errors.New("the rest is not to be sent any more")
+	// ErrCancelled is the cause for cancelling an attempt whose result is not needed
+	// any more.
+	ErrCancelled = errors.New("attempt cancelled")
+	// ErrEndpointUnavailable is the cause for cancelling an attempt that has sent nothing
+	// because its endpoint may get no new requests.
+	ErrEndpointUnavailable = errors.New("the endpoint accepts no new requests")
+	errBodyRefused         = errors.New("the remaining body must not be sent any more")
 	errTimedOut            = errors.New("timed out")
-	errStopped             = errors.New("the answer stopped in the middle")
-	errHead                = errors.New("the answer's head is no head, or too long")
-	errInterim             = errors.New("too many 1xx answers, or one that switches protocols unasked")
-	errEarly               = errors.New("the answer came before the request was written")
-	errNoRoom              = errors.New("no room for a long answer")
-	errUnwanted            = errors.New("nobody wants the rest of a long answer")
-	errBody                = errors.New("the answer's length is not told, or too long, or does not fit")
+	errStalled             = errors.New("the answer stalled before its end")
+	errInvalidHead         = errors.New("the answer's head is invalid or too long")
+	errInvalidInterim      = errors.New("too many 1xx answers, or an unsolicited protocol switch")
+	errEarlyAnswer         = errors.New("the answer arrived before the request was written")
+	errNoStreamBuffer      = errors.New("no buffer space for a streamed answer")
+	errNotWanted           = errors.New("the remaining answer is not wanted")
+	errInvalidLength       = errors.New("the answer's length is missing, too large or inconsistent")
 )
 
-// Answer is how an attempt ended.
+// Answer is the result of an attempt.
 type Answer struct {
 	Result  policy.Result
 	Header  http.Header
-	Body    []byte  // whole, or what was read of Stream
-	Stream  *Stream // what follows Body; nil: nothing
-	Length  int64   // told; UnknownLength where it is not
+	Body    []byte  // whole, or what was read before Stream
+	Stream  *Stream // the remaining body after Body; nil: none
+	Length  int64   // as stated; UnknownLength if it is not
 	Elapsed time.Duration
-	Dialled bool          // on a connection made for it
-	Refused permit.Reason // why it was not sent though it was decided; permit.Allowed: that is not why
+	Dialled bool          // on a new connection
+	Refused permit.Reason // why the permit check stopped the attempt; permit.Allowed: it did not
 
-	free func()
-	kept *keptBody // that Body may stand in; nil: in a slice of its own
+	release func()
+	buffer  *bodyBuffer // that Body may use; nil: Body has its own slice
 }
 
-// Free gives back what the body holds of the pool's room for long ones. It is
-// to be called once for every answer, when the body is not needed any more.
+// Free releases the buffers that the answer holds. It must be called once for each
+// answer, when the body is not needed any more.
 func (a *Answer) Free() {
-	if a.free != nil {
-		a.free()
+	if a.release != nil {
+		a.release()
 	}
-	if a.kept != nil {
-		a.kept.of.Put(a.kept)
+	if a.buffer != nil {
+		a.buffer.pool.Put(a.buffer)
 	}
 }
 
-// Do is Begin, and waits for the end of a long answer too.
-func (p *Pool) Do(end *Cancellation, e Endpoint, req *Request, timeout time.Duration, stream func(Answer) bool) Answer {
-	var taker StreamAcceptor
+// Do is Begin, but also waits for the end of a streamed answer.
+func (p *Pool) Do(cancellation *Cancellation, e Endpoint, req *Request, timeout time.Duration, stream func(Answer) bool) Answer {
+	var acceptor StreamAcceptor
 	if stream != nil {
-		taker = takes(stream)
+		acceptor = acceptFunc(stream)
 	}
-	a, more := p.Begin(end, e, req, Constraints{Deadline: time.Now().Add(timeout)}, taker)
-	if more != nil {
-		return more()
+	a, wait := p.Begin(cancellation, e, req, Constraints{Deadline: time.Now().Add(timeout)}, acceptor)
+	if wait != nil {
+		return wait()
 	}
 	return a
 }
 
-// StreamAcceptor takes a long answer as it begins; it reports whether that is wanted.
-type StreamAcceptor interface{ AcceptStream(long Answer) bool }
+// StreamAcceptor receives a long answer when it begins and reports whether it is wanted.
+type StreamAcceptor interface{ AcceptStream(a Answer) bool }
 
-type takes func(Answer) bool
+type acceptFunc func(Answer) bool
 
-func (take takes) AcceptStream(long Answer) bool { return take(long) }
+func (f acceptFunc) AcceptStream(a Answer) bool { return f(a) }
 
-// Constraints are what an attempt is held to.
+// Constraints limit when an attempt may be made.
 type Constraints struct {
-	Deadline   time.Time // it is given up then
-	DedupUntil time.Time // its endpoint does not know it for a repeat from then on; zero: it is none
-	Gate       Gate      // nil: nothing else holds it back
+	Deadline   time.Time // the attempt is abandoned then
+	DedupUntil time.Time // the endpoint may not recognise the retry from then on; zero: it is no retry
+	Gate       Gate      // nil: no further conditions
 }
 
-// Gate knows what may have changed since an attempt was decided.
+// Gate knows what may have changed since the attempt was decided.
 type Gate interface {
-	// FillFacts fills in what its owner knows, immediately before the first byte is written.
+	// FillFacts adds the facts its owner knows, immediately before the first byte is written.
 	FillFacts(facts *permit.Attempt)
-	// FirstByteWritten tells that the first byte has been written, and how long after the look.
+	// FirstByteWritten is called after the first byte, with the time since FillFacts.
 	FirstByteWritten(after time.Duration)
 }
 
-// permitted decides whether the attempt may begin now.
-func (t *try) permitted() permit.Reason {
-	t.looked = time.Now()
-	return t.look(&t.facts, t.looked)
+// checkStart decides whether the attempt may begin now.
+func (t *transaction) checkStart() permit.Reason {
+	t.checkedAt = time.Now()
+	return t.check(&t.facts, t.checkedAt)
 }
 
-// look decides by what is known at a time.
-func (t *try) look(facts *permit.Attempt, now time.Time) permit.Reason {
-	*facts = permit.Attempt{Now: now.Sub(t.start), Deadline: t.terms.Deadline.Sub(t.start), Cancelled: t.end.Cause() != nil}
-	if !t.terms.DedupUntil.IsZero() {
-		facts.DedupUntil = max(t.terms.DedupUntil.Sub(t.start), 1)
+// check decides by the facts known at time now.
+func (t *transaction) check(facts *permit.Attempt, now time.Time) permit.Reason {
+	*facts = permit.Attempt{Now: now.Sub(t.start), Deadline: t.constraints.Deadline.Sub(t.start), Cancelled: t.cancellation.Cause() != nil}
+	if !t.constraints.DedupUntil.IsZero() {
+		facts.DedupUntil = max(t.constraints.DedupUntil.Sub(t.start), 1)
 	}
-	if t.terms.Gate != nil {
-		t.terms.Gate.FillFacts(facts)
+	if t.constraints.Gate != nil {
+		t.constraints.Gate.FillFacts(facts)
 	}
 	return facts.Check()
 }
 
-// mayGoOn decides whether one more piece of a body that is passed on may be written: it may be the
-// last, with which the endpoint begins. Where the endpoint stands counts at the first byte alone.
-func (t *try) mayGoOn() bool {
+// mayContinue decides whether another piece of a streamed body may be written: it may be the last,
+// on which the endpoint begins. The endpoint's status counts at the first byte only.
+func (t *transaction) mayContinue() bool {
 	facts := new(permit.Attempt)
-	if why := t.look(facts, time.Now()); why != permit.Allowed && !why.EndpointSpecific() {
-		t.refused = why
-		t.end.Cancel(errRefused)
+	if reason := t.check(facts, time.Now()); reason != permit.Allowed && !reason.EndpointSpecific() {
+		t.refused = reason
+		t.cancellation.Cancel(errBodyRefused)
 		return false
 	}
 	return true
 }
 
-// wrote tells the gate that the first byte has been written.
-func (t *try) wrote() {
-	if t.terms.Gate != nil {
-		t.terms.Gate.FirstByteWritten(time.Since(t.looked))
+// firstByteWritten notifies the gate that the first byte has been written.
+func (t *transaction) firstByteWritten() {
+	if t.constraints.Gate != nil {
+		t.constraints.Gate.FirstByteWritten(time.Since(t.checkedAt))
 	}
 }
 
-// Begin makes an attempt on the endpoint and waits for its end: an answer that is
-// whole, a failure, the time-out, or that end is ended. It is this attempt's alone, and ended in any
-// case once the attempt is over. A long answer is given to
-// stream as it begins, which returns whether it is wanted. Where it is, the attempt goes on until
-// that has been closed: more waits for that and returns how the attempt ended. It is to be called
-// once, and is nil otherwise. Without stream long answers are failures.
-func (p *Pool) Begin(end *Cancellation, e Endpoint, req *Request, terms Constraints, stream StreamAcceptor) (a Answer, more func() Answer) {
-	t := &try{start: time.Now(), stream: stream, req: req, end: end, terms: terms, deadline: terms.Deadline}
-	over := false
-	defer func() { // also where it panics
-		if !over {
-			t.over()
+// Begin makes an attempt and waits for its end: a whole answer, a failure, the timeout or a
+// cancellation. cancellation is used by this attempt only, and always cancelled once the attempt
+// is over. A long answer is passed to stream when it begins. If stream accepts it, the attempt
+// continues until that stream is closed: wait blocks until then, returns the result and must be
+// called once; otherwise it is nil. If stream is nil, long answers are failures.
+func (p *Pool) Begin(cancellation *Cancellation, e Endpoint, req *Request, constraints Constraints, stream StreamAcceptor) (a Answer, wait func() Answer) {
+	t := &transaction{start: time.Now(), stream: stream, req: req, cancellation: cancellation, constraints: constraints, deadline: constraints.Deadline}
+	handedOver := false
+	defer func() { // also on a panic
+		if !handedOver {
+			t.release()
 		}
 	}()
-	a, passing := p.attempt(t, e)
-	if passing == nil {
-		return t.told(a), nil
+	a, waitStream := p.run(t, e)
+	if waitStream == nil {
+		return t.annotate(a), nil
 	}
-	over = true // not yet: more's to see to
+	handedOver = true // wait releases it
 	return Answer{}, func() Answer {
-		defer t.over()
-		return t.told(passing())
+		defer t.release()
+		return t.annotate(waitStream())
 	}
 }
 
-// over has everything end that an attempt has begun.
-func (t *try) over() { t.end.Cancel(context.Canceled) }
+// release cancels everything that the attempt has started.
+func (t *transaction) release() { t.cancellation.Cancel(context.Canceled) }
 
-// told fills in what every answer tells.
-func (t *try) told(a Answer) Answer {
+// annotate sets the fields that every answer has.
+func (t *transaction) annotate(a Answer) Answer {
 	a.Dialled = t.dialled
 	if a.Elapsed == 0 {
 		a.Elapsed = t.elapsed()
@@ -249,118 +247,118 @@
 	return a
 }
 
-// try is one attempt while it is made.
-type try struct {
-	req      *Request
-	stream   StreamAcceptor
-	end      *Cancellation
-	start    time.Time
-	terms    Constraints
-	facts    permit.Attempt // as the latest look found them
-	looked   time.Time
-	refused  permit.Reason // why its body was not written to the end
-	deadline time.Time
-	clock    *clock // of the connection that it is on
-	write    write  // of a short request
-	dialled  bool
-	uploaded atomic.Int64 // ns after start when the last byte of a BodyStream was written; 0: not
+// transaction is the state of an attempt in progress.
+type transaction struct {
+	req          *Request
+	stream       StreamAcceptor
+	cancellation *Cancellation
+	start        time.Time
+	constraints  Constraints
+	facts        permit.Attempt // of the latest checkStart
+	checkedAt    time.Time
+	refused      permit.Reason // why its body was not written to the end
+	deadline     time.Time
+	timer        *attemptTimer // of the connection in use
+	write        requestWrite  // of a short request
+	dialled      bool
+	uploaded     atomic.Int64 // ns from start to the last byte of a BodyStream; 0: not written
 }
 
 // elapsed is how long the endpoint has had the request.
-func (t *try) elapsed() time.Duration {
+func (t *transaction) elapsed() time.Duration {
 	return time.Since(t.start) - time.Duration(t.uploaded.Load())
 }
 
-// left is how long the answer may take once the request is written.
-func (t *try) left() time.Duration {
+// remaining is how long the answer may take once the request is written.
+func (t *transaction) remaining() time.Duration {
 	if t.req.Stream != nil {
 		return t.req.Stream.AnswerTimeout
 	}
 	return time.Until(t.deadline)
 }
 
-// sentAll notes that the last byte of a streamed body is written: the time for
-// the answer begins.
-func (t *try) sentAll() {
+// bodySent records that the last byte of a streamed body is written, which starts the
+// answer timeout.
+func (t *transaction) bodySent() {
 	t.uploaded.Store(int64(time.Since(t.start)))
-	t.clock.allow(time.Now().Add(t.req.Stream.AnswerTimeout)) // where the time was up as the last byte went out it has ended
+	t.timer.setDeadline(time.Now().Add(t.req.Stream.AnswerTimeout)) // no effect if the time ran out as the last byte was written
 }
 
-// attempt returns how the attempt ended, or, of one whose long answer is being passed on,
-// what waits for that.
-func (p *Pool) attempt(t *try, e Endpoint) (Answer, func() Answer) {
+// run returns the result of the attempt or, if its long answer is being passed on, a
+// function that waits for it.
+func (p *Pool) run(t *transaction, e Endpoint) (Answer, func() Answer) {
 	for {
 		c, err := p.connect(t, e)
 		if err != nil {
-			if ownWant(err) || unsentBy(t.end.Cause()) {
-				return Answer{Result: policy.NotSent, Refused: t.permitted()}, nil // that is not the endpoint's doing
+			if isLocalExhaustion(err) || cancelledByOwner(t.cancellation.Cause()) {
+				return Answer{Result: policy.NotSent, Refused: t.checkStart()}, nil // not a failure of the endpoint
 			}
 			return Answer{Result: policy.NoConnection}, nil
 		}
-		if refused := t.permitted(); refused != permit.Allowed {
+		if refused := t.checkStart(); refused != permit.Allowed {
 			if refused.EndpointSpecific() {
-				p.discard(c) // nothing goes there any more
+				p.discard(c) // no further requests go there
 			} else {
 				p.put(c)
 			}
 			return Answer{Result: policy.NotSent, Refused: refused}, nil
 		}
-		pooled := !c.rested.IsZero()
+		pooled := !c.idleSince.IsZero()
 		t.dialled = !pooled
-		a, unsent, passing := p.exchange(t, c)
-		if !unsent || !pooled || t.end.Cause() != nil || t.req.Stream.Consumed() {
-			return a, passing
+		a, unsent, wait := p.exchange(t, c)
+		if !unsent || !pooled || t.cancellation.Cause() != nil || t.req.Stream.Consumed() {
+			return a, wait
 		}
-		// A kept connection that breaks before the last byte is on it says
-		// nothing of its endpoint, which has not seen a request: it is
-		// replaced. Every round uses up a connection of the pool.
+		// A kept connection that breaks before the last byte is written says nothing
+		// about its endpoint, which has not seen a request: it is replaced. Every
+		// round uses up a connection of the pool.
 	}
 }
 
-// connect takes a connection that is kept, or makes one within the attempt's time.
-func (p *Pool) connect(t *try, e Endpoint) (*conn, error) {
-	if c := p.kept(e, t.req.NoRetry); c != nil {
+// connect takes an idle connection, or dials one within the attempt's time.
+func (p *Pool) connect(t *transaction, e Endpoint) (*conn, error) {
+	if c := p.idleConn(e, t.req.NoRetry); c != nil {
 		return c, nil
 	}
-	expiry := time.AfterFunc(time.Until(t.deadline), func() { t.end.Cancel(errTimedOut) })
+	expiry := time.AfterFunc(time.Until(t.deadline), func() { t.cancellation.Cancel(errTimedOut) })
 	defer expiry.Stop()
-	return p.dial(t.end, e)
+	return p.dial(t.cancellation, e)
 }
 
-// exchange writes the request on c and reads the answer. It reports whether
-// it failed before the request's last byte was written. Where a long answer has been given
-// away passing waits until it has been passed on; it is nil otherwise.
-func (p *Pool) exchange(t *try, c *conn) (a Answer, unsent bool, passing func() Answer) {
-	t.clock = &c.clock
-	t.clock.start(t.end, t.deadline)
+// exchange writes the request on c and reads the answer. It reports whether it failed
+// before the request's last byte was written. If a long answer was accepted, wait blocks
+// until it has been passed on; otherwise it is nil.
+func (p *Pool) exchange(t *transaction, c *conn) (a Answer, unsent bool, wait func() Answer) {
+	t.timer = &c.timer
+	t.timer.start(t.cancellation, t.deadline)
 	if t.req.Stream == nil {
-		t.end.OnCancel(c.cut)
+		t.cancellation.OnCancel(c.interrupt)
 	} else {
-		t.end.OnCancel(func() {
-			c.cut()
+		t.cancellation.OnCancel(func() {
+			c.interrupt()
 			t.req.Stream.Source.Interrupt()
 		})
 	}
 	w := startWrite(c, t)
-	t.wrote()
+	t.firstByteWritten()
 	a, keep, err := c.readAnswer(t)
 	if t.req.Stream != nil && (err != nil || a.Result != policy.Served) {
-		t.end.Cancel(errStopped) // ends a write that waits for more of the body; the answer is known
+		t.cancellation.Cancel(errStalled) // ends a write that waits for more of the body; the answer is known
 	}
 	if err == nil && a.Result == policy.Served {
-		w.wait() // an endpoint begins when it has the last byte: else this answer is another's
+		w.wait() // an endpoint begins on the last byte: before that this answer belongs to another request
 		if !w.sent {
 			a.Free()
-			err = errEarly
+			err = errEarlyAnswer
 		}
 	}
 	if err == nil && a.Stream != nil {
 		a.Elapsed = t.elapsed()
-		if err = give(t, &a); err == nil {
-			given := a
+		if err = offerStream(t, &a); err == nil {
+			accepted := a
 			return Answer{}, false, func() Answer {
-				keep, err := passed(t, &given)
-				a, _ := p.finish(t, c, w, given, keep, err)
+				keep, err := awaitStream(t, &accepted)
+				a, _ := p.finish(t, c, w, accepted, keep, err)
 				return a
 			}
 		}
@@ -369,19 +367,19 @@
 	return a, unsent, nil
 }
 
-// finish ends an exchange: its connection is kept, or closed.
-func (p *Pool) finish(t *try, c *conn, w *write, a Answer, keep bool, err error) (_ Answer, unsent bool) {
-	begun := c.clock.stop()
-	keep = t.end.ClearOnCancel() && keep && err == nil
-	// A connection is kept only if nothing on it is unfinished and nothing that nobody
-	// asked for came along with the answer; what comes behind it is looked for before the
+// finish ends an exchange: it keeps or closes the connection.
+func (p *Pool) finish(t *transaction, c *conn, w *requestWrite, a Answer, keep bool, err error) (_ Answer, unsent bool) {
+	answerBegun := c.timer.stop()
+	keep = t.cancellation.ClearOnCancel() && keep && err == nil
+	// A connection is kept only if all I/O on it is complete and no unsolicited bytes
+	// arrived with the answer; those that arrive later are checked for before the
 	// connection is used again.
-	if keep = keep && w.over() && w.sent && c.r.Buffered() == 0; !keep {
-		c.Close() // ends a write that still waits
+	if keep = keep && w.finished() && w.sent && c.r.Buffered() == 0; !keep {
+		c.Close() // ends a blocked write
 	}
 	w.wait()
 	if w.sent {
-		p.sent.Add(1)
+		p.sentCount.Add(1)
 	}
 	if keep {
 		p.put(c)
@@ -389,66 +387,66 @@
 		p.discard(c)
 	}
 	if err != nil {
-		if c.rest > 0 && !begun && t.end.Cause() == nil {
-			p.broke(c)
+		if c.idleFor > 0 && !answerBegun && t.cancellation.Cause() == nil {
+			p.recordPeerClose(c)
 		}
-		return Answer{Result: failure(t.end.Cause(), w.sent), Elapsed: a.Elapsed, Refused: t.refused}, !w.sent
+		return Answer{Result: failureResult(t.cancellation.Cause(), w.sent), Elapsed: a.Elapsed, Refused: t.refused}, !w.sent
 	}
 	return a, false
 }
 
-// give gives a long answer away.
-func give(t *try, a *Answer) error {
-	// Its client decides how long it waits for the rest. One whose time is up
-	// already, or that is called off, would be given a head and nothing more.
-	if !t.clock.allow(time.Time{}) || t.end.Cause() != nil {
-		t.end.Cancel(errTimedOut) // of two causes the first counts
+// offerStream passes a long answer to its receiver.
+func offerStream(t *transaction, a *Answer) error {
+	// The client decides how long it waits for the remaining answer. If the time is up or
+	// the attempt is cancelled, the client would get a head and nothing more.
+	if !t.timer.setDeadline(time.Time{}) || t.cancellation.Cause() != nil {
+		t.cancellation.Cancel(errTimedOut) // the first cause counts
 		a.Free()
 		return errTimedOut
 	}
 	if !t.stream.AcceptStream(*a) {
 		a.Free()
-		return errUnwanted
+		return errNotWanted
 	}
-	a.free = nil // the receiver's
+	a.release = nil // the receiver releases it
 	return nil
 }
 
-// passed waits until a long answer has been passed on.
-func passed(t *try, a *Answer) (keep bool, err error) {
+// awaitStream waits until a long answer has been passed on.
+func awaitStream(t *transaction, a *Answer) (keep bool, err error) {
 	s := a.Stream
 	select {
 	case <-s.done:
-	case <-t.end.Done():
+	case <-t.cancellation.Done():
 		<-s.done // Read fails now
 	}
-	a.Stream, a.Body, a.kept = nil, nil, nil // they are the receiver's
-	if s.whole {
+	a.Stream, a.Body, a.buffer = nil, nil, nil // owned by the receiver
+	if s.complete {
 		return s.keep, nil
 	}
 	if s.failed {
-		return false, errStopped
+		return false, errStalled
 	}
-	return false, errUnwanted
+	return false, errNotWanted
 }
 
-// unsentBy reports whether an attempt that has sent nothing was ended by who decided on it.
-func unsentBy(cause error) bool {
-	return errors.Is(cause, ErrCancelled) || errors.Is(cause, ErrEndpointUnavailable) || errors.Is(cause, errRefused)
+// cancelledByOwner reports whether an attempt that has sent nothing was cancelled by its owner.
+func cancelledByOwner(cause error) bool {
+	return errors.Is(cause, ErrCancelled) || errors.Is(cause, ErrEndpointUnavailable) || errors.Is(cause, errBodyRefused)
 }
 
-// failure tells what an attempt without an answer is by the protocol's table.
-func failure(cause error, sent bool) policy.Result {
+// failureResult returns the result, by the protocol's table, of an attempt without an answer.
+func failureResult(cause error, sent bool) policy.Result {
 	switch {
-	case errors.Is(cause, errSource), !sent && unsentBy(cause):
-		return policy.NotSent // that is not the endpoint's doing
+	case errors.Is(cause, errIncompleteBody), !sent && cancelledByOwner(cause):
+		return policy.NotSent // not a failure of the endpoint
 	case !sent:
 		return policy.NoConnection
 	case errors.Is(cause, errTimedOut):
 		return policy.NoAnswer
-	case errors.Is(cause, errStopped):
+	case errors.Is(cause, errStalled):
 		return policy.ConnectionLost
-	case errors.Is(cause, errUnwanted):
+	case errors.Is(cause, errNotWanted):
 		return policy.Cancelled
 	case cause != nil:
 		return policy.Cancelled
--- a/internal/upstream/attempt_timer.go
+++ b/internal/upstream/attempt_timer.go
@@ -7,126 +7,126 @@
 	"spokegw/internal/stall"
 )
 
-// readAfterStall is the time that reading what came during a stall, or while the reader of
-// the answer had no processor, may take.
+// readAfterStall is the time allowed for reading what arrived during a process stall, or
+// while the reader of the answer was not scheduled.
 const readAfterStall = 50 * time.Millisecond
 
-// clock ends an attempt whose time is up, or whose answer has begun and stops. There is
-// one a connection, with one timer of the system's for all its attempts. The timer may go
-// off for nothing: what puts a time off does not set it anew, and that of an attempt that
-// is over may find the next one.
-type clock struct {
-	unread   func() bool // whether the connection has something, or its end, for the reader
-	mu       sync.Mutex
-	timer    *time.Timer   // nil: none was needed yet
-	armed    time.Time     // when it goes off
-	end      *Cancellation // of the attempt; nil: there is none
-	deadline time.Time     // of the attempt; zero: none any more
-	pause    time.Time     // by when more of the answer has to come; zero: none need
-	begun    bool          // the answer has
-	fired    bool          // the attempt was ended from here
+// attemptTimer cancels an attempt whose deadline has passed, or whose answer has begun and
+// stalls. Each connection has one, with one runtime timer for all its attempts. The timer
+// may fire spuriously: extending a deadline does not reset it, and one set for an earlier
+// attempt may fire during the next.
+type attemptTimer struct {
+	readable     func() bool // reports whether the connection has unread data or its end
+	mu           sync.Mutex
+	timer        *time.Timer   // nil: not needed so far
+	firesAt      time.Time     // when the timer fires
+	cancellation *Cancellation // of the attempt; nil: there is none
+	deadline     time.Time     // of the attempt; zero: none any more
+	idleDeadline time.Time     // by when more of the answer has to arrive; zero: no limit
+	answering    bool          // the answer has begun
+	fired        bool          // the timer cancelled the attempt
 }
 
-// start has an attempt end at a time.
-func (k *clock) start(end *Cancellation, deadline time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.end, k.deadline, k.pause, k.begun, k.fired = end, deadline, time.Time{}, false, false
-	k.arm(deadline)
+// start sets the deadline of a new attempt.
+func (t *attemptTimer) start(cancellation *Cancellation, deadline time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.cancellation, t.deadline, t.idleDeadline, t.answering, t.fired = cancellation, deadline, time.Time{}, false, false
+	t.arm(deadline)
 }
 
-// arm has the timer go off no later than at a time.
-func (k *clock) arm(at time.Time) {
+// arm makes the timer fire at the given time at the latest.
+func (t *attemptTimer) arm(at time.Time) {
 	now := time.Now()
 	switch {
-	case k.timer == nil:
-		k.timer = time.AfterFunc(at.Sub(now), k.ring)
-	case k.armed.After(at) || !k.armed.After(now):
-		k.timer.Reset(at.Sub(now))
+	case t.timer == nil:
+		t.timer = time.AfterFunc(at.Sub(now), t.fire)
+	case t.firesAt.After(at) || !t.firesAt.After(now):
+		t.timer.Reset(at.Sub(now))
 	default:
 		return
 	}
-	k.armed = at
+	t.firesAt = at
 }
 
-// ring ends the attempt if it is to end by now. An answer that has begun may have gone on
-// while the process was stalled, or while its reader waited for a processor: whether it
-// stopped is known once what waits has been read.
-func (k *clock) ring() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end == nil || k.fired {
+// fire cancels the attempt if its time is up. An answer in progress may have continued
+// while the process was stalled, or while its reader was not scheduled: whether it
+// stalled is known only once the unread data has been read.
+func (t *attemptTimer) fire() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.cancellation == nil || t.fired {
 		return
 	}
-	next, cause := k.deadline, errTimedOut
-	if !k.pause.IsZero() && (next.IsZero() || k.pause.Before(next)) {
-		next, cause = k.pause, errStopped
+	next, cause := t.deadline, errTimedOut
+	if !t.idleDeadline.IsZero() && (next.IsZero() || t.idleDeadline.Before(next)) {
+		next, cause = t.idleDeadline, errStalled
 	}
 	now := time.Now()
-	if cause == errStopped && !now.Before(next) && (stall.Detected(now.Sub(next)) || k.unread()) {
-		k.pause = now.Add(readAfterStall)
-		if next = k.pause; !k.deadline.IsZero() && k.deadline.Before(next) {
-			next, cause = k.deadline, errTimedOut
+	if cause == errStalled && !now.Before(next) && (stall.Detected(now.Sub(next)) || t.readable()) {
+		t.idleDeadline = now.Add(readAfterStall)
+		if next = t.idleDeadline; !t.deadline.IsZero() && t.deadline.Before(next) {
+			next, cause = t.deadline, errTimedOut
 		}
 	}
 	switch {
 	case next.IsZero():
 	case next.After(now):
-		k.armed = time.Time{} // it has gone off
-		k.arm(next)
+		t.firesAt = time.Time{} // the timer has fired
+		t.arm(next)
 	default:
-		k.fired = true
-		k.end.Cancel(cause)
+		t.fired = true
+		t.cancellation.Cancel(cause)
 	}
 }
 
-// begin notes the answer's first byte, moved each piece after it. One that comes as the
-// time ends does not undo that.
-func (k *clock) begin() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.begun, k.pause = true, time.Now().Add(answerPatience)
-	k.arm(k.pause)
+// begin records the answer's first byte, progress each piece after it. Neither undoes a
+// timeout that fires at the same time.
+func (t *attemptTimer) begin() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.answering, t.idleDeadline = true, time.Now().Add(answerIdleTimeout)
+	t.arm(t.idleDeadline)
 }
 
-func (k *clock) moved() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.pause = time.Now().Add(answerPatience)
+func (t *attemptTimer) progress() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.idleDeadline = time.Now().Add(answerIdleTimeout)
 }
 
-// whole notes that no more of the answer is waited for; it reports whether it was in time.
-func (k *clock) whole() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.pause = time.Time{}
-	return !k.fired
+// complete records that no more of the answer is expected; it reports whether it was in time.
+func (t *attemptTimer) complete() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.idleDeadline = time.Time{}
+	return !t.fired
 }
 
-// allow gives an attempt another deadline; zero: none. It reports whether the one before
-// was not over.
-func (k *clock) allow(deadline time.Time) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.deadline = deadline; !deadline.IsZero() {
-		k.arm(deadline)
+// setDeadline replaces the deadline of the attempt; zero: none. It reports whether the
+// attempt had not timed out before.
+func (t *attemptTimer) setDeadline(deadline time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.deadline = deadline; !deadline.IsZero() {
+		t.arm(deadline)
 	}
-	return !k.fired
+	return !t.fired
 }
 
-// stop lets an attempt go. It reports whether the answer had begun.
-func (k *clock) stop() (begun bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.end = nil
-	return k.begun
+// stop detaches the timer from the attempt. It reports whether the answer had begun.
+func (t *attemptTimer) stop() (answerBegun bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.cancellation = nil
+	return t.answering
 }
 
-// close ends the timer, which would hold on to the connection.
-func (k *clock) close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.timer != nil {
-		k.timer.Stop()
+// close stops the timer, which would keep a reference to the connection.
+func (t *attemptTimer) close() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
--- a/internal/upstream/attempt_timer_test.go
+++ b/internal/upstream/attempt_timer_test.go
@@ -11,63 +11,63 @@
 	"spokegw/internal/stall"
 )
 
-// The process stalls while an answer is under way, and its timer goes off before what
-// came meanwhile is read: the answer has not stopped by that. With nothing there it has.
-func TestClockAfterAStall(t *testing.T) {
+// The process stalls during an answer, and the timer fires before the data that arrived
+// meanwhile is read. That alone is no stalled answer; without unread data it is one.
+func TestAttemptTimerAfterStall(t *testing.T) {
 	for name, c := range map[string]struct {
-		late, left time.Duration // of the pause, when the timer goes off; of the attempt's time
-		moves      bool          // more of the answer waits
-		after      time.Duration // that the attempt ends
-		cause      error
+		overdue, remaining time.Duration // how late the timer fires after the idle deadline; time left until the attempt's deadline
+		unread             bool          // more of the answer is unread
+		after              time.Duration // until the attempt is cancelled
+		cause              error
 	}{
-		"more waits":          {2 * time.Second, 10 * time.Second, true, answerPatience, errStopped},
-		"nothing waits":       {2 * time.Second, 10 * time.Second, false, readAfterStall, errStopped},
-		"little time is left": {2 * time.Second, readAfterStall / 2, false, readAfterStall / 2, errTimedOut},
-		"no time is left":     {2 * time.Second, -time.Second, false, 0, errTimedOut},
-		"it did not stall":    {stall.Threshold - 1, 10 * time.Second, true, 0, errStopped},
-		"it was passed on":    {2 * time.Second, 0, true, answerPatience, errStopped},
+		"data is unread":        {2 * time.Second, 10 * time.Second, true, answerIdleTimeout, errStalled},
+		"nothing is unread":     {2 * time.Second, 10 * time.Second, false, readAfterStall, errStalled},
+		"little time is left":   {2 * time.Second, readAfterStall / 2, false, readAfterStall / 2, errTimedOut},
+		"no time is left":       {2 * time.Second, -time.Second, false, 0, errTimedOut},
+		"no process stall":      {stall.Threshold - 1, 10 * time.Second, true, 0, errStalled},
+		"streamed, no deadline": {2 * time.Second, 0, true, answerIdleTimeout, errStalled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				end, now := new(Cancellation), time.Now()
-				k := &clock{unread: func() bool { return false }}
-				defer k.close()
-				k.start(end, now.Add(time.Hour))
-				k.begin()
-				k.mu.Lock()
-				k.pause, k.deadline = now.Add(-c.late), now.Add(c.left)
-				if c.left == 0 {
-					k.deadline = time.Time{}
+				cancellation, now := new(Cancellation), time.Now()
+				timer := &attemptTimer{readable: func() bool { return false }}
+				defer timer.close()
+				timer.start(cancellation, now.Add(time.Hour))
+				timer.begin()
+				timer.mu.Lock()
+				timer.idleDeadline, timer.deadline = now.Add(-c.overdue), now.Add(c.remaining)
+				if c.remaining == 0 {
+					timer.deadline = time.Time{}
 				}
-				k.mu.Unlock()
-				k.ring()
-				if c.moves && c.after > 0 {
-					k.moved()
+				timer.mu.Unlock()
+				timer.fire()
+				if c.unread && c.after > 0 {
+					timer.progress()
 				}
-				<-end.Done()
-				if took := time.Since(now); end.Cause() != c.cause || took != c.after {
-					t.Errorf("ended after %v by %v, want %v and %v", took, end.Cause(), c.after, c.cause)
+				<-cancellation.Done()
+				if took := time.Since(now); cancellation.Cause() != c.cause || took != c.after {
+					t.Errorf("cancelled after %v by %v, want %v and %v", took, cancellation.Cause(), c.after, c.cause)
 				}
 			})
 		})
 	}
 }
 
-// The reader of an answer gets no processor for longer than an answer may pause, while the
-// rest of the answer, or its end, waits on the connection: the answer has not stopped. One
-// with nothing there has, and so has one whose attempt has no time left.
-func TestClockWhileTheReaderWaits(t *testing.T) {
+// The reader of an answer is not scheduled for longer than answerIdleTimeout while more of
+// the answer, or its end, is unread on the connection: the answer is not stalled. With
+// nothing unread it is, and an attempt whose deadline has passed is cancelled.
+func TestAttemptTimerWithUnreadData(t *testing.T) {
 	for name, c := range map[string]struct {
-		write string
-		close bool
-		left  time.Duration // of the attempt's time
-		cause error         // of its end once the clock has gone off; nil: it goes on
+		write     string
+		close     bool
+		remaining time.Duration // until the attempt's deadline
+		cause     error         // of the cancellation after the timer has fired; nil: none
 	}{
-		"a piece waits":       {"rest", false, time.Hour, nil},
-		"the end waits":       {"", true, time.Hour, nil},
-		"both wait":           {"rest", true, time.Hour, nil},
-		"nothing waits":       {"", false, time.Hour, errStopped},
-		"it came out of time": {"rest", false, -time.Millisecond, errTimedOut},
+		"a piece is unread":         {"rest", false, time.Hour, nil},
+		"the end is unread":         {"", true, time.Hour, nil},
+		"both are unread":           {"rest", true, time.Hour, nil},
+		"nothing is unread":         {"", false, time.Hour, errStalled},
+		"unread after the deadline": {"rest", false, -time.Millisecond, errTimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,22 +95,22 @@
 			if c.write != "" || c.close {
 				awaitReadable(t, conn)
 			}
-			end := new(Cancellation)
-			conn.clock.start(end, time.Now().Add(time.Hour))
-			conn.clock.begin()
-			conn.clock.mu.Lock()
-			conn.clock.pause = time.Now() // as if answerPatience had passed
-			conn.clock.deadline = time.Now().Add(c.left)
-			conn.clock.mu.Unlock()
-			conn.clock.ring()
-			if end.Cause() != c.cause {
-				t.Errorf("ended by %v, want %v", end.Cause(), c.cause)
+			cancellation := new(Cancellation)
+			conn.timer.start(cancellation, time.Now().Add(time.Hour))
+			conn.timer.begin()
+			conn.timer.mu.Lock()
+			conn.timer.idleDeadline = time.Now() // as if answerIdleTimeout had passed
+			conn.timer.deadline = time.Now().Add(c.remaining)
+			conn.timer.mu.Unlock()
+			conn.timer.fire()
+			if cancellation.Cause() != c.cause {
+				t.Errorf("cancelled by %v, want %v", cancellation.Cause(), c.cause)
 			}
 		})
 	}
 }
 
-// awaitReadable waits until a read from the connection would not wait.
+// awaitReadable waits until a read from the connection would not block.
 func awaitReadable(t *testing.T, c *conn) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -120,75 +120,75 @@
 	tried := false
 	if err := raw.Read(func(uintptr) bool {
 		defer func() { tried = true }()
-		return tried || c.unread()
+		return tried || c.readable()
 	}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// An attempt ends when its time is up, or its answer has begun and nothing more comes for
-// answerPatience, whichever is first, and at no other time; the next one on the connection
-// is not ended by what was set for the one before.
-func TestClock(t *testing.T) {
-	const step = answerPatience / 2
+// An attempt is cancelled at its deadline, or answerIdleTimeout after the latest piece of its
+// answer, whichever is first, and at no other time. The next attempt on the connection is not
+// cancelled by a deadline of the previous one.
+func TestAttemptTimer(t *testing.T) {
+	const step = answerIdleTimeout / 2
 	for name, c := range map[string]struct {
-		play  func(k *clock, end *Cancellation)
-		after time.Duration // from the start of the latest attempt; 0: it is never ended
+		run   func(timer *attemptTimer, cancellation *Cancellation)
+		after time.Duration // from the start of the first attempt; 0: never cancelled
 		cause error
 	}{
-		"silence": {func(k *clock, end *Cancellation) {}, 10 * step, errTimedOut},
-		"an answer that stops": {func(k *clock, end *Cancellation) {
+		"silence": {func(timer *attemptTimer, cancellation *Cancellation) {}, 10 * step, errTimedOut},
+		"stalled answer": {func(timer *attemptTimer, cancellation *Cancellation) {
 			time.Sleep(step)
-			k.begin()
-		}, 3 * step, errStopped},
-		"pieces": {func(k *clock, end *Cancellation) {
-			k.begin()
+			timer.begin()
+		}, 3 * step, errStalled},
+		"pieces": {func(timer *attemptTimer, cancellation *Cancellation) {
+			timer.begin()
 			for range 5 {
 				time.Sleep(step)
-				k.moved()
+				timer.progress()
 			}
-		}, 7 * step, errStopped},
-		"pieces beyond its time": {func(k *clock, end *Cancellation) {
-			k.begin()
+		}, 7 * step, errStalled},
+		"pieces beyond the deadline": {func(timer *attemptTimer, cancellation *Cancellation) {
+			timer.begin()
 			for range 9 {
 				time.Sleep(step)
-				k.moved()
+				timer.progress()
 			}
 		}, 10 * step, errTimedOut},
-		"whole": {func(k *clock, end *Cancellation) {
-			k.begin()
-			k.whole()
+		"whole": {func(timer *attemptTimer, cancellation *Cancellation) {
+			timer.begin()
+			timer.complete()
 		}, 10 * step, errTimedOut},
-		"passed on": {func(k *clock, end *Cancellation) {
-			k.begin()
-			k.whole()
-			k.allow(time.Time{})
+		"answer streamed": {func(timer *attemptTimer, cancellation *Cancellation) {
+			timer.begin()
+			timer.complete()
+			timer.setDeadline(time.Time{})
 		}, 0, nil},
-		"a body that took long": {func(k *clock, end *Cancellation) {
+		"slow request body": {func(timer *attemptTimer, cancellation *Cancellation) {
 			time.Sleep(9 * step)
-			k.allow(time.Now().Add(10 * step))
+			timer.setDeadline(time.Now().Add(10 * step))
 		}, 19 * step, errTimedOut},
-		"the next attempt": {func(k *clock, end *Cancellation) {
-			k.begin()
+		"next attempt": {func(timer *attemptTimer, cancellation *Cancellation) {
+			timer.begin()
 			time.Sleep(step)
-			k.stop()
+			timer.stop()
 			time.Sleep(step / 2)
-			k.start(end, time.Now().Add(10*step))
+			timer.start(cancellation, time.Now().Add(10*step))
 		}, 11*step + step/2, errTimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				end, begun := new(Cancellation), time.Now()
-				k := &clock{unread: func() bool { return false }}
-				defer k.close()
-				k.start(end, begun.Add(10*step))
-				c.play(k, end)
+				cancellation, start := new(Cancellation), time.Now()
+				timer := &attemptTimer{readable: func() bool { return false }}
+				defer timer.close()
+				timer.start(cancellation, start.Add(10*step))
+				c.run(timer, cancellation)
 				select {
-				case <-end.Done():
+				case <-cancellation.Done():
 				case <-time.After(100 * step):
 				}
-				if end.Cause() != c.cause || c.cause != nil && time.Since(begun) != c.after {
-					t.Errorf("ended after %v by %v, want %v and %v", time.Since(begun), end.Cause(), c.after, c.cause)
+				if cancellation.Cause() != c.cause || c.cause != nil && time.Since(start) != c.after {
+					t.Errorf("cancelled after %v by %v, want %v and %v", time.Since(start), cancellation.Cause(), c.after, c.cause)
 				}
 			})
 		})
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -9,29 +9,29 @@
 	"spokegw/internal/framing"
 )
 
-// body is that of an answer: by its length, in chunks, or to the end of the connection.
+// body reads the body of an answer: by length, chunked, or until the connection closes.
 type body struct {
-	r      *bufio.Reader
-	chunks io.Reader // nil: it is not in chunks
-	left   int64     // to come; <0: not told
+	r         *bufio.Reader
+	chunks    io.Reader // nil: not chunked
+	remaining int64     // bytes to read; <0: unknown
 }
 
-var errTrailer = errors.New("what follows the last chunk is no trailer, or too long")
+var errInvalidTrailer = errors.New("invalid or too long trailer after the last chunk")
 
-func (c *conn) bodyOf(a *framing.Answer) *body {
+func (c *conn) newBody(a *framing.Answer) *body {
 	b := &c.body
-	*b = body{r: c.r, left: a.Length}
+	*b = body{r: c.r, remaining: a.Length}
 	switch {
 	case !a.HasBody():
-		b.left = 0
+		b.remaining = 0
 	case a.Chunked:
 		b.chunks = httputil.NewChunkedReader(c.r)
 	}
 	return b
 }
 
-// Read reads what comes next. io.EOF tells that the body is whole, as early as that is
-// known; io.ErrUnexpectedEOF that it is not.
+// Read returns io.EOF, as early as possible, when the body is complete, and
+// io.ErrUnexpectedEOF when it is truncated.
 func (b *body) Read(p []byte) (n int, err error) {
 	switch {
 	case b.chunks != nil:
@@ -39,18 +39,18 @@
 			err = b.trailer()
 		}
 		return n, err
-	case b.left == 0:
+	case b.remaining == 0:
 		return 0, io.EOF
-	case b.left > 0 && int64(len(p)) > b.left:
-		p = p[:b.left]
+	case b.remaining > 0 && int64(len(p)) > b.remaining:
+		p = p[:b.remaining]
 	}
 	n, err = b.r.Read(p)
-	if b.left < 0 {
+	if b.remaining < 0 {
 		return n, err
 	}
-	b.left -= int64(n)
+	b.remaining -= int64(n)
 	switch {
-	case b.left == 0:
+	case b.remaining == 0:
 		err = io.EOF
 	case err == io.EOF:
 		err = io.ErrUnexpectedEOF
@@ -58,17 +58,17 @@
 	return n, err
 }
 
-// trailer drops the fields behind the last chunk, and returns io.EOF once they have ended:
-// what comes next on the connection is not this answer's.
+// trailer skips the fields after the last chunk and returns io.EOF at their end: what
+// follows on the connection does not belong to this answer.
 func (b *body) trailer() error {
-	b.chunks, b.left = nil, 0
-	for room := framing.MaxHead; ; {
+	b.chunks, b.remaining = nil, 0
+	for limit := framing.MaxHead; ; {
 		line, err := b.r.ReadSlice('\n')
 		if err == io.EOF {
 			return io.ErrUnexpectedEOF
 		}
-		if room -= len(line); err != nil || room < 0 || len(line) < 2 || line[len(line)-2] != '\r' {
-			return errors.Join(errTrailer, err)
+		if limit -= len(line); err != nil || limit < 0 || len(line) < 2 || line[len(line)-2] != '\r' {
+			return errors.Join(errInvalidTrailer, err)
 		}
 		if len(line) == 2 {
 			return io.EOF
--- a/internal/upstream/body_buffer.go
+++ b/internal/upstream/body_buffer.go
@@ -2,33 +2,32 @@
 
 import "sync"
 
-// keptBody is a buffer that bodies of answers are read into. Most of what is allocated for
-// a request would be that.
-type keptBody struct {
-	of   *sync.Pool
-	room []byte
+// bodyBuffer is a pooled buffer for an answer's body, which would otherwise be most of
+// what a request allocates.
+type bodyBuffer struct {
+	pool *sync.Pool
+	data []byte
 }
 
-// keptRooms are the sizes of buffers, in bytes. An answer takes the least that holds it, so
-// that what waits for a slow reader holds four times what it has to at most. Short ones are
-// not worth keeping.
-var keptRooms = [...]int{4 << 10, 16 << 10, maxBody}
+// bufferSizes are in bytes. An answer takes the smallest that fits, so an answer that
+// waits for a slow reader holds at most four times its size. Bodies below minPooledSize
+// are not worth pooling.
+var bufferSizes = [...]int{4 << 10, 16 << 10, maxBufferedBody}
 
-const leastKept = 1 << 10
+const minPooledSize = 1 << 10
 
-var keptBodies [len(keptRooms)]sync.Pool
+var bufferPools [len(bufferSizes)]sync.Pool
 
-// room returns an empty slice for a body of so many bytes, which is given back with the
-// answer.
-func (a *Answer) room(size int64) []byte {
-	for i, most := range keptRooms {
-		if size < leastKept || size > int64(most) {
+// newBuffer returns an empty slice for a body of size bytes. Free returns it to its pool.
+func (a *Answer) newBuffer(size int64) []byte {
+	for i, capacity := range bufferSizes {
+		if size < minPooledSize || size > int64(capacity) {
 			continue
 		}
-		if a.kept, _ = keptBodies[i].Get().(*keptBody); a.kept == nil {
-			a.kept = &keptBody{&keptBodies[i], make([]byte, most)}
+		if a.buffer, _ = bufferPools[i].Get().(*bodyBuffer); a.buffer == nil {
+			a.buffer = &bodyBuffer{&bufferPools[i], make([]byte, capacity)}
 		}
-		return a.kept.room[:0:size]
+		return a.buffer.data[:0:size]
 	}
 	return make([]byte, 0, size)
 }
--- a/internal/upstream/cancellation.go
+++ b/internal/upstream/cancellation.go
@@ -6,99 +6,99 @@
 	"time"
 )
 
-// Cancellation is how one attempt is told to end: once, by a cause; the first one counts. Its
-// zero value goes on. It is a context for what has to wait (a dial, a place), and made for
-// the usual attempt, for which nothing waits on it and that is never ended early: no
-// channel is made before one is asked for, and what is to be done at the end is one
-// function, that of the connection in use.
+// Cancellation cancels one attempt, once and with a cause; the first cause counts. Its
+// zero value is ready to use. It is a context for operations that wait (a dial, a slot),
+// optimised for the usual attempt, on which nothing waits and which is never cancelled
+// early: the channel is made on demand, and there is a single callback, that of the
+// connection in use.
 type Cancellation struct {
-	mu    sync.Mutex
-	cause error
-	done  chan struct{} // nil: nobody asked for it
-	at    func()        // nil: there is nothing to do
+	mu       sync.Mutex
+	cause    error
+	done     chan struct{} // nil: not requested yet
+	callback func()        // nil: none
 }
 
-// Cancel ends it, unless that was done before. It does not wait for what is done at the end:
-// it may be called by who holds locks that this takes.
-func (e *Cancellation) Cancel(cause error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.cause != nil {
+// Cancel cancels the attempt, unless that was done before. It does not wait for the
+// callback: its caller may hold locks that the callback takes.
+func (c *Cancellation) Cancel(cause error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cause != nil {
 		return
 	}
-	e.cause = cause
-	if e.done != nil {
-		close(e.done)
+	c.cause = cause
+	if c.done != nil {
+		close(c.done)
 	}
-	if e.at != nil {
-		go e.at() // sets deadlines, and returns
-		e.at = nil
+	if c.callback != nil {
+		go c.callback() // sets I/O deadlines, and returns
+		c.callback = nil
 	}
 }
 
-// CancelUnsent ends it where nothing is to be done at the end, as before the attempt has a
-// connection: nothing of it has been sent then.
-func (e *Cancellation) CancelUnsent(cause error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.cause != nil || e.at != nil {
+// CancelUnsent cancels the attempt only if no callback is set, as before the attempt has
+// a connection: nothing of it has been sent then.
+func (c *Cancellation) CancelUnsent(cause error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cause != nil || c.callback != nil {
 		return
 	}
-	e.cause = cause
-	if e.done != nil {
-		close(e.done)
+	c.cause = cause
+	if c.done != nil {
+		close(c.done)
 	}
 }
 
-// OnCancel sets what is done at the end, in place of what was set before. Where that has been,
-// it is done at once.
-func (e *Cancellation) OnCancel(do func()) {
-	e.mu.Lock()
-	ended := e.cause != nil
-	if !ended {
-		e.at = do
+// OnCancel sets the callback, in place of an earlier one. If the attempt is already
+// cancelled, the callback runs at once.
+func (c *Cancellation) OnCancel(callback func()) {
+	c.mu.Lock()
+	cancelled := c.cause != nil
+	if !cancelled {
+		c.callback = callback
 	}
-	e.mu.Unlock()
-	if ended {
-		do()
+	c.mu.Unlock()
+	if cancelled {
+		callback()
 	}
 }
 
-// ClearOnCancel takes back what is to be done, and reports whether it was not begun.
-func (e *Cancellation) ClearOnCancel() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.at = nil
-	return e.cause == nil
+// ClearOnCancel removes the callback, and reports whether the attempt is not cancelled.
+func (c *Cancellation) ClearOnCancel() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.callback = nil
+	return c.cause == nil
 }
 
-// Cause is why it has ended; nil: it has not.
-func (e *Cancellation) Cause() error {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.cause
+// Cause returns why the attempt was cancelled; nil: it is not.
+func (c *Cancellation) Cause() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.cause
 }
 
-// Done is closed at the end.
-func (e *Cancellation) Done() <-chan struct{} {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.done == nil {
-		e.done = make(chan struct{})
-		if e.cause != nil {
-			close(e.done)
+// Done returns a channel that is closed on cancellation.
+func (c *Cancellation) Done() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.done == nil {
+		c.done = make(chan struct{})
+		if c.cause != nil {
+			close(c.done)
 		}
 	}
-	return e.done
+	return c.done
 }
 
-// Err, Deadline and Value are those of a context without a deadline or values.
-func (e *Cancellation) Err() error {
-	if e.Cause() != nil {
+// Err, Deadline and Value implement a context without a deadline or values.
+func (c *Cancellation) Err() error {
+	if c.Cause() != nil {
 		return context.Canceled
 	}
 	return nil
 }
 
-func (e *Cancellation) Deadline() (time.Time, bool) { return time.Time{}, false }
-func (e *Cancellation) Value(any) any               { return nil }
+func (c *Cancellation) Deadline() (time.Time, bool) { return time.Time{}, false }
+func (c *Cancellation) Value(any) any               { return nil }
--- a/internal/upstream/cancellation_test.go
+++ b/internal/upstream/cancellation_test.go
@@ -8,16 +8,16 @@
 	"testing/synctest"
 )
 
-// Whatever the order of an end, of another, of what is to be done and of taking that back:
-// the first cause counts, what is set last and not taken back before the end is done once,
-// nothing that was taken back is, and who waits is told.
-func TestEndingInEveryOrder(t *testing.T) {
+// For every order of two cancellations, setting callbacks and clearing them: the first cause
+// counts, the latest callback that is not cleared before the cancellation runs once, no
+// cleared one runs, and a waiter on Done returns.
+func TestCancellationInEveryOrder(t *testing.T) {
 	first, second := errors.New("first"), errors.New("second")
-	steps := []string{"end first", "end second", "set", "set again", "take back", "wait"}
+	steps := []string{"cancel first", "cancel second", "set", "set again", "clear callback", "wait"}
 	var orders func(left, order []string)
 	orders = func(left, order []string) {
 		if len(left) == 0 {
-			synctest.Test(t, func(t *testing.T) { endingInOrder(t, order, first, second) })
+			synctest.Test(t, func(t *testing.T) { testCancellationOrder(t, order, first, second) })
 		}
 		for i, s := range left {
 			orders(slices.Delete(slices.Clone(left), i, i+1), append(slices.Clone(order), s))
@@ -26,63 +26,63 @@
 	orders(steps, nil)
 }
 
-func endingInOrder(t *testing.T, order []string, first, second error) {
-	var e Cancellation
+func testCancellationOrder(t *testing.T, order []string, first, second error) {
+	var c Cancellation
 	var cause error
-	set, done, told := "", map[string]int{}, false
+	pending, ran, notified := "", map[string]int{}, false
 	want := map[string]int{}
-	at := func(what string) {
-		e.OnCancel(func() { done[what]++ })
-		if set = what; cause != nil {
-			want[what]++
-			set = ""
+	setCallback := func(name string) {
+		c.OnCancel(func() { ran[name]++ })
+		if pending = name; cause != nil {
+			want[name]++
+			pending = ""
 		}
 	}
-	end := func(by error) {
-		e.Cancel(by)
+	cancel := func(err error) {
+		c.Cancel(err)
 		if cause == nil {
-			if cause = by; set != "" {
-				want[set]++
+			if cause = err; pending != "" {
+				want[pending]++
 			}
 		}
 		synctest.Wait()
 	}
 	for _, step := range order {
 		switch step {
-		case "end first":
-			end(first)
-		case "end second":
-			end(second)
+		case "cancel first":
+			cancel(first)
+		case "cancel second":
+			cancel(second)
 		case "set", "set again":
-			at(step)
-		case "take back":
-			if took := e.ClearOnCancel(); took != (cause == nil) {
-				t.Errorf("%v: taken back %v, ended by %v", order, took, cause)
+			setCallback(step)
+		case "clear callback":
+			if cleared := c.ClearOnCancel(); cleared != (cause == nil) {
+				t.Errorf("%v: cleared %v, cancelled by %v", order, cleared, cause)
 			}
-			set = ""
+			pending = ""
 		case "wait":
-			go func() { <-e.Done(); told = true }()
+			go func() { <-c.Done(); notified = true }()
 		}
-		if (e.Err() == nil) != (cause == nil) || e.Cause() != cause {
-			t.Errorf("%v: ended by %v, want %v", order, e.Cause(), cause)
+		if (c.Err() == nil) != (cause == nil) || c.Cause() != cause {
+			t.Errorf("%v: cancelled by %v, want %v", order, c.Cause(), cause)
 		}
 	}
 	synctest.Wait()
-	if !told || done["set"] != want["set"] || done["set again"] != want["set again"] {
-		t.Errorf("%v: done %v, want %v; told %v", order, done, want, told)
+	if !notified || ran["set"] != want["set"] || ran["set again"] != want["set again"] {
+		t.Errorf("%v: callbacks ran %v, want %v; Done closed %v", order, ran, want, notified)
 	}
 }
 
-// A context that waits on it ends with it, and leaves nothing behind once it is ended itself.
-func TestEndingAsAContext(t *testing.T) {
+// A child context is cancelled with it, and leaves no goroutine behind after its own cancellation.
+func TestCancellationAsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var e Cancellation
-		ctx, cancel := context.WithCancel(&e)
+		var c Cancellation
+		ctx, cancel := context.WithCancel(&c)
 		defer cancel()
-		e.Cancel(ErrCancelled)
+		c.Cancel(ErrCancelled)
 		synctest.Wait()
 		if ctx.Err() == nil {
-			t.Error("a context goes on after what it came of has ended")
+			t.Error("a child context is not cancelled with its parent")
 		}
 	})
 }
--- a/internal/upstream/dedup_window_test.go
+++ b/internal/upstream/dedup_window_test.go
@@ -13,10 +13,10 @@
 	"spokegw/policy"
 )
 
-// slowBody is a body whose last byte comes when it is told to.
+// slowBody is a body whose last byte arrives on request.
 type slowBody struct {
 	last  chan struct{}
-	first chan struct{} // closed when its first byte has been asked for
+	first chan struct{} // closed when the second byte is requested
 	n     int
 }
 
@@ -37,29 +37,29 @@
 
 func (b *slowBody) Interrupt() {}
 
-// A repeat is begun in its window, and the body that is passed on ends after it: an
-// endpoint begins a request with its last byte, which is not written then.
-func TestLastByteIsWrittenInTheWindow(t *testing.T) {
-	const usable = 200 * time.Millisecond // of the window, as the first byte is written
+// A retry begins within its deduplication window, and its streamed body ends after it. An
+// endpoint begins a request on its last byte, so that byte must not be written then.
+func TestLastByteWithinDedupWindow(t *testing.T) {
+	const usable = 200 * time.Millisecond // usable part of the window when the first byte is written
 	for name, c := range map[string]struct {
 		chunked, late bool
 		want          policy.Result
 	}{
-		"in time":                  {false, false, policy.Served},
-		"in time, in chunks":       {true, false, policy.Served},
-		"after the window":         {false, true, policy.NotSent},
-		"after the window, chunks": {true, true, policy.NotSent},
+		"in time":                   {false, false, policy.Served},
+		"in time, chunked":          {true, false, policy.Served},
+		"after the window":          {false, true, policy.NotSent},
+		"after the window, chunked": {true, true, policy.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			whole := make(chan struct{}, 1)
+			received := make(chan struct{}, 1)
 			addr := endpoint(t, func(conn net.Conn, r *bufio.Reader) {
 				req, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
 				if _, err := io.Copy(io.Discard, req.Body); err == nil {
-					whole <- struct{}{}
+					received <- struct{}{}
 					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 				conn.Close()
@@ -71,47 +71,47 @@
 				length = ChunkedLength
 			}
 			req := NewRequest(http.MethodPost, "/order", "b", length, http.Header{"Req-Id": {"1"}, "Idempotency-Key": {"k"}}, func(string) bool { return false })
-			req.Stream = &BodyStream{Source: body, Chunked: c.chunked, AnswerTimeout: long}
-			by := time.Now().Add(permit.MaxStall + usable)
+			req.Stream = &BodyStream{Source: body, Chunked: c.chunked, AnswerTimeout: longTimeout}
+			windowEnd := time.Now().Add(permit.MaxStall + usable)
 			go func() {
 				<-body.first
 				if c.late {
-					<-time.After(time.Until(by.Add(-permit.MaxStall)) + time.Millisecond)
+					<-time.After(time.Until(windowEnd.Add(-permit.MaxStall)) + time.Millisecond)
 				}
 				close(body.last)
 			}()
-			a, _ := p.Begin(new(Cancellation), Endpoint{"s", addr}, req, Constraints{Deadline: time.Now().Add(long), DedupUntil: by}, nil)
-			if a.Result != c.want || (len(whole) == 1) == c.late || (a.Refused == permit.DedupWindowExpired) != c.late {
-				t.Errorf("%v, refused as %v, whole at the endpoint: %t", a.Result, a.Refused, len(whole) == 1)
+			a, _ := p.Begin(new(Cancellation), Endpoint{"s", addr}, req, Constraints{Deadline: time.Now().Add(longTimeout), DedupUntil: windowEnd}, nil)
+			if a.Result != c.want || (len(received) == 1) == c.late || (a.Refused == permit.DedupWindowExpired) != c.late {
+				t.Errorf("result %v, refused: %v, received completely: %t", a.Result, a.Refused, len(received) == 1)
 			}
 		})
 	}
 }
 
-// A repeat's body of some length waits for its endpoint to read, until its window is over: the
-// rest of it is not written.
-func TestLongBodyWaitsUntilTheWindowIsOver(t *testing.T) {
+// The endpoint does not read the long body of a retry until the deduplication window is
+// over: the remaining body must not be written.
+func TestLongBodyBeyondDedupWindow(t *testing.T) {
 	const usable = 50 * time.Millisecond
-	by := time.Now().Add(permit.MaxStall + usable)
-	whole := make(chan bool, 1)
+	windowEnd := time.Now().Add(permit.MaxStall + usable)
+	received := make(chan bool, 1)
 	addr := endpoint(t, func(conn net.Conn, r *bufio.Reader) {
-		<-time.After(time.Until(by.Add(-permit.MaxStall)) + time.Millisecond)
+		<-time.After(time.Until(windowEnd.Add(-permit.MaxStall)) + time.Millisecond)
 		req, err := http.ReadRequest(r)
 		if err == nil {
 			_, err = io.Copy(io.Discard, req.Body)
 		}
 		conn.Close()
-		whole <- err == nil
+		received <- err == nil
 	})
 	p := newTestPool(1, 300<<10)
-	p.dialer.Control = func(_, _ string, c syscall.RawConn) error { // little goes ahead of the reader
+	p.dialer.Control = func(_, _ string, c syscall.RawConn) error { // little is written ahead of the reader
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4<<10) })
 	}
 	body := make([]byte, 1<<20)
 	req := NewRequest(http.MethodPost, "/order", "b", int64(len(body)), http.Header{"Req-Id": {"1"}, "Idempotency-Key": {"k"}}, func(string) bool { return false })
 	req.Body = body
-	a, _ := p.Begin(new(Cancellation), Endpoint{"s", addr}, req, Constraints{Deadline: time.Now().Add(long), DedupUntil: by}, nil)
-	if a.Result != policy.NotSent || a.Refused != permit.DedupWindowExpired || <-whole {
-		t.Errorf("%v, refused as %v", a.Result, a.Refused)
+	a, _ := p.Begin(new(Cancellation), Endpoint{"s", addr}, req, Constraints{Deadline: time.Now().Add(longTimeout), DedupUntil: windowEnd}, nil)
+	if a.Result != policy.NotSent || a.Refused != permit.DedupWindowExpired || <-received {
+		t.Errorf("result %v, refused: %v", a.Result, a.Refused)
 	}
 }
--- a/internal/upstream/idle_limits.go
+++ b/internal/upstream/idle_limits.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// lasting is how long an endpoint lets a connection rest, as far as its connections have
-// told, by endpoint. Endpoints are told to keep theirs for a while; some don't: a server
-// that was set up by other hands ends them sooner, and a request that crosses that is lost
-// unless it may be sent again.
+// idleLimits is, by endpoint, the observed limit on how long a connection may be idle.
+// Endpoints are required to keep idle connections for a while, but a server configured by
+// others may close them sooner, and a request that crosses the close is lost unless it can
+// be retried.
 //
-// What is known is the shortest rest after which one was found ended. A restart ends them
-// all at once, however long they would have lasted, so one that is used again after as
-// long a rest disproves it; until then it costs connections.
-type lasting map[Endpoint]time.Duration
+// A limit is the shortest idle time after which a connection was found closed. A restart
+// closes all connections regardless of their idle time, so a reuse after an equal idle time
+// disproves the limit; until then it costs connections.
+type idleLimits map[Endpoint]time.Duration
 
-// mostLasting bounds the endpoints of which something is known.
-const mostLasting = 1024
+// maxIdleLimits bounds the number of endpoints with a limit.
+const maxIdleLimits = 1024
 
-// ended notes that a connection was found ended after a rest.
-func (l lasting) ended(e Endpoint, rest time.Duration) {
-	known, ok := l[e]
-	if ok && known <= rest {
+// recordClosed records that a connection was found closed after an idle time.
+func (l idleLimits) recordClosed(e Endpoint, idleFor time.Duration) {
+	observed, ok := l[e]
+	if ok && observed <= idleFor {
 		return
 	}
 	for other := range l {
-		if ok || len(l) < mostLasting {
+		if ok || len(l) < maxIdleLimits {
 			break
 		}
-		delete(l, other) // any: what it knew shows again
+		delete(l, other) // an arbitrary one: its limit will be observed again
 	}
-	l[e] = rest
+	l[e] = idleFor
 }
 
-// served notes that a connection served another request after a rest.
-func (l lasting) served(e Endpoint, rest time.Duration) {
-	if known, ok := l[e]; ok && rest >= known {
+// recordReused records that a connection served another request after an idle time.
+func (l idleLimits) recordReused(e Endpoint, idleFor time.Duration) {
+	if observed, ok := l[e]; ok && idleFor >= observed {
 		delete(l, e)
 	}
 }
 
-// most is the longest rest after which a connection may be used for a request that can't
-// be sent again, where otherwise it is usual.
-func (l lasting) most(e Endpoint, usual time.Duration) time.Duration {
-	if known, ok := l[e]; ok {
-		return min(usual, time.Duration(float64(known)*idlePart))
+// limit returns the longest idle time after which a connection may be used for a request
+// that can't be retried; without an observed limit that is defaultLimit.
+func (l idleLimits) limit(e Endpoint, defaultLimit time.Duration) time.Duration {
+	if observed, ok := l[e]; ok {
+		return min(defaultLimit, time.Duration(float64(observed)*idleFraction))
 	}
-	return usual
+	return defaultLimit
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,8 +1,8 @@
-// Package upstream makes attempts on endpoints: one attempt is one request
-// written on one connection, and how that ended. It repeats nothing that the
-// endpoint may have seen whole. net/http's Transport is no choice here: it
-// sends GETs and keyed requests again by itself, dials spare connections, and
-// does not tell whether a request's last byte was written.
+// Package upstream makes attempts on endpoints: an attempt is one request
+// written on one connection, and its result. It never resends a request that an
+// endpoint may have received in full. net/http's Transport is unsuitable here: it
+// retries GETs and keyed requests by itself, dials spare connections, and
+// does not report whether the last byte of a request was written.
 package upstream
 
 import (
@@ -22,98 +22,98 @@
 	"spokegw/internal/peek"
 )
 
-// Pool keeps the connections to endpoints. It never holds more than its limit
-// of them, idle ones included.
+// Pool is a connection pool for endpoints. It never holds more connections than
+// its limit, idle ones included.
 type Pool struct {
-	dialer  net.Dialer
-	maxIdle time.Duration
-	settle  time.Duration
-	stall   time.Duration     // that a stream may take for its next piece
-	long    *budget.Partition // bytes that answers over maxBody may hold together
-	slots   *budget.Partition // one for every connection that is open or being made
-	sent    *atomic.Uint64
-	mu      sync.Mutex
-	closed  bool                 // nothing is kept any more
-	idle    map[Endpoint][]*conn // the latest used last
-	lasting lasting
+	dialer        net.Dialer
+	maxIdle       time.Duration
+	reuseDelay    time.Duration
+	streamTimeout time.Duration     // timeout for the next piece of a streamed answer or body
+	streamBytes   *budget.Partition // bytes that answers over maxBufferedBody may hold together
+	slots         *budget.Partition // one for each connection that is open or being dialled
+	sentCount     *atomic.Uint64
+	mu            sync.Mutex
+	closed        bool                 // no connection is kept any more
+	idle          map[Endpoint][]*conn // the most recently used last
+	idleLimits    idleLimits
 }
 
-// Endpoint is where an attempt goes. A new endpoint may stand at the address of
-// one that has gone: what is kept of the old one is not for it.
+// Endpoint is the target of an attempt. A new endpoint may have the address of a
+// removed one and must not get the connections kept for it.
 type Endpoint struct{ ID, Addr string }
 
-// settle is how long a connection rests before it is used again. Something may
-// come behind an answer, as late as after the connection was put back, and
-// would be taken for the answer to the next request. It could cost connections
-// where one endpoint has more than one request in so long. What comes later
-// still is only noticed if it is there before the next request is written.
-const settle = 5 * time.Millisecond
+// reuseDelay is how long a connection stays idle before it is used again. Stray
+// bytes may arrive after an answer, even after the connection was put back, and
+// would be taken for the next answer. The cost is extra connections to an endpoint
+// with more than one request in this time. Bytes that arrive later are only
+// detected if they are there before the next request is written.
+const reuseDelay = 5 * time.Millisecond
 
-// idlePart is the part of the endpoints' idle time that a connection is used
-// for: they close theirs sooner than they say, and a request that crosses the
-// close is lost.
-const idlePart = 0.6
+// idleFraction is the fraction of an endpoint's idle timeout for which a connection
+// is used: endpoints close connections earlier than stated, and a request that
+// crosses the close is lost.
+const idleFraction = 0.6
 
-// Resources are what a pool may use beside those of other services.
+// Resources are what a pool shares with the pools of other services.
 type Resources struct {
 	Slots       *budget.Partition // connections
-	StreamBytes *budget.Partition // bytes of answers that are longer than the protocol has them
-	SentCount   *atomic.Uint64    // counts the attempts whose last byte was written; nil: nothing does
+	StreamBytes *budget.Partition // bytes of streamed answers, which are longer than the protocol states
+	SentCount   *atomic.Uint64    // counts the attempts whose last byte was written; nil: not counted
 }
 
-// NewPool makes a pool. An endpoint closes a connection that was idle for so
-// long.
-func NewPool(s Resources, connectTimeout, idle time.Duration) *Pool {
-	if s.SentCount == nil {
-		s.SentCount = new(atomic.Uint64)
+// NewPool makes a pool. idle is the time after which an endpoint closes an idle
+// connection.
+func NewPool(r Resources, connectTimeout, idle time.Duration) *Pool {
+	if r.SentCount == nil {
+		r.SentCount = new(atomic.Uint64)
 	}
 	return &Pool{
-		dialer:  net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
-		maxIdle: time.Duration(float64(idle) * idlePart),
-		settle:  settle,
-		stall:   streamPatience,
-		long:    s.StreamBytes,
-		slots:   s.Slots,
-		sent:    s.SentCount,
-		idle:    map[Endpoint][]*conn{},
-		lasting: lasting{},
+		dialer:        net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
+		maxIdle:       time.Duration(float64(idle) * idleFraction),
+		reuseDelay:    reuseDelay,
+		streamTimeout: streamTimeout,
+		streamBytes:   r.StreamBytes,
+		slots:         r.Slots,
+		sentCount:     r.SentCount,
+		idle:          map[Endpoint][]*conn{},
+		idleLimits:    idleLimits{},
 	}
 }
 
 // conn is a connection to an endpoint.
 type conn struct {
 	*net.TCPConn
-	pool   *Pool
-	to     Endpoint
-	r      *bufio.Reader // holds the longest head there may be
-	rested time.Time     // idle since; zero: new
-	rest   time.Duration // before it was used this time
-	body   body          // of the answer that is read
-	clock  clock         // of the attempt that is made
-	cut    func()        // ends what is under way on it, made once
+	pool      *Pool
+	endpoint  Endpoint
+	r         *bufio.Reader // large enough for the longest head allowed
+	idleSince time.Time     // zero: new
+	idleFor   time.Duration // before its current use
+	body      body          // of the answer being read
+	timer     attemptTimer  // of the current attempt
+	interrupt func()        // interrupts I/O in progress; allocated once
 }
 
 var errNoSlot = errors.New("all upstream connections are in use")
 
-// kept takes an idle connection to e that is still good; nil: there is none. once tells
-// that it is for a request that can't be sent again.
-func (p *Pool) kept(e Endpoint, once bool) *conn {
-	for c := p.pop(e, once); c != nil; c = p.pop(e, once) {
-		// Endpoints close early, and send what nobody asked for: that would be taken for
-		// the answer to this request.
+// idleConn takes a usable idle connection to e; nil: there is none. noRetry states
+// that the request can't be retried.
+func (p *Pool) idleConn(e Endpoint, noRetry bool) *conn {
+	for c := p.pop(e, noRetry); c != nil; c = p.pop(e, noRetry) {
+		// Endpoints close early and send unsolicited bytes, which would be taken for the
+		// answer to this request.
 		n, closed := peek.Peek(c.TCPConn)
-		if c.rest < p.maxIdle && n == 0 && !closed && c.r.Buffered() == 0 {
+		if c.idleFor < p.maxIdle && n == 0 && !closed && c.r.Buffered() == 0 {
 			return c
 		}
 		if closed && n == 0 {
-			p.broke(c)
+			p.recordPeerClose(c)
 		}
 		p.discard(c)
 	}
 	return nil
 }
 
-// dial makes a connection.
+// dial opens a connection.
 func (p *Pool) dial(ctx context.Context, e Endpoint) (*conn, error) {
 	if err := p.reserve(ctx); err != nil {
 		return nil, err
@@ -123,23 +123,23 @@
 		p.slots.Release(1)
 		return nil, err
 	}
-	c := &conn{TCPConn: nc.(*net.TCPConn), pool: p, to: e, r: bufio.NewReaderSize(nc, framing.MaxHead)}
-	c.cut = func() { c.SetDeadline(time.Unix(1, 0)) }
-	c.clock.unread = c.unread
+	c := &conn{TCPConn: nc.(*net.TCPConn), pool: p, endpoint: e, r: bufio.NewReaderSize(nc, framing.MaxHead)}
+	c.interrupt = func() { c.SetDeadline(time.Unix(1, 0)) }
+	c.timer.readable = c.readable
 	return c, nil
 }
 
-// unread reports whether something waits to be read from the socket, or the other side has
-// closed it.
-func (c *conn) unread() bool {
+// readable reports whether the socket has unread bytes, or the peer has closed the
+// connection.
+func (c *conn) readable() bool {
 	n, closed := peek.Peek(c.TCPConn)
 	return n > 0 || closed
 }
 
-// reserve makes room for one more connection, at the cost of the one idle
-// longest where need be, of this service or of one that has more than its
-// reserve. With all in use it waits no longer than a connection may take to come
-// up: nothing was sent, so giving up then is harmless.
+// reserve takes a slot for a new connection. If none is free it evicts the connection
+// idle longest, of this service or of one that exceeds its reserve. With all slots in
+// use it waits no longer than the connect timeout: nothing was sent, so failing then
+// is harmless.
 func (p *Pool) reserve(ctx context.Context) error {
 	if p.slots.TryAcquire(1) {
 		return nil
@@ -147,7 +147,7 @@
 	wait := time.NewTimer(p.dialer.Timeout)
 	defer wait.Stop()
 	for {
-		freed := p.slots.Freed() // before looking, so that nothing that comes meanwhile is missed
+		freed := p.slots.Freed() // before the attempt, so that no release in between is missed
 		if p.slots.TryAcquire(1) {
 			return nil
 		}
@@ -164,18 +164,18 @@
 	}
 }
 
-// ownWant reports whether a connection could not be had for want of something of
-// this sidecar's machine: a place, a descriptor, a port, memory (connect(2)).
-func ownWant(err error) bool {
-	for _, want := range []error{errNoSlot, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, want) {
+// isLocalExhaustion reports whether connecting failed because this machine lacks a
+// resource: a slot, a descriptor, a port or memory (connect(2)).
+func isLocalExhaustion(err error) bool {
+	for _, resource := range []error{errNoSlot, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, resource) {
 			return true
 		}
 	}
 	return false
 }
 
-// EvictIdle closes the connection that is idle longest; it reports false where
+// EvictIdle closes the connection that has been idle longest; it returns false if
 // there is none.
 func (p *Pool) EvictIdle() bool {
 	c := p.popOldest()
@@ -185,21 +185,21 @@
 	return c != nil
 }
 
-// pop takes the connection to e that was used last, of those that have settled and, for
-// a request that is sent once, that e is sure to keep for now.
-func (p *Pool) pop(e Endpoint, once bool) *conn {
+// pop takes the most recently used connection to e that has been idle for reuseDelay
+// and, for a request that can't be retried, that e is expected to keep open.
+func (p *Pool) pop(e Endpoint, noRetry bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, most := p.idle[e], p.maxIdle
-	if once {
-		most = p.lasting.most(e, most)
+	list, limit := p.idle[e], p.maxIdle
+	if noRetry {
+		limit = p.idleLimits.limit(e, limit)
 	}
-	now := time.Now() // once: where many rest it would be read for each
+	now := time.Now() // read once, as there may be many idle connections
 	for i := len(list) - 1; i >= 0; i-- {
-		rest := now.Sub(list[i].rested)
-		if rest >= p.settle && (rest < most || rest >= p.maxIdle) {
+		idleFor := now.Sub(list[i].idleSince)
+		if idleFor >= p.reuseDelay && (idleFor < limit || idleFor >= p.maxIdle) {
 			c := list[i]
-			c.rest = rest
+			c.idleFor = idleFor
 			p.setIdle(e, slices.Delete(list, i, i+1))
 			return c
 		}
@@ -207,11 +207,11 @@
 	return nil
 }
 
-// broke notes that a kept connection was ended by its endpoint while it rested, or as its
-// next request was written.
-func (p *Pool) broke(c *conn) {
+// recordPeerClose records that the endpoint closed a kept connection while it was idle
+// or as the next request was written.
+func (p *Pool) recordPeerClose(c *conn) {
 	p.mu.Lock()
-	p.lasting.ended(c.to, c.rest)
+	p.idleLimits.recordClosed(c.endpoint, c.idleFor)
 	p.mu.Unlock()
 }
 
@@ -220,12 +220,12 @@
 	defer p.mu.Unlock()
 	var oldest *conn
 	for _, list := range p.idle {
-		if oldest == nil || list[0].rested.Before(oldest.rested) {
+		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
 			oldest = list[0]
 		}
 	}
 	if oldest != nil {
-		p.setIdle(oldest.to, p.idle[oldest.to][1:])
+		p.setIdle(oldest.endpoint, p.idle[oldest.endpoint][1:])
 	}
 	return oldest
 }
@@ -238,39 +238,39 @@
 	}
 }
 
-// RemoveEndpoint closes the idle connections to an endpoint that gets no more requests.
-// Those in use are closed some time after they have come back.
+// RemoveEndpoint closes the idle connections to an endpoint that gets no more
+// requests. Those in use are closed some time after they are put back.
 func (p *Pool) RemoveEndpoint(e Endpoint) {
 	p.mu.Lock()
 	list := p.idle[e]
 	delete(p.idle, e)
-	delete(p.lasting, e)
+	delete(p.idleLimits, e)
 	p.mu.Unlock()
 	for _, c := range list {
 		p.discard(c)
 	}
 }
 
-// put keeps a connection for the next request.
+// put returns a connection to the pool for the next request.
 func (p *Pool) put(c *conn) {
 	c.SetDeadline(time.Time{})
-	c.rested = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	closed := p.closed
 	if !closed {
-		p.idle[c.to] = append(p.idle[c.to], c)
-		p.lasting.served(c.to, c.rest)
+		p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
+		p.idleLimits.recordReused(c.endpoint, c.idleFor)
 	}
 	p.mu.Unlock()
 	if closed {
 		p.discard(c)
 		return
 	}
-	p.slots.NotifyIdle() // a request that waits for a place needs it more
+	p.slots.NotifyIdle() // a request that waits for a slot takes precedence
 }
 
-// Close closes the idle connections, and those in use as they come back. What
-// is under way goes on.
+// Close closes the idle connections, and those in use when they are put back.
+// Attempts in progress continue.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -281,12 +281,12 @@
 
 func (p *Pool) discard(c *conn) {
 	c.Close()
-	c.clock.close()
+	c.timer.close()
 	p.slots.Release(1)
 }
 
-// Sweep closes what has been idle for too long. It is to be called now and
-// then: endpoints that are gone would else keep their connections for ever.
+// Sweep closes connections that have been idle for too long. It has to be called
+// regularly: otherwise connections to removed endpoints would never be closed.
 func (p *Pool) Sweep() {
 	for {
 		c := p.popExpired()
@@ -301,7 +301,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for e, list := range p.idle {
-		if c := list[0]; time.Since(c.rested) >= p.maxIdle {
+		if c := list[0]; time.Since(c.idleSince) >= p.maxIdle {
 			p.setIdle(e, list[1:])
 			return c
 		}
@@ -309,5 +309,5 @@
 	return nil
 }
 
-// OpenConns counts the connections that are open or being made.
+// OpenConns returns the number of connections that are open or being dialled.
 func (p *Pool) OpenConns() int { return int(p.slots.Used()) }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -11,133 +11,133 @@
 	"time"
 )
 
-// Stream is the rest of a long answer, read as it is passed on. It holds its
-// endpoint's connection until it is closed, and little memory: who reads slowly
-// is slowed down by that, and so the endpoint is.
+// Stream is the remaining body of a long answer, read as it is passed on. It holds the
+// connection until it is closed, but little memory: a slow reader slows down the endpoint
+// by backpressure.
 type Stream struct {
-	conn *conn
-	end  *Cancellation
-	body io.Reader
-	done chan struct{}
-	once sync.Once
+	conn         *conn
+	cancellation *Cancellation
+	body         io.Reader
+	done         chan struct{}
+	once         sync.Once
 
 	aborted atomic.Bool
 
 	// Set before done is closed.
-	whole, failed, keep bool
+	complete, failed, keep bool
 }
 
-// startStream makes the rest of an answer a stream.
-func (c *conn) startStream(end *Cancellation, a *Answer, body io.Reader, keep bool) error {
-	if !c.pool.long.TryAcquire(streamRoom) {
-		return errNoRoom
+// startAnswerStream makes the remaining body of an answer a stream.
+func (c *conn) startAnswerStream(cancellation *Cancellation, a *Answer, body io.Reader, keep bool) error {
+	if !c.pool.streamBytes.TryAcquire(streamBufferSize) {
+		return errNoStreamBuffer
 	}
-	a.free = func() { c.pool.long.Release(streamRoom) }
-	a.Stream = &Stream{conn: c, end: end, body: body, done: make(chan struct{}), keep: keep}
+	a.release = func() { c.pool.streamBytes.Release(streamBufferSize) }
+	a.Stream = &Stream{conn: c, cancellation: cancellation, body: body, done: make(chan struct{}), keep: keep}
 	return nil
 }
 
-// Read reads what comes next. io.EOF tells that the answer was whole; any other
-// error that it was not, or that the endpoint has been silent for too long.
+// Read returns io.EOF when the answer is complete; any other error means that it is
+// truncated, or that the endpoint has been silent for too long.
 func (s *Stream) Read(b []byte) (int, error) {
-	s.conn.SetReadDeadline(time.Now().Add(s.conn.pool.stall))
-	switch { // either may have set another deadline just before
+	s.conn.SetReadDeadline(time.Now().Add(s.conn.pool.streamTimeout))
+	switch { // either may have set a deadline that was just replaced
 	case s.aborted.Load():
-		return 0, errUnwanted
-	case s.end.Cause() != nil:
+		return 0, errNotWanted
+	case s.cancellation.Cause() != nil:
 		s.failed = true
-		return 0, s.end.Cause()
+		return 0, s.cancellation.Cause()
 	}
 	n, err := s.body.Read(b)
 	switch {
 	case errors.Is(err, io.EOF):
-		s.whole = true
+		s.complete = true
 	case err != nil:
 		s.failed = !s.aborted.Load()
-		err = fmt.Errorf("the endpoint cut its answer off: %w", err)
+		err = fmt.Errorf("reading the remaining answer failed: %w", err)
 	}
 	return n, err
 }
 
-// Complete reports whether all of it has been read, and Failed whether the endpoint
-// ended it before that.
-func (s *Stream) Complete() bool { return s.whole }
+// Complete reports whether the whole stream has been read, and Failed whether the
+// endpoint ended it before that.
+func (s *Stream) Complete() bool { return s.complete }
 func (s *Stream) Failed() bool   { return s.failed }
 
-// Abort ends a Read that waits: its reader has gone. It may be called at any
+// Abort ends a blocked Read because the reader has disconnected. It may be called at any
 // time.
 func (s *Stream) Abort() {
 	s.aborted.Store(true)
 	s.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Close ends the stream. It is to be called once it is read, or is not to be.
+// Close ends the stream, whether or not it was read to its end. It must be called.
 func (s *Stream) Close() { s.once.Do(func() { close(s.done) }) }
 
-// startStream writes a request whose body is passed on as it comes.
-func startStream(c *conn, t *try, head []byte) *write {
-	w := &write{done: make(chan struct{})}
+// startBodyStream writes a request whose body is forwarded as it arrives.
+func startBodyStream(c *conn, t *transaction, head []byte) *requestWrite {
+	w := &requestWrite{done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
-		err := writeStream(c, t, head)
+		err := writeBodyStream(c, t, head)
 		if w.sent = err == nil; w.sent {
-			t.sentAll()
+			t.bodySent()
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.end.Cancel(errStopped) // an endpoint that reads no more need not be waited for; one that closed has maybe answered
+			t.cancellation.Cancel(errStalled) // an endpoint that stops reading is not waited for; one that closed may have answered
 		}
 	}()
 	return w
 }
 
-// writeStream writes head and body. The last piece, and with it the end of a
-// body in chunks, goes out only once the source has said that it is whole.
-func writeStream(c *conn, t *try, head []byte) error {
-	rest := t.req.Stream
-	put := func(parts net.Buffers) error {
-		c.SetWriteDeadline(time.Now().Add(c.pool.stall))
-		if t.end.Cause() != nil || !t.mayGoOn() {
-			return t.end.Cause()
+// writeBodyStream writes head and body. The last piece, and with it the end of a chunked
+// body, is written only once the source has reported that the body is complete.
+func writeBodyStream(c *conn, t *transaction, head []byte) error {
+	stream := t.req.Stream
+	send := func(parts net.Buffers) error {
+		c.SetWriteDeadline(time.Now().Add(c.pool.streamTimeout))
+		if t.cancellation.Cause() != nil || !t.mayContinue() {
+			return t.cancellation.Cause()
 		}
 		_, err := parts.WriteTo(c.TCPConn)
 		return err
 	}
 	chunk := func(b []byte) net.Buffers {
-		if !rest.Chunked {
+		if !stream.Chunked {
 			return net.Buffers{b}
 		}
 		return net.Buffers{fmt.Appendf(nil, "%x\r\n", len(b)), b, []byte("\r\n")}
 	}
-	if err := put(net.Buffers{head}); err != nil {
+	if err := send(net.Buffers{head}); err != nil {
 		return err
 	}
 	if len(t.req.Body) > 0 {
-		if err := put(chunk(t.req.Body)); err != nil {
+		if err := send(chunk(t.req.Body)); err != nil {
 			return err
 		}
 	}
-	if rest.taken.Swap(true) {
-		t.end.Cancel(errSource) // no fault of this endpoint's
-		return errSource
+	if stream.claimed.Swap(true) {
+		t.cancellation.Cancel(errIncompleteBody) // not a failure of the endpoint
+		return errIncompleteBody
 	}
-	buf := make([]byte, streamRoom)
+	buf := make([]byte, streamBufferSize)
 	for {
-		n, err := rest.Source.Read(buf)
+		n, err := stream.Source.Read(buf)
 		if n > 0 {
-			if err := put(chunk(buf[:n])); err != nil {
+			if err := send(chunk(buf[:n])); err != nil {
 				return err
 			}
 		}
 		switch {
-		case err == io.EOF && rest.Chunked:
-			return put(net.Buffers{[]byte("0\r\n\r\n")})
+		case err == io.EOF && stream.Chunked:
+			return send(net.Buffers{[]byte("0\r\n\r\n")})
 		case err == io.EOF:
 			return nil
 		case err != nil:
-			t.end.Cancel(errSource) // the request never comes whole: the endpoint need not wait
+			t.cancellation.Cancel(errIncompleteBody) // the request will stay incomplete: the endpoint need not wait
 			return err
 		}
 	}
 }
 
-var errSource = errors.New("the body did not come whole")
+var errIncompleteBody = errors.New("the request body is incomplete")
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -6,43 +6,43 @@
 	"sync"
 )
 
-// write is the writing of a request. A long one goes on while the answer is
-// read: the endpoint may answer, and turn away, before it has read it all.
-type write struct {
-	done chan struct{} // closed when it is over; nil: it is
+// requestWrite is the write of a request. A long one continues while the answer is read:
+// the endpoint may answer, also to decline, before it has read the whole request.
+type requestWrite struct {
+	done chan struct{} // closed when the write is over; nil: it is
 	sent bool          // the last byte was written
 }
 
-// inlineBuffers are what short requests are written from: a write that does not wait is
-// over when the buffer goes back.
-var inlineBuffers = sync.Pool{New: func() any { return new([inlineWrite]byte) }}
+// inlineBuffers hold short requests while they are written. The write does not block, so
+// it is over when the buffer is put back.
+var inlineBuffers = sync.Pool{New: func() any { return new([inlineWriteSize]byte) }}
 
-// deadlineRoom is what the deadline's value, in microseconds, and the end of the head take
-// at most.
-const deadlineRoom = 32
+// maxDeadlineLen is the maximum length, in bytes, of the deadline's value, in microseconds,
+// and the end of the head.
+const maxDeadlineLen = 32
 
-// deadline ends a head with what is left of the request's time.
-func deadline(head []byte, t *try) []byte {
-	head = strconv.AppendInt(head, max(t.left().Microseconds(), 1), 10)
+// appendDeadline completes a head with the remaining time of the request.
+func appendDeadline(head []byte, t *transaction) []byte {
+	head = strconv.AppendInt(head, max(t.remaining().Microseconds(), 1), 10)
 	return append(head, "u\r\n\r\n"...)
 }
 
-func startWrite(c *conn, t *try) *write {
+func startWrite(c *conn, t *transaction) *requestWrite {
 	req := t.req
-	short := req.Stream == nil && len(req.Head)+deadlineRoom+len(req.Body) <= inlineWrite
+	short := req.Stream == nil && len(req.Head)+maxDeadlineLen+len(req.Body) <= inlineWriteSize
 	if short {
-		buf := inlineBuffers.Get().(*[inlineWrite]byte)
-		head := append(deadline(append(buf[:0], req.Head...), t), req.Body...)
-		n, _ := c.TCPConn.Write(head) // an error shows in the answer
+		buf := inlineBuffers.Get().(*[inlineWriteSize]byte)
+		head := append(appendDeadline(append(buf[:0], req.Head...), t), req.Body...)
+		n, _ := c.TCPConn.Write(head) // reading the answer reports the error
 		inlineBuffers.Put(buf)
 		t.write.sent = n == len(head)
 		return &t.write
 	}
-	head := deadline(append(make([]byte, 0, len(req.Head)+deadlineRoom), req.Head...), t)
+	head := appendDeadline(append(make([]byte, 0, len(req.Head)+maxDeadlineLen), req.Head...), t)
 	if req.Stream != nil {
-		return startStream(c, t, head)
+		return startBodyStream(c, t, head)
 	}
-	w := &write{done: make(chan struct{})}
+	w := &requestWrite{done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		w.sent = writeLong(c, t, head)
@@ -50,32 +50,32 @@
 	return w
 }
 
-// lastPart is the end of a long body, in bytes, which is written by itself.
-const lastPart = 1 << 10
+// lastPartSize is the size, in bytes, of the end of a long body, which is written separately.
+const lastPartSize = 1 << 10
 
-// writeLong writes a request that the socket may not take at once. An endpoint begins with the
-// last byte, so whether that may be written is asked once more. It reports whether it was.
-func writeLong(c *conn, t *try, head []byte) bool {
+// writeLong writes a request that may exceed the socket buffer. An endpoint begins on the last
+// byte, so the permission is checked again before it. It reports whether all was written.
+func writeLong(c *conn, t *transaction, head []byte) bool {
 	body := t.req.Body
-	parts := net.Buffers{head, body[:max(len(body)-lastPart, 0)]}
+	parts := net.Buffers{head, body[:max(len(body)-lastPartSize, 0)]}
 	switch _, err := parts.WriteTo(c.TCPConn); {
 	case err != nil || len(body) == 0:
 		return err == nil
-	case !t.mayGoOn():
+	case !t.mayContinue():
 		return false
 	}
-	_, err := c.TCPConn.Write(body[max(len(body)-lastPart, 0):])
+	_, err := c.TCPConn.Write(body[max(len(body)-lastPartSize, 0):])
 	return err == nil
 }
 
-// wait waits until the write is over.
-func (w *write) wait() {
+// wait blocks until the write is over.
+func (w *requestWrite) wait() {
 	if w.done != nil {
 		<-w.done
 	}
 }
 
-func (w *write) over() bool {
+func (w *requestWrite) finished() bool {
 	if w.done == nil {
 		return true
 	}
