--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// The table against trying every prefix there is.
+// Compares Find with a search over all prefixes.
 func TestFindIsLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefix := rapid.StringMatching(`(/[ab]{1,2}){1,4}`)
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -1,16 +1,15 @@
-// Package target states the one reading of a request's target (RFC 9112
-// section 3.2, RFC 3986 section 3.3). A contract allows calls by their path, so
-// a path that this sidecar and an endpoint could read in two ways walks round
-// it: an endpoint that resolves dots serves /order to a team that asked for
-// /map-tile/../order. Nothing is rewritten here: what has one reading is
-// matched and sent on byte for byte, what has two is refused.
+// Package target validates that a request target has exactly one interpretation (RFC 9112
+// section 3.2, RFC 3986 section 3.3). Contracts allow calls by path, so a path that this
+// sidecar and an endpoint could interpret differently would bypass them: an endpoint that
+// resolves dot segments serves /order to a team that requested /map-tile/../order. Targets are
+// not rewritten: an unambiguous one is matched and forwarded byte for byte, an ambiguous one is
+// refused.
 //
-// It guards against dot segments, encoded or not, encoded slashes, double
-// encoding, empty segments, path parameters, encoded letters and digits, and
-// bytes that some readers cut a path at. It does harm to a service that needs
-// such paths: those can't be put behind this sidecar. What an endpoint makes of
-// upper and lower case, or of suffixes such as ".json", is not covered: classes
-// are matched with case, and by whole segments.
+// Refused are dot segments, encoded or not, encoded slashes, double encoding, empty segments,
+// path parameters, encoded letters and digits, and bytes at which some parsers truncate a path.
+// Services that need such paths can't be used behind this sidecar. An endpoint that ignores
+// case or suffixes such as ".json" is not covered: classes are matched case-sensitively and by
+// whole segments.
 package target
 
 import (
@@ -18,31 +17,31 @@
 	"strings"
 )
 
-// MaxLength bounds a target, in bytes.
+// MaxLength is the maximum length of a target, in bytes.
 const MaxLength = 4 << 10
 
-// OriginForm is the origin-form of a target that may be in absolute-form, which
-// servers have to take (RFC 9112 section 3.2.2): without scheme and authority.
+// OriginForm returns the origin-form of a target that may be in absolute-form, without scheme
+// and authority. Servers have to accept both (RFC 9112 section 3.2.2).
 func OriginForm(raw string) string {
 	for _, scheme := range []string{"http://", "https://"} {
 		if len(raw) < len(scheme) || !strings.EqualFold(raw[:len(scheme)], scheme) {
 			continue
 		}
-		rest := raw[len(scheme):]
-		i := strings.IndexAny(rest, "/?#")
+		remaining := raw[len(scheme):]
+		i := strings.IndexAny(remaining, "/?#")
 		switch {
 		case i < 0:
 			return "/"
-		case rest[i] == '/':
-			return rest[i:]
+		case remaining[i] == '/':
+			return remaining[i:]
 		}
-		return "/" + rest[i:]
+		return "/" + remaining[i:]
 	}
 	return raw
 }
 
-// Split checks a target in origin-form and returns its path and query, as they
-// stand there. The error names the place and what is wrong with it.
+// Split validates a target in origin-form and returns its path and query unchanged. The error
+// states the position and the fault.
 func Split(raw string) (path, query string, err error) {
 	if len(raw) > MaxLength {
 		return "", "", fmt.Errorf("the target has %d bytes, %d are allowed", len(raw), MaxLength)
@@ -94,8 +93,8 @@
 	return nil
 }
 
-// checkEscape checks the percent-encoding that s begins with. Encoded bytes that
-// need not be, or that mean something plain, are read in two ways.
+// checkEscape checks the percent-encoding that s begins with. Encoded bytes that need no
+// encoding, or that have a meaning unencoded, are ambiguous.
 func checkEscape(s string) error {
 	if len(s) < 3 {
 		return fmt.Errorf("ends in a percent sign")
@@ -111,7 +110,7 @@
 	return nil
 }
 
-// isUnreserved: RFC 3986 section 2.3, the bytes that mean the same encoded.
+// isUnreserved reports whether c is equivalent to its encoded form (RFC 3986 section 2.3).
 func isUnreserved(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// FuzzSplit holds what is taken to one reading: decoding, resolving dots,
-// merging slashes and cutting parameters, in any order, lead to the same path.
+// FuzzSplit checks that an accepted target has one interpretation: decoding, resolving dots,
+// merging slashes and removing parameters, in any order, give the same path.
 func FuzzSplit(f *testing.F) {
 	for _, s := range []string{"/a/b?c", "/a/%2e%2e/b", "/a;b/c", "//a", "/a%2fb", "/%41", "/a/%25%32%65", "/a/"} {
 		f.Add(s)
@@ -66,23 +66,23 @@
 		if err != nil {
 			return
 		}
-		if again := p + "?" + query; again != raw && p != raw {
-			t.Fatalf("%q was taken as %q", raw, again)
+		if joined := p + "?" + query; joined != raw && p != raw {
+			t.Fatalf("%q was accepted as %q", raw, joined)
 		}
-		plain, err := url.PathUnescape(p)
+		decoded, err := url.PathUnescape(p)
 		if err != nil {
 			t.Fatalf("%q: %v", p, err)
 		}
-		twice, err := url.PathUnescape(plain)
-		if err != nil || twice != plain {
-			t.Fatalf("%q means %q decoded once and %q decoded twice", p, plain, twice)
+		decodedTwice, err := url.PathUnescape(decoded)
+		if err != nil || decodedTwice != decoded {
+			t.Fatalf("%q means %q decoded once and %q decoded twice", p, decoded, decodedTwice)
 		}
 		trim := func(s string) string { return "/" + strings.Trim(s, "/") }
-		if trim(path.Clean(plain)) != trim(plain) {
-			t.Fatalf("%q means %q, and %q with its dots resolved", p, plain, path.Clean(plain))
+		if trim(path.Clean(decoded)) != trim(decoded) {
+			t.Fatalf("%q means %q, and %q with its dots resolved", p, decoded, path.Clean(decoded))
 		}
-		if strings.Count(plain, "/") != strings.Count(p, "/") || strings.ContainsAny(plain, ";\\") {
-			t.Fatalf("%q has other segments decoded: %q", p, plain)
+		if strings.Count(decoded, "/") != strings.Count(p, "/") || strings.ContainsAny(decoded, ";\\") {
+			t.Fatalf("%q has different segments when decoded: %q", p, decoded)
 		}
 	})
 }
--- a/internal/wheel/queue_test.go
+++ b/internal/wheel/queue_test.go
@@ -7,32 +7,32 @@
 	"pgregory.net/rapid"
 )
 
-// Beside a map: a value is due once, and not after it was taken back; an ID that is over
-// takes back nothing; and there are no more numbers than were in use at once.
-func TestQueueAgainstPlain(t *testing.T) {
+// Compares the queue with a map: a value is due once, and not after its timer was cancelled; an
+// expired ID cancels nothing; and no more numbers are used than timers were set at once.
+func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q, now, next, most := NewQueue[int](time.Millisecond), time.Duration(0), 0, 0
+		q, now, next, maxSet := NewQueue[int](time.Millisecond), time.Duration(0), 0, 0
 		set, ids := map[int]time.Duration{}, map[int]ID{}
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
 				at := now + time.Duration(rapid.IntRange(0, 300).Draw(t, "in"))*time.Millisecond
 				next++
 				set[next], ids[next] = at, q.Add(at, next)
-				most = max(most, len(set))
+				maxSet = max(maxSet, len(set))
 			},
 			"cancel": func(t *rapid.T) {
-				v := rapid.IntRange(1, max(next, 1)).Draw(t, "value") // also what is over, or never was
-				_, is := set[v]
-				if took := q.Cancel(ids[v]); took != is {
-					t.Fatalf("%d: taken back %v, set %v", v, took, is)
+				v := rapid.IntRange(1, max(next, 1)).Draw(t, "value") // may be expired or never set
+				_, isSet := set[v]
+				if cancelled := q.Cancel(ids[v]); cancelled != isSet {
+					t.Fatalf("%d: cancelled %v, set %v", v, cancelled, isSet)
 				}
 				delete(set, v)
 			},
 			"time": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(0, 200).Draw(t, "passes")) * time.Millisecond
 				q.Advance(now, func(v int) {
-					if at, is := set[v]; !is || at > now {
-						t.Fatalf("%d is due at %v, set %v for %v", v, now, is, at)
+					if at, isSet := set[v]; !isSet || at > now {
+						t.Fatalf("%d is due at %v, set %v for %v", v, now, isSet, at)
 					}
 					delete(set, v)
 				})
@@ -43,16 +43,16 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if q.Len() != len(set) || len(q.of) > most {
-					t.Fatalf("%d set, %d numbers; %d and at most %d are expected", q.Len(), len(q.of), len(set), most)
+				if q.Len() != len(set) || len(q.entries) > maxSet {
+					t.Fatalf("%d set, %d numbers; want %d and at most %d", q.Len(), len(q.entries), len(set), maxSet)
 				}
 			},
 		})
 	})
 }
 
-// A request's timer is set and taken back long before it is due.
-func BenchmarkSetAndTakeBack(b *testing.B) {
+// Typical use: the timer of a request is set and cancelled long before it is due.
+func BenchmarkSetAndCancel(b *testing.B) {
 	b.Run("queue", func(b *testing.B) {
 		b.ReportAllocs()
 		q, now := NewQueue[int](time.Millisecond), time.Duration(0)
--- a/internal/wheel/rapid_test.go
+++ b/internal/wheel/rapid_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The same verdict every time; another course is tried with -rapid.seed=N.
+// Fixed seed for reproducible runs; use -rapid.seed=N for another one.
 func init() { flag.Set("rapid.seed", "1") }
--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -1,8 +1,7 @@
-// Package wheel tells which of many timers are due: a hierarchical timing wheel
-// (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987, scheme 7), in
-// which setting, changing and taking back a timer costs the same however many there
-// are. It is pure: the time is told. Beside a heap and a map that is swept it is in
-// bench/structures.
+// Package wheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical
+// Timing Wheels", 1987, scheme 7): setting, changing and cancelling a timer costs the same for
+// any number of timers. It reads no clock; the caller passes the time. bench/structures
+// compares it with a heap and with a map that is scanned.
 package wheel
 
 import (
@@ -11,24 +10,24 @@
 )
 
 const (
-	bitsOfLevel = 6
-	slots       = 1 << bitsOfLevel
-	levels      = 8
-	lastTick    = 1<<(bitsOfLevel*levels) - 1 // what is later is due then: 8,900 years of ms
+	levelBits = 6
+	slots     = 1 << levelBits
+	levels    = 8
+	lastTick  = 1<<(levelBits*levels) - 1 // later timers are due at this tick: 8,900 years of ms
 )
 
-// Wheel has at most one timer by each ID. IDs are to be small numbers: there is room
-// for all up to the greatest. It is for one goroutine.
+// Wheel holds at most one timer for each ID. IDs should be small numbers, since there is space
+// for all up to the greatest one. A Wheel must be used by one goroutine at a time.
 //
-// A timer stands on the level of the highest group of six bits in which its tick
-// differs from the present one, in the slot that those bits name. So all of a level
-// come before all of the next, no slot is ever passed by, and the earliest stands in
-// the first slot in use of the lowest level in use.
+// The level of a timer is the highest group of six bits in which its tick differs from the
+// current one, and its slot is the value of those bits. So all timers of a level are due before
+// those of the next, no slot is ever skipped, and the earliest timer is in the first used slot
+// of the lowest used level.
 type Wheel struct {
 	tick  time.Duration
 	now   uint64
 	heads [levels][slots]uint32 // id+1 of a slot's first timer; 0: none
-	used  [levels]uint64        // the slots that have one, by bit
+	used  [levels]uint64        // bit set of the non-empty slots
 	nodes []node                // by ID
 	set   int
 }
@@ -37,33 +36,33 @@
 type node struct {
 	at   uint64
 	next uint32 // id+1; 0: it is the last
-	prev uint32 // id+1, or first with level and slot; 0: the timer is not set
+	prev uint32 // id+1, or headFlag with level and slot; 0: the timer is not set
 }
 
-const first = 1 << 31
+const headFlag = 1 << 31
 
-// New makes a wheel whose timers are exact to a tick: none is due early, and each at
-// most a tick late.
+// New makes a wheel with a resolution of tick: no timer is due early, and each is at most one
+// tick late.
 func New(tick time.Duration) *Wheel { return &Wheel{tick: tick} }
 
-// Len is how many timers are set.
+// Len is the number of timers that are set.
 func (w *Wheel) Len() int { return w.set }
 
-// Set sets the timer of an ID, in the place of the one it had.
+// Set sets the timer of an ID, replacing its previous one.
 func (w *Wheel) Set(id uint32, at time.Duration) {
 	if w.Clear(id); int(id) >= len(w.nodes) {
 		w.nodes = append(w.nodes, make([]node, int(id)+1-len(w.nodes))...)
 	}
 	ticks := uint64(max(at, 0) / w.tick)
 	if at > time.Duration(ticks)*w.tick {
-		ticks++ // not before its time
+		ticks++ // round up, so that it is not early
 	}
 	w.nodes[id].at = max(w.now, min(ticks, lastTick))
 	w.insert(id)
 	w.set++
 }
 
-// Clear takes the timer of an ID back, if it is set.
+// Clear cancels the timer of an ID, if it is set.
 func (w *Wheel) Clear(id uint32) {
 	if !w.isSet(id) {
 		return
@@ -72,8 +71,8 @@
 	if n.next != 0 {
 		w.nodes[n.next-1].prev = n.prev
 	}
-	if n.prev&first != 0 {
-		level, slot := int(n.prev&^first)>>bitsOfLevel, n.prev&(slots-1)
+	if n.prev&headFlag != 0 {
+		level, slot := int(n.prev&^headFlag)>>levelBits, n.prev&(slots-1)
 		if w.heads[level][slot] = n.next; n.next == 0 {
 			w.used[level] &^= 1 << slot
 		}
@@ -86,12 +85,12 @@
 
 func (w *Wheel) isSet(id uint32) bool { return int(id) < len(w.nodes) && w.nodes[id].prev != 0 }
 
-// insert puts a timer that is in no list into that of its slot.
+// insert puts a timer that is in no list into the list of its slot.
 func (w *Wheel) insert(id uint32) {
 	n := &w.nodes[id]
-	level := max(bits.Len64(n.at^w.now)-1, 0) / bitsOfLevel
-	slot := n.at >> (level * bitsOfLevel) & (slots - 1)
-	n.prev, n.next = first|uint32(level<<bitsOfLevel)|uint32(slot), w.heads[level][slot]
+	level := max(bits.Len64(n.at^w.now)-1, 0) / levelBits
+	slot := n.at >> (level * levelBits) & (slots - 1)
+	n.prev, n.next = headFlag|uint32(level<<levelBits)|uint32(slot), w.heads[level][slot]
 	if n.next != 0 {
 		w.nodes[n.next-1].prev = id + 1
 	}
@@ -99,27 +98,28 @@
 	w.used[level] |= 1 << slot
 }
 
-// earliest is the first slot in use, and the tick it begins with.
+// earliest returns the first used slot and the tick that it begins with.
 func (w *Wheel) earliest() (level, slot int, begin uint64, ok bool) {
 	for level, used := range w.used {
 		if used != 0 {
-			slot, shift := bits.TrailingZeros64(used), level*bitsOfLevel
-			return level, slot, w.now>>(shift+bitsOfLevel)<<(shift+bitsOfLevel) | uint64(slot)<<shift, true
+			slot, shift := bits.TrailingZeros64(used), level*levelBits
+			return level, slot, w.now>>(shift+levelBits)<<(shift+levelBits) | uint64(slot)<<shift, true
 		}
 	}
 	return 0, 0, 0, false
 }
 
-// Next is the time before which no timer is due; ok is false where none is set. It may
-// be earlier than the first timer: then Advance only brings that nearer.
+// Next is the time before which no timer is due; ok is false if none is set. It may be earlier
+// than the first timer: Advance then only moves the timers to lower levels.
 func (w *Wheel) Next() (at time.Duration, ok bool) {
 	_, _, begin, ok := w.earliest()
 	return time.Duration(begin) * w.tick, ok
 }
 
-// Advance tells the time, and calls due for each timer that is due by it, earlier ticks
-// first, in no order within one; it is not set any more then. due may set and clear
-// timers; one that it sets for a time that is over is due in the same call. A time before one that was told is not gone back to.
+// Advance advances the time and calls due for each timer that is due by then, in the order of
+// ticks, unordered within a tick. The timer is no longer set at that point. due may set and
+// clear timers; one that it sets for a past time is due in the same call. Time does not go
+// backwards: an earlier time is ignored.
 func (w *Wheel) Advance(now time.Duration, due func(id uint32)) {
 	target := uint64(max(now, 0) / w.tick)
 	for {
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -7,12 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-// Beside a plain list: each timer is due once, not early, at most a tick late, and
-// none is forgotten, whatever is set, changed and taken back, also while others are
-// told, and over whatever spans.
-func TestAgainstPlain(t *testing.T) {
+// Compares the wheel with a map: each timer is due once, not early and at most one tick late,
+// whatever is set, changed and cleared, also in callbacks and over any duration.
+func TestWheelAgainstModel(t *testing.T) {
 	const tick = 3 * time.Millisecond
-	span := rapid.Custom(func(t *rapid.T) time.Duration {
+	duration := rapid.Custom(func(t *rapid.T) time.Duration {
 		unit := rapid.SampledFrom([]time.Duration{1, tick / 2, slots * tick, slots * slots * tick, 1e6 * slots * tick}).Draw(t, "unit")
 		return unit * time.Duration(rapid.IntRange(-20, 100).Draw(t, "units"))
 	})
@@ -22,7 +21,7 @@
 		id := rapid.Uint32Range(0, 30)
 		t.Repeat(map[string]func(*rapid.T){
 			"set": func(t *rapid.T) {
-				k, at := id.Draw(t, "id"), now+span.Draw(t, "in") // a past one is due at once
+				k, at := id.Draw(t, "id"), now+duration.Draw(t, "in") // a past one is due at once
 				w.Set(k, at)
 				model[k] = max(at, now)
 			},
@@ -32,8 +31,8 @@
 				delete(model, k)
 			},
 			"time": func(t *rapid.T) {
-				now += max(span.Draw(t, "passes"), 0)
-				again, other := id.Draw(t, "set again"), id.Draw(t, "cleared")
+				now += max(duration.Draw(t, "passes"), 0)
+				setAgain, cleared := id.Draw(t, "set again"), id.Draw(t, "cleared")
 				if next, ok := w.Next(); ok != (len(model) > 0) {
 					t.Fatalf("next %v, %v of %d", next, ok, len(model))
 				}
@@ -45,12 +44,12 @@
 					}
 					last = max(at, last)
 					delete(model, k)
-					if k == again {
+					if k == setAgain {
 						w.Set(k, now+time.Hour)
 						model[k] = now + time.Hour
 					}
-					w.Clear(other)
-					delete(model, other)
+					w.Clear(cleared)
+					delete(model, cleared)
 				})
 				for k, at := range model {
 					if at <= now-tick {
