--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -10,152 +10,152 @@
 	"spokegw/policy"
 )
 
-// attempt is one sending of a request.
+// attempt is one attempt of a request at one endpoint.
 type attempt struct {
-	call       *call
-	n          int
-	endpoint   policy.EndpointID
-	end        upstream.Cancellation
-	sent       bool            // it was noted as sent
-	result     upstream.Answer // that the request was answered with
-	outcome    upstream.Answer // of one that the request's own goroutine has made
-	to         upstream.Endpoint
-	note       *keyed.Note
-	zone, cell int       // of its endpoint
-	decided    time.Time // or a little earlier
-	there      time.Time // when its client was known not to have left
-	until      time.Time // given up then; told at its decision, since some time may pass before it is made
-	repeatBy   time.Time // the window for repeats ends then; zero: it is none
-	listing    *listing  // of its endpoint; nil: it is in no list
-	doubt      bool      // an earlier attempt may have run as this one was decided
+	call         *call
+	n            int
+	endpoint     policy.EndpointID
+	cancellation upstream.Cancellation
+	sent         bool            // it has been recorded as sent
+	result       upstream.Answer // the result that answered the request
+	ownResult    upstream.Answer // result of an attempt that the request's own goroutine made
+	dest         upstream.Endpoint
+	keyNote      *keyed.Note
+	zone, cell   int         // of the endpoint
+	decided      time.Time   // time of the decision, or slightly earlier
+	connectedAt  time.Time   // when the client was last known to be connected
+	deadline     time.Time   // deadline of the attempt; fixed at the decision, since time may pass before the attempt starts
+	dedupUntil   time.Time   // end of the deduplication window; zero: the attempt is not a repeat
+	status       *listStatus // of the endpoint; nil: it is in no list
+	mayHaveRun   bool        // an earlier attempt might have run when this one was decided
 }
 
-func (s *Service) send(to policy.Send) {
-	c := s.calls[to.Request]
+func (s *Service) send(action policy.Send) {
+	c := s.calls[action.Request]
 	if c == nil {
 		return
 	}
-	a := &c.first
+	a := &c.firstAttempt
 	if len(c.attempts) > 0 {
 		a = new(attempt)
 	}
-	a.call, a.n, a.endpoint = c, len(c.attempts), to.Endpoint
-	if a.n > 0 && !c.over && c.exchange.clientLeft() {
-		c.tell("not sent", "attempt %d: the client has closed its connection", a.n)
-		s.left(c)
+	a.call, a.n, a.endpoint = c, len(c.attempts), action.Endpoint
+	if a.n > 0 && !c.done && c.exchange.connectionClosed() {
+		c.traceStep("not sent", "attempt %d: the client has closed its connection", a.n)
+		s.disconnected(c)
 		c.attempts, s.denied = append(c.attempts, a), append(s.denied, a)
 		return
 	}
-	allowed := !c.req.Stream.Consumed() && s.mayRepeat(c)
-	if a.doubt = c.unsure > 0; a.doubt && s.settled.places[c.class].rules.Effect == policy.Unsafe {
-		s.violated(permit.DuplicateEffect, a, "decided") // and is not sent
+	allowed := !c.req.Stream.Consumed() && s.mayRetry(c)
+	if a.mayHaveRun = c.mayHaveRun > 0; a.mayHaveRun && s.settings.slots[c.class].rules.Effect == policy.Unsafe {
+		s.reportViolation(permit.DuplicateEffect, a, "decided") // and is not sent
 		allowed = false
 	}
 	c.attempts = append(c.attempts, a)
 	if !allowed {
-		c.tell("not sent", "attempt %d: its contract has no room, or its body can't be given again", a.n)
+		c.traceStep("not sent", "attempt %d: the contract allows no retry, or the body can't be sent again", a.n)
 		s.denied = append(s.denied, a)
 		return
 	}
-	c.unsure++
-	c.open++
+	c.mayHaveRun++
+	c.inFlight++
 	a.decided = time.Now()
-	var e upstream.Endpoint // no such endpoint: it can't be connected to
+	var dest upstream.Endpoint // zero value for an unknown endpoint, which fails to connect
 	var note *keyed.Note
-	if known := s.endpoints.byID[to.Endpoint]; known != nil {
-		e = known.upstream()
+	if ep := s.endpoints.byID[action.Endpoint]; ep != nil {
+		dest = ep.upstream()
 		a.sent = true
-		if known.first == 0 {
-			known.first = s.now()
+		if ep.firstSent == 0 {
+			ep.firstSent = s.now()
 		}
-		a.listing = known.listing
-		note, a.repeatBy = s.noteSent(c, known)
-		a.zone, a.cell = known.Zone, known.Cell
-		c.trace.sending(a.n, known.name)
-		if c.trace != nil { // the arguments are allocated even where nobody looks on
-			c.tell("sent", "attempt %d to %s, for %v at most", a.n, known.name, to.Timeout.Round(time.Millisecond))
+		a.status = ep.status
+		note, a.dedupUntil = s.recordSent(c, ep)
+		a.zone, a.cell = ep.Zone, ep.Cell
+		c.trace.recordSent(a.n, ep.name)
+		if c.trace != nil { // avoids allocating the arguments of an untraced call
+			c.traceStep("sent", "attempt %d to %s, timeout %v", a.n, ep.name, action.Timeout.Round(time.Millisecond))
 		}
 	}
-	a.to, a.note, a.until = e, note, a.decided.Add(to.Timeout)
-	if a.until.After(c.until) { // the process may have stood still since the module read its clock
-		a.until = c.until
+	a.dest, a.keyNote, a.deadline = dest, note, a.decided.Add(action.Timeout)
+	if a.deadline.After(c.deadline) { // the process may have stalled since the decision module read its clock
+		a.deadline = c.deadline
 	}
-	if a.there = c.exchange.opened; a.n > 0 { // it was looked for above
-		a.there = a.decided
+	if a.connectedAt = c.exchange.opened; a.n > 0 { // checked above for later attempts
+		a.connectedAt = a.decided
 	}
-	if c.here && c.next == nil {
-		c.next = a
+	if c.onOwnGoroutine && c.ownNext == nil {
+		c.ownNext = a
 		return
 	}
-	go s.make(a, false)
+	go s.runAttempt(a, false)
 }
 
-// make makes an attempt. own tells that it is made by its request's own goroutine; next is
-// then the attempt that is to be made by that after it, nil where there is none.
-func (s *Service) make(a *attempt, own bool) (next *attempt) {
-	// Should the attempt panic, the request still needs an end.
+// runAttempt makes an attempt. ownGoroutine states that the request's own goroutine runs it;
+// next is then the attempt that this goroutine makes after it, or nil.
+func (s *Service) runAttempt(a *attempt, ownGoroutine bool) (next *attempt) {
+	// If the attempt panics, the request still has to be completed.
 	c, result := a.call, upstream.Answer{Result: policy.ConnectionLost}
-	var more func() upstream.Answer
+	var finish func() upstream.Answer
 	defer func() {
-		if more == nil {
-			next = s.ended(c, a, result, own)
+		if finish == nil {
+			next = s.finishAttempt(c, a, result, ownGoroutine)
 			return
 		}
-		// The answer has begun, and is passed on by the request's own goroutine: another
-		// one sees to its end.
+		// A long answer has begun. The request's own goroutine passes it on; another goroutine
+		// waits for its end.
 		go func() {
 			result := upstream.Answer{Result: policy.ConnectionLost}
-			defer func() { s.ended(c, a, result, false) }()
+			defer func() { s.finishAttempt(c, a, result, false) }()
 			defer logPanic("attempt")
-			result = more()
+			result = finish()
 		}()
 	}()
 	defer logPanic("attempt")
-	if s.keepKey(a) != nil {
-		result = upstream.Answer{Result: policy.NotSent, Refused: a.notKept()} // nobody would know of it after a kill
+	if s.writeKey(a) != nil {
+		result = upstream.Answer{Result: policy.NotSent, Refused: a.keyWriteFailure()} // after a crash no record of the attempt would exist
 		return nil
 	}
 	if !s.claim(a) {
-		result = upstream.Answer{Result: policy.NotSent, Refused: permit.EffectUncertain} // another process may have sent it elsewhere
+		result = upstream.Answer{Result: policy.NotSent, Refused: permit.EffectUncertain} // another process may have sent the key elsewhere
 		return nil
 	}
-	result, more = s.pool.Begin(&a.end, a.to, c.req, upstream.Constraints{Deadline: a.until, DedupUntil: a.repeatBy, Gate: a}, a)
+	result, finish = s.pool.Begin(&a.cancellation, a.dest, c.req, upstream.Constraints{Deadline: a.deadline, DedupUntil: a.dedupUntil, Gate: a}, a)
 	return nil
 }
 
-// AcceptStream takes a long answer that begins, for upstream.
-func (a *attempt) AcceptStream(long upstream.Answer) bool {
-	return a.call.exchange.service.begun(a.call, a, long)
+// AcceptStream accepts the beginning of a long answer, for upstream.
+func (a *attempt) AcceptStream(beginning upstream.Answer) bool {
+	return a.call.exchange.service.streamBegun(a.call, a, beginning)
 }
 
-// begun gives out an answer that goes on for long. It reports whether it is
-// wanted; nothing of the request is sent elsewhere from then on.
-func (s *Service) begun(c *call, a *attempt, long upstream.Answer) (wanted bool) {
+// streamBegun hands a long answer to the client as it begins, and reports whether the answer is
+// still wanted. From then on no other attempt of the request is sent.
+func (s *Service) streamBegun(c *call, a *attempt, beginning upstream.Answer) (wanted bool) {
 	s.event(func(b *policy.Balancer, now time.Duration) []policy.Action {
-		if c.over {
+		if c.done {
 			return nil
 		}
-		wanted, c.by = true, a.n
+		wanted, c.answeredBy = true, a.n
 		c.end()
-		a.result = long
+		a.result = beginning
 		c.answer <- a.answer()
 		return b.StreamStarted(now, c.id, a.n)
 	})
 	return wanted
 }
 
-// answer is the request's, as the attempt had it.
+// answer is the answer of the request, built from the result of the attempt.
 func (a *attempt) answer() Answer {
 	r := &a.result
-	return Answer{Status: http.StatusOK, Header: r.Header, Body: r.Body, Length: r.Length, stream: r.Stream, from: r}
+	return Answer{Status: http.StatusOK, Header: r.Header, Body: r.Body, Length: r.Length, stream: r.Stream, owner: r}
 }
 
-// ended takes the end of an attempt, and returns the one that is its goroutine's to make
-// next.
-func (s *Service) ended(c *call, a *attempt, result upstream.Answer, own bool) (next *attempt) {
-	if own {
-		a.outcome = result
-		return s.eventOf(c, (*Service).firstEnded)
+// finishAttempt handles the end of an attempt and returns the next attempt for the same
+// goroutine, or nil.
+func (s *Service) finishAttempt(c *call, a *attempt, result upstream.Answer, ownGoroutine bool) (next *attempt) {
+	if ownGoroutine {
+		a.ownResult = result
+		return s.eventOf(c, (*Service).ownAttemptEnded)
 	}
 	defer logPanic("event")
 	s.mu.Lock()
@@ -164,16 +164,16 @@
 	return nil
 }
 
-// firstEnded is attemptEnded for the attempt that the request's own goroutine has made.
-func (s *Service) firstEnded(c *call) {
-	a := c.made
-	s.attemptEnded(a, a.outcome)
+// ownAttemptEnded is attemptEnded for the attempt that the request's own goroutine made.
+func (s *Service) ownAttemptEnded(c *call) {
+	a := c.ownLast
+	s.attemptEnded(a, a.ownResult)
 }
 
 func (s *Service) attemptEnded(a *attempt, result upstream.Answer) {
 	c := a.call
-	if result.Result == policy.Served && !c.over {
-		c.by = a.n
+	if result.Result == policy.Served && !c.done {
+		c.answeredBy = a.n
 		c.end()
 		a.result = result
 		c.answer <- a.answer()
@@ -181,28 +181,28 @@
 		result.Free()
 	}
 	if a.sent {
-		s.noteEnded(c, result.Result)
+		s.recordEnded(c, result.Result)
 	}
-	if s.pools.any {
-		s.seen(c, a, result)
+	if s.pools.active {
+		s.observe(c, a, result)
 	}
 	if result.Result.NeverRan() {
-		c.unsure--
-	}
-	c.traced(a, result)
-	s.refused(a, result.Refused)
-	told := s.blamed(a, result)
-	s.measure(c, a, told)
-	s.settle(c, a, told)
-	c.slow = result.Result == policy.NoAnswer
-	c.open--
-	s.forget(c)
-	s.carryOutAll(s.balancer.Outcome(s.now(), s.outcome(a, told)))
+		c.mayHaveRun--
+	}
+	c.traceEnded(a, result)
+	s.countNotSent(a, result.Refused)
+	reported := s.attributed(a, result)
+	s.measure(c, a, reported)
+	s.reportEnded(c, a, reported)
+	c.timedOut = result.Result == policy.NoAnswer
+	c.inFlight--
+	s.removeIfDone(c)
+	s.carryOutAll(s.balancer.Outcome(s.now(), s.outcome(a, reported)))
 }
 
-// outcome is what the module is told of an attempt's end.
+// outcome is the report of an attempt's end to the decision module.
 func (s *Service) outcome(a *attempt, result upstream.Answer) policy.Outcome {
 	return policy.Outcome{
-		Request: a.call.id, Attempt: a.n, Endpoint: a.endpoint, Result: result.Result, Complete: a.call.over, Elapsed: result.Elapsed,
+		Request: a.call.id, Attempt: a.n, Endpoint: a.endpoint, Result: result.Result, Complete: a.call.done, Elapsed: result.Elapsed,
 	}
 }
--- a/internal/core/classes.go
+++ b/internal/core/classes.go
@@ -12,15 +12,15 @@
 	"spokegw/policy"
 )
 
-// Class is how requests of a class are known.
+// Class states how requests of a class are recognized.
 type Class struct {
 	Name    string
-	Paths   []string // prefixes of whole segments
+	Paths   []string // prefixes of whole path segments
 	Methods []string
 }
 
-// DefaultClass is a class as the platform has it: its path is its name, and its
-// method follows from its effect.
+// DefaultClass returns a class by the platform's convention: the path is the class name, and
+// the methods follow from the effect.
 func DefaultClass(name string, effect policy.Effect) Class {
 	methods := []string{http.MethodPost}
 	if effect == policy.Idempotent {
@@ -29,127 +29,128 @@
 	return Class{Name: name, Paths: []string{"/" + name}, Methods: methods}
 }
 
-// place is a class in its place of the module's settings. Its rules never
-// change while a request of it is open.
-type place struct {
-	name   string
-	number int
-	rules  policy.Class
-	open   atomic.Int64 // requests that have not ended
-	count  *figures.Class
+// classSlot is a class at its index in the settings of the decision module. The rules of a slot
+// never change while one of its requests is open.
+type classSlot struct {
+	name     string
+	number   int
+	rules    policy.Class
+	open     atomic.Int64 // requests that have not ended
+	counters *figures.Class
 }
 
-// Settings are what may change in a service that runs.
+// Settings are the part of a service's configuration that may change at run time.
 type Settings struct {
-	Tenants []string // names, by position in Policy
-	Classes []string // names, by position in Policy
+	Tenants []string // by index in Policy
+	Classes []string // by index in Policy
 	Policy  policy.Settings
 }
 
-// settled are settings with the places of their classes.
-type settled struct {
-	tenants []string
-	policy  policy.Settings // classes by place
-	places  []*place        // by number
-	classes []*place        // those in force, by position in the settings
-	heirs   []int
+// resolvedSettings are settings with the slots of their classes.
+type resolvedSettings struct {
+	tenants      []string
+	policy       policy.Settings // classes by slot
+	slots        []*classSlot    // by number
+	classes      []*classSlot    // those in force, by position in the settings
+	predecessors []int
 }
 
-// settle finds the places of a service's classes, beside those there are.
-func settle(old []*place, inForce []*place, set Settings, figs *figures.Figures) (*settled, error) {
-	before := make([]retune.Slot, len(old))
-	for i, p := range old {
-		before[i] = retune.Slot{Name: p.name, Rules: p.rules, Active: slices.Contains(inForce, p), OpenRequests: p.open.Load()}
+// resolveSettings assigns the classes of a service to slots, keeping the existing ones where
+// possible.
+func resolveSettings(oldSlots []*classSlot, active []*classSlot, set Settings, figs *figures.Figures) (*resolvedSettings, error) {
+	previous := make([]retune.Slot, len(oldSlots))
+	for i, p := range oldSlots {
+		previous[i] = retune.Slot{Name: p.name, Rules: p.rules, Active: slices.Contains(active, p), OpenRequests: p.open.Load()}
 	}
 	var classes []retune.Class
 	for i, name := range set.Classes {
 		classes = append(classes, retune.Class{Name: name, Rules: set.Policy.Classes[i]})
 	}
-	plan, err := retune.NewPlan(before, classes)
+	plan, err := retune.NewPlan(previous, classes)
 	if err != nil {
 		return nil, err
 	}
-	n := &settled{tenants: set.Tenants, policy: set.Policy, heirs: plan.Predecessors}
-	n.policy.Classes = nil
+	resolved := &resolvedSettings{tenants: set.Tenants, policy: set.Policy, predecessors: plan.Predecessors}
+	resolved.policy.Classes = nil
 	for i, p := range plan.Table {
-		kept := i < len(old) && old[i].name == p.Name && old[i].rules == p.Rules
-		if kept {
-			n.places = append(n.places, old[i])
+		reused := i < len(oldSlots) && oldSlots[i].name == p.Name && oldSlots[i].rules == p.Rules
+		if reused {
+			resolved.slots = append(resolved.slots, oldSlots[i])
 		} else {
-			n.places = append(n.places, &place{name: p.Name, number: i, rules: p.Rules, count: figs.Class(p.Name)})
+			resolved.slots = append(resolved.slots, &classSlot{name: p.Name, number: i, rules: p.Rules, counters: figs.Class(p.Name)})
 		}
-		n.policy.Classes = append(n.policy.Classes, p.Rules)
+		resolved.policy.Classes = append(resolved.policy.Classes, p.Rules)
 	}
-	for _, at := range plan.Slots {
-		n.classes = append(n.classes, n.places[at])
+	for _, slot := range plan.Slots {
+		resolved.classes = append(resolved.classes, resolved.slots[slot])
 	}
-	return n, nil
+	return resolved, nil
 }
 
-// Names are the names of the classes by place: "" where none is in force, as
-// contracts are to know them.
-func (n *settled) names() []string {
-	names := make([]string, len(n.places))
-	for _, p := range n.classes {
+// classNames are the names of the classes by slot, as contracts need them; "" for a slot that
+// is not in force.
+func (r *resolvedSettings) classNames() []string {
+	names := make([]string, len(r.slots))
+	for _, p := range r.classes {
 		names[p.number] = p.name
 	}
 	return names
 }
 
-// SettingsUpdate is a change of a service's settings that can be made.
+// SettingsUpdate is a validated change of a service's settings that has not been applied yet.
 type SettingsUpdate struct {
-	service *Service
-	to      *settled
+	service  *Service
+	settings *resolvedSettings
 }
 
-// PrepareSettings prepares a change; it changes nothing.
+// PrepareSettings validates and prepares a change of the settings without applying it.
 func (s *Service) PrepareSettings(set Settings) (*SettingsUpdate, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n, err := settle(s.settled.places, s.settled.classes, set, s.figures)
+	settings, err := resolveSettings(s.settings.slots, s.settings.classes, set, s.figures)
 	if err != nil {
 		return nil, err
 	}
-	return &SettingsUpdate{s, n}, nil
+	return &SettingsUpdate{s, settings}, nil
 }
 
-// ClassNames are the names of the classes by place, for contracts.
-func (r *SettingsUpdate) ClassNames() []string { return r.to.names() }
+// ClassNames are the class names by slot, for contracts.
+func (r *SettingsUpdate) ClassNames() []string { return r.settings.classNames() }
 
-// Apply makes the change. Requests come by it once a table that was made with it
-// is in use. On an error nothing has changed.
+// Apply applies the change. Requests use it once a table that was made with it is in use. If it
+// returns an error, nothing has changed.
 func (r *SettingsUpdate) Apply() error {
 	s := r.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := learnt.Snapshot(s.now(), s.balancer)
-	if err := s.balancer.Retune(r.to.policy); err != nil {
+	learned := learnt.Snapshot(s.now(), s.balancer)
+	if err := s.balancer.Retune(r.settings.policy); err != nil {
 		return err
 	}
-	known.Apply(s.now(), s.balancer, r.to.heirs)
-	s.settled = r.to
+	learned.Apply(s.now(), s.balancer, r.settings.predecessors)
+	s.settings = r.settings
 	for i, m := range s.pools.moves {
-		if m != nil { // its guards go by the classes' places
-			m.Configure(s.now(), s.guarded(s.pools.plans[i]))
+		if m != nil { // its guards are indexed by class slot
+			m.Configure(s.now(), s.withGuards(s.pools.plans[i]))
 		}
 	}
 	return nil
 }
 
-// ClassNames are the names of the service's classes by place, for contracts.
+// ClassNames are the names of the service's classes by slot, for contracts.
 func (s *Service) ClassNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.settled.names()
+	return s.settings.classNames()
 }
 
-// deadline is the longest that a client of the service may wait for an answer,
-// by rules that are in force or that a request is open under.
+// deadline is the longest time that a client of the service may wait for an answer, under rules
+// that are in force or that an open request still uses.
 func (s *Service) deadline() (longest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.settled.places {
-		if p.open.Load() > 0 || slices.Contains(s.settled.classes, p) {
+	for _, p := range s.settings.slots {
+		if p.open.Load() > 0 || slices.Contains(s.settings.classes, p) {
 			longest = max(longest, p.rules.Deadline)
 		}
 	}
--- a/internal/core/contracts.go
+++ b/internal/core/contracts.go
@@ -9,13 +9,13 @@
 	"spokegw/policy"
 )
 
-// ticket is a request's standing with the broker.
+// ticket is the broker's state of an admitted request.
 type ticket struct {
 	broker.Ticket
-	by *broker.Broker
+	broker *broker.Broker
 }
 
-// setTerms puts contracts in force. Requests under way go on under theirs.
+// setTerms puts contracts in force. Open requests continue under the broker that admitted them.
 func (s *Service) setTerms(t broker.Terms) {
 	if s.broker == nil {
 		s.broker = broker.New(s.now(), t)
@@ -24,30 +24,30 @@
 	s.broker.Replace(s.now(), t)
 }
 
-// admit judges a request by the contracts; it returns the answer to one that is
-// refused, and nil for one that goes on.
+// admit applies the contracts to a request. It returns the answer to a refused request, and nil
+// for one that proceeds.
 func (s *Service) admit(x *Exchange) *Answer {
-	if s.broker == nil { // set before the first request, and kept
-		return s.letIn(x)
+	if s.broker == nil { // the broker is set before the first request and never removed
+		return s.admitBySite(x)
 	}
-	if !s.rooms[x.head.Front].Requests.TryAcquire(1) {
-		return &Answer{Status: http.StatusServiceUnavailable, Reason: "the service has as many requests as it may hold", RetryAfter: placeRetry}
+	if !s.limits[x.head.Front].Requests.TryAcquire(1) {
+		return &Answer{Status: http.StatusServiceUnavailable, Reason: "the service has as many requests as it may hold", RetryAfter: fullRetryAfter}
 	}
-	refused := s.judge(x)
+	refused := s.checkContract(x)
 	if refused != nil {
-		s.leave(x.head.Front)
+		s.releaseRequest(x.head.Front)
 		return refused
 	}
-	if refused = s.letIn(x); refused != nil {
+	if refused = s.admitBySite(x); refused != nil {
 		s.withdraw(x)
 	}
 	return refused
 }
 
-// SetQuotaGrant sets which part of a team's shared call this process may use, and TeamDemand tells
-// what was asked for of it (broker.Broker). left is how long the grant lasts yet, by
-// another clock; it is asked after this one's, so that a process that stands still
-// between the two has less of it and not more.
+// SetQuotaGrant sets the portion of a team's shared call that this process may use; TeamDemand
+// reports the demand for it (see broker.Broker). left returns the remaining duration of the
+// grant by another clock. It is called after this service's clock is read, so a stall between
+// the two readings shortens the grant and never extends it.
 func (s *Service) SetQuotaGrant(team string, class int, own, grant float64, left func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// TeamDemand is what was asked for of a team's shared call, in limits times seconds.
+// TeamDemand is the demand for a team's shared call, as a multiple of the limit times seconds.
 func (s *Service) TeamDemand(team string, class int) (requests, work float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,21 +67,21 @@
 	return s.broker.Demand(team, class)
 }
 
-// placeRetry is when to come back to a service that holds all the requests it
-// may: they end with their deadlines, or before.
-const placeRetry = 250 * time.Millisecond
+// fullRetryAfter is the Retry-After of a service whose request limit is reached. Its open
+// requests end at their deadlines or earlier.
+const fullRetryAfter = 250 * time.Millisecond
 
-// What clients read who are refused by their contract.
+// Reasons in the answers to requests that their contract refuses.
 const (
 	overRate   = "over the rate of the contract"
 	overShare  = "over the share of the contract, and the service has no more to spare"
 	notAllowed = "no contract allows this call"
 )
 
-func (s *Service) judge(x *Exchange) *Answer {
+func (s *Service) checkContract(x *Exchange) *Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteStall()
+	s.reportStall()
 	t, v := s.broker.Admit(s.now(), x.head.Header.Get("Req-Owner"), x.request.Class, x.request.Cost)
 	switch v.Outcome {
 	case broker.Admitted:
@@ -95,58 +95,58 @@
 	return &Answer{Status: http.StatusForbidden, Reason: notAllowed}
 }
 
-// withdraw takes back a request that did not come whole.
+// withdraw refunds the charge of a request that was not received completely.
 func (s *Service) withdraw(x *Exchange) {
 	if x.ticket == nil {
 		return
 	}
 	s.mu.Lock()
-	x.ticket.by.Withdraw(s.now(), &x.ticket.Ticket, false)
+	x.ticket.broker.Withdraw(s.now(), &x.ticket.Ticket, false)
 	s.mu.Unlock()
-	s.leave(x.head.Front)
+	s.releaseRequest(x.head.Front)
 }
 
-// leave gives a request's place back.
-func (s *Service) leave(front int) {
+// releaseRequest frees the request's part of the limit on open requests.
+func (s *Service) releaseRequest(front int) {
 	if s.broker != nil {
-		s.rooms[front].Requests.Release(1)
+		s.limits[front].Requests.Release(1)
 	}
 }
 
-// mayRepeat asks the contract of a call for one more attempt.
-func (s *Service) mayRepeat(c *call) bool {
-	return c.ticket == nil || len(c.attempts) == 0 || c.ticket.by.AdmitRetry(s.now(), &c.ticket.Ticket)
+// mayRetry reports whether the contract allows another attempt of a call, and charges it.
+func (s *Service) mayRetry(c *call) bool {
+	return c.ticket == nil || len(c.attempts) == 0 || c.ticket.broker.AdmitRetry(s.now(), &c.ticket.Ticket)
 }
 
-// endings are what attempts' results are to the broker.
-var endings = map[policy.Result]broker.AttemptResult{
+// brokerResults maps the results of attempts to those of the broker.
+var brokerResults = map[policy.Result]broker.AttemptResult{
 	policy.Served: broker.Answered, policy.NoAnswer: broker.TimedOut, policy.Declined: broker.Declined,
 	policy.NoConnection: broker.NotRun, policy.NotSent: broker.NotRun,
 	policy.Errored: broker.Failed, policy.ConnectionLost: broker.Failed, policy.Cancelled: broker.Failed,
 }
 
-// settle tells the broker how an attempt ended.
-func (s *Service) settle(c *call, a *attempt, result upstream.Answer) {
+// reportEnded reports the end of an attempt to the broker.
+func (s *Service) reportEnded(c *call, a *attempt, result upstream.Answer) {
 	if c.ticket != nil {
-		s.noteStall()
-		aim := s.settled.places[c.class].rules.Aim
-		c.ticket.by.AttemptEnded(s.now(), &c.ticket.Ticket, a.n > 0, endings[result.Result], result.Elapsed, aim)
-		s.tellTight()
+		s.reportStall()
+		aim := s.settings.slots[c.class].rules.Aim
+		c.ticket.broker.AttemptEnded(s.now(), &c.ticket.Ticket, a.n > 0, brokerResults[result.Result], result.Elapsed, aim)
+		s.logShortage()
 	}
 }
 
-// tightPause is the least time between two words on whether there is too little
-// capacity: in a surge it may come and go several times a second.
-const tightPause = 5 * time.Second
+// shortageLogInterval is the minimum time between two log lines on capacity: in a surge the
+// state may change several times a second.
+const shortageLogInterval = 5 * time.Second
 
-// tellTight logs when shares begin to be enforced, and when they no longer are.
-func (s *Service) tellTight() {
+// logShortage logs when the broker begins and stops enforcing shares.
+func (s *Service) logShortage() {
 	shortage, tight := s.broker.Shortage()
 	now := s.now()
-	if tight == s.tight || now-s.toldTight < tightPause {
+	if tight == s.shortageLogged || now-s.shortageLoggedAt < shortageLogInterval {
 		return
 	}
-	s.tight, s.toldTight = tight, now
+	s.shortageLogged, s.shortageLoggedAt = tight, now
 	if tight {
 		s.log.Warn("too little capacity: shares are enforced", "because", shortage.Cause, "work_per_second", shortage.AdmitRate,
 			"estimate", shortage.Estimate, "attempts", shortage.InFlight, "work_out", shortage.InFlightWork,
@@ -156,9 +156,9 @@
 	}
 }
 
-// unsent gives back the charge of a call that ends with no attempt made.
-func (s *Service) unsent(c *call) {
-	if c != nil && c.ticket != nil && !c.over && len(c.attempts) == 0 {
-		c.ticket.by.Withdraw(s.now(), &c.ticket.Ticket, true)
+// refundUnsent refunds the charge of a call that ends without any attempt.
+func (s *Service) refundUnsent(c *call) {
+	if c != nil && c.ticket != nil && !c.done && len(c.attempts) == 0 {
+		c.ticket.broker.Withdraw(s.now(), &c.ticket.Ticket, true)
 	}
 }
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -9,46 +9,48 @@
 	"spokegw/policy"
 )
 
-// listing is how an endpoint stands in the list that is known, for attempts that were decided
-// before. It is written under the service's mutex and read without it.
-type listing struct {
-	now   atomic.Uint32 // a permit.EndpointStatus
-	since atomic.Int64  // by the module's clock, when it became that; of one that drains and then goes, when it drained
+// listStatus is the current status of an endpoint in the list, for attempts that were decided
+// earlier. It is written under the service's mutex and read without it.
+type listStatus struct {
+	current atomic.Uint32 // a permit.EndpointStatus
+	since   atomic.Int64  // when it stopped being active, by the service's clock; removal of a draining endpoint does not change it
 }
 
-var listings = map[policy.Readiness]permit.EndpointStatus{policy.Ready: permit.Active, policy.Draining: permit.Draining, policy.Removed: permit.Removed}
+var endpointStatuses = map[policy.Readiness]permit.EndpointStatus{policy.Ready: permit.Active, policy.Draining: permit.Draining, policy.Removed: permit.Removed}
 
-func (l *listing) becomes(next permit.EndpointStatus, now time.Duration) {
-	was := permit.EndpointStatus(l.now.Load())
-	if was == permit.Active && next != permit.Active {
+func (l *listStatus) set(status permit.EndpointStatus, now time.Duration) {
+	previous := permit.EndpointStatus(l.current.Load())
+	if previous == permit.Active && status != permit.Active {
 		l.since.Store(int64(now))
 	}
-	l.now.Store(uint32(next))
+	l.current.Store(uint32(status))
 }
 
-// lookAgain is the time after which a client, and what became of its key, is looked for once more
-// before its attempt begins. Sooner, word of its leaving would hardly be known.
-const lookAgain = 5 * time.Millisecond
+// recheckAfter is the time after which the connection of the client and the status of the key
+// are checked again before an attempt starts. Within a shorter time a disconnect would hardly
+// be known.
+const recheckAfter = 5 * time.Millisecond
 
-// FillFacts fills in what is known now of an attempt that was decided before, for upstream.
+// FillFacts fills in the current facts on an attempt that was decided earlier, for upstream.
 func (a *attempt) FillFacts(facts *permit.Attempt) {
 	facts.Endpoint = permit.Removed
-	if a.listing != nil {
-		facts.Endpoint = permit.EndpointStatus(a.listing.now.Load())
+	if a.status != nil {
+		facts.Endpoint = permit.EndpointStatus(a.status.current.Load())
 	}
-	facts.MayHaveRun = a.doubt
+	facts.MayHaveRun = a.mayHaveRun
 	facts.Unsafe = a.call.req.NoRetry
-	if time.Since(a.there) > lookAgain {
-		facts.ClientDisconnected = a.call.exchange.clientLeft()
-		if by := a.windowEnds(); !by.IsZero() {
-			facts.DedupUntil = max(facts.Now+time.Until(by), 1)
+	if time.Since(a.connectedAt) > recheckAfter {
+		facts.ClientDisconnected = a.call.exchange.connectionClosed()
+		if end := a.windowEnd(); !end.IsZero() {
+			facts.DedupUntil = max(facts.Now+time.Until(end), 1)
 		}
 	}
 }
 
-// windowEnds is when the key's window ends, also where the attempt has become a repeat since it
-// was decided: another one of the key was sent before it, and may have run. Zero: it is none.
-func (a *attempt) windowEnds() time.Time {
+// windowEnd is the end of the key's deduplication window if the attempt is a repeat, also one
+// that became a repeat after its decision because another attempt of the key was sent first and
+// may have run. Zero: it is not a repeat.
+func (a *attempt) windowEnd() time.Time {
 	c, s := a.call, a.call.exchange.service
 	if !c.keyed {
 		return time.Time{}
@@ -58,75 +60,78 @@
 	switch end, repeat := s.keys.DedupUntil(c.key); {
 	case repeat:
 		return s.at(end)
-	case c.unsure > 1:
-		return s.start // it is remembered no more, so its window is over
+	case c.mayHaveRun > 1:
+		return s.start // the key has been forgotten, so its window is over
 	}
-	return a.repeatBy
+	return a.dedupUntil
 }
 
-// FirstByteWritten looks whether an attempt whose first byte has been written broke a rule: its process
-// may have been held up since the look.
+// FirstByteWritten checks whether an attempt broke a rule by the time its first byte was
+// written: the process may have stalled after the check before the write.
 func (a *attempt) FirstByteWritten(after time.Duration) {
-	if a.listing == nil {
+	if a.status == nil {
 		return
 	}
 	s := a.call.exchange.service
 	w := permit.WrittenAttempt{
-		At: s.now(), Endpoint: permit.EndpointStatus(a.listing.now.Load()), NotifiedAt: time.Duration(a.listing.since.Load()),
-		Grace: max(s.grace, permit.MaxStall), Unsafe: a.call.req.NoRetry, MayHaveRun: a.doubt,
+		At: s.now(), Endpoint: permit.EndpointStatus(a.status.current.Load()), NotifiedAt: time.Duration(a.status.since.Load()),
+		Grace: max(s.drainGrace, permit.MaxStall), Unsafe: a.call.req.NoRetry, MayHaveRun: a.mayHaveRun,
 	}
-	by := a.repeatBy
-	if time.Since(a.there) > lookAgain {
-		by = a.windowEnds()
+	end := a.dedupUntil
+	if time.Since(a.connectedAt) > recheckAfter {
+		end = a.windowEnd()
 	}
-	if !by.IsZero() {
-		w.DedupUntil = s.clockAt(by)
+	if !end.IsZero() {
+		w.DedupUntil = s.clockAt(end)
 	}
 	if rule, broken := w.ViolatedRule(); broken {
-		s.violated(rule, a, "written "+after.String()+" after it was looked at")
+		s.reportViolation(rule, a, "written "+after.String()+" after the check")
 	}
 }
 
-// violated counts a rule that an attempt has broken, and tells of which request.
-func (s *Service) violated(rule permit.Rule, a *attempt, path string) {
+// reportViolation counts a broken rule and logs the request that broke it.
+func (s *Service) reportViolation(rule permit.Rule, a *attempt, path string) {
 	s.figures.Violations[rule].Add(1)
-	s.log.Error("rule violated", "rule", rule, "path", path, "request", a.call.exchange.head.Header.Get("Req-Id"), "attempt", a.n, "endpoint", a.to.ID)
+	s.log.Error("rule violated", "rule", rule, "path", path, "request", a.call.exchange.head.Header.Get("Req-Id"), "attempt", a.n, "endpoint", a.dest.ID)
 }
 
-// RecordUnanswered counts a request that was taken and has no answer though its client waits.
+// RecordUnanswered counts a request that was accepted and remains unanswered while its client
+// waits.
 func (x *Exchange) RecordUnanswered(path string) {
 	x.service.figures.Violations[permit.LostRequest].Add(1)
 	x.service.log.Error("rule violated", "rule", permit.LostRequest, "path", path, "request", x.head.Header.Get("Req-Id"))
 }
 
-// refused counts an attempt that was decided and not sent, and tells why.
-func (s *Service) refused(a *attempt, why permit.Reason) {
-	if why == permit.Allowed {
+// countNotSent counts an attempt that was decided but not sent, and logs the reason.
+func (s *Service) countNotSent(a *attempt, reason permit.Reason) {
+	if reason == permit.Allowed {
 		return
 	}
-	s.figures.NotSent[why].Add(1)
-	a.call.tell("not sent", "attempt %d to %s: %v", a.n, a.to.ID, why)
-	if why == permit.Cancelled || why == permit.DeadlineExceeded { // an overload has many
+	s.figures.NotSent[reason].Add(1)
+	a.call.traceStep("not sent", "attempt %d to %s: %v", a.n, a.dest.ID, reason)
+	if reason == permit.Cancelled || reason == permit.DeadlineExceeded { // too frequent to log under overload
 		return
 	}
-	s.log.Info("attempt not sent", "request", a.call.exchange.head.Header.Get("Req-Id"), "attempt", a.n, "endpoint", a.to.ID, "reason", why)
+	s.log.Info("attempt not sent", "request", a.call.exchange.head.Header.Get("Req-Id"), "attempt", a.n, "endpoint", a.dest.ID, "reason", reason)
 }
 
-// endUnsent ends the attempts whose endpoint is to get nothing new, and that have sent nothing
-// yet: they wait for a place, a connection or a disk, and their requests can go elsewhere.
+// endUnsent ends the attempts that have sent nothing yet to an endpoint that gets no new
+// requests. They wait for a connection slot, a connection or a disk, and their requests can go
+// elsewhere.
 func (s *Service) endUnsent() {
 	for _, c := range s.calls {
 		for _, a := range c.attempts {
-			if a.listing != nil && permit.EndpointStatus(a.listing.now.Load()) != permit.Active {
-				a.end.CancelUnsent(upstream.ErrEndpointUnavailable)
+			if a.status != nil && permit.EndpointStatus(a.status.current.Load()) != permit.Active {
+				a.cancellation.CancelUnsent(upstream.ErrEndpointUnavailable)
 			}
 		}
 	}
 }
 
-// notKept is why an attempt is not sent whose key was not kept on the disk.
-func (a *attempt) notKept() permit.Reason {
-	facts := permit.Attempt{Deadline: time.Until(a.until)}
+// keyWriteFailure is the reason why an attempt is not sent whose key could not be stored on
+// disk.
+func (a *attempt) keyWriteFailure() permit.Reason {
+	facts := permit.Attempt{Deadline: time.Until(a.deadline)}
 	a.FillFacts(&facts)
 	return facts.Check()
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -13,24 +13,24 @@
 	"spokegw/policy"
 )
 
-// endpoints is the list as the registry has told it, with a number for each
-// id. It holds what is listed and nothing else, so it is as long as the list.
+// endpoints is the endpoint list of the registry, with a numeric id for each name. It holds
+// only endpoints that are currently listed, so its size is bounded by the list.
 type endpoints struct {
-	log          *slog.Logger // tells the service
+	log          *slog.Logger // with the service's name
 	kinds, zones []string
 	byName       map[string]*endpoint
 	byID         map[policy.EndpointID]*endpoint
-	disabled     map[string]bool // by an operator; of those listed
+	disabled     map[string]bool // by an operator; listed endpoints only
 	starts       starts
 }
 
 type endpoint struct {
 	policy.Endpoint
-	listing    *listing
+	status     *listStatus
 	name, addr string
-	entry      discovery.Entry // as it was told
-	first      time.Duration   // when it was first sent something since it started; 0: not yet
-	pools      moves.Pools     // that it is in
+	entry      discovery.Entry // as received from discovery
+	firstSent  time.Duration   // when a request was first sent to it since its start; 0: not yet
+	pools      moves.Pools     // the pools of moves that it belongs to
 }
 
 func (e *endpoint) upstream() upstream.Endpoint { return upstream.Endpoint{ID: e.name, Addr: e.addr} }
@@ -39,10 +39,10 @@
 	return &endpoints{log: log, kinds: kinds, zones: zones, byName: map[string]*endpoint{}, byID: map[policy.EndpointID]*endpoint{}, disabled: map[string]bool{}}
 }
 
-// number gives an id its number: a hash, since the module's choice by key has
-// to fall on the same endpoints at every sidecar. The next free one is taken
-// where two ids meet.
-func (t *endpoints) number(name string) policy.EndpointID {
+// newID returns the numeric id of an endpoint. It is a hash of the name, since the decision
+// module's choice by key has to be the same at every sidecar. A collision is resolved by taking
+// the next free number.
+func (t *endpoints) newID(name string) policy.EndpointID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	id := policy.EndpointID(h.Sum32())
@@ -52,11 +52,11 @@
 	return id
 }
 
-// zone gives a zone its number: its place in the settings, or beyond them one made of its
-// name, the same in every process. What it guards against: a list names more zones than the
-// settings do, and a keyed repeat that is dropped within the first zone goes to another
-// that was taken for it. Two names whose hashes meet, one pair in 2^32, stay one zone.
-func (t *endpoints) zone(name string) int {
+// zoneNumber returns the number of a zone: its index in the settings or, for other zones, a
+// number made of the hash of its name, which is the same in every process. If all unknown zones
+// had one number, a keyed repeat that only the first zone deduplicates could go to another one.
+// Two names with the same hash, one pair in 2^32, are still treated as one zone.
+func (t *endpoints) zoneNumber(name string) int {
 	i := slices.Index(t.zones, name)
 	if i >= 0 || len(t.zones) == 0 && name == "" {
 		return max(i, 0)
@@ -66,15 +66,15 @@
 	return len(t.zones) + int(h.Sum32())
 }
 
-// apply takes a list, or changes, and returns what the module is to be told. It
-// calls forget for the endpoints that are to get nothing new from now on. since is how long ago
-// the list that was known before was current; 0: that is not known.
+// apply takes a full list or changes and returns the endpoints to pass to the decision module.
+// It calls forget for the endpoints that get no new requests from now on. since is the age of
+// the previous list; 0: unknown.
 func (t *endpoints) apply(now, since time.Duration, entries []discovery.Entry, full bool, forget func(upstream.Endpoint)) []policy.Endpoint {
-	told := make([]policy.Endpoint, 0, len(entries))
+	changed := make([]policy.Endpoint, 0, len(entries))
 	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		p := policy.Endpoint{
-			Kind: max(slices.Index(t.kinds, e.Kind), 0), Zone: t.zone(e.Zone), Cell: e.Cell,
+			Kind: max(slices.Index(t.kinds, e.Kind), 0), Zone: t.zoneNumber(e.Zone), Cell: e.Cell,
 			NominalSize: e.Weight,
 		}
 		switch e.State {
@@ -86,45 +86,45 @@
 		if t.disabled[e.ID] && p.Readiness == policy.Ready {
 			p.Readiness = policy.Draining
 		}
-		known := t.byName[e.ID]
+		current := t.byName[e.ID]
 		switch {
-		case known != nil:
-			p.ID = known.ID
+		case current != nil:
+			p.ID = current.ID
 		case p.Readiness == policy.Removed:
 			continue
 		default:
-			p.ID = t.number(e.ID)
+			p.ID = t.newID(e.ID)
 		}
-		restarted := known == nil || known.entry.StartedMS != e.StartedMS
-		if p.Started = t.starts.of(now, e.ID, e.StartedMS, since).at; !restarted {
-			p.Started = known.Started
+		restarted := current == nil || current.entry.StartedMS != e.StartedMS
+		if p.Started = t.starts.startOf(now, e.ID, e.StartedMS, since).at; !restarted {
+			p.Started = current.Started
 		}
-		if restarted || known.Readiness != p.Readiness {
+		if restarted || current.Readiness != p.Readiness {
 			t.log.Info("endpoint", "id", e.ID, "addr", e.Addr, "state", e.State, "started_ms", e.StartedMS)
 		}
-		told = append(told, p)
-		stays := known != nil && known.addr == e.Addr && !restarted
-		if known != nil && (p.Readiness != policy.Ready || !stays) {
-			forget(known.upstream())
+		changed = append(changed, p)
+		unchanged := current != nil && current.addr == e.Addr && !restarted
+		if current != nil && (p.Readiness != policy.Ready || !unchanged) {
+			forget(current.upstream())
 		}
 		if p.Readiness == policy.Removed {
-			t.drop(now, known)
+			t.drop(now, current)
 			continue
 		}
-		l := &listing{}
-		if stays {
-			l = known.listing
-		} else if known != nil {
-			known.listing.becomes(permit.Replaced, now)
+		status := &listStatus{}
+		if unchanged {
+			status = current.status
+		} else if current != nil {
+			current.status.set(permit.Replaced, now)
 		}
-		l.becomes(listings[p.Readiness], now)
+		status.set(endpointStatuses[p.Readiness], now)
 		listed[e.ID] = true
-		first := time.Duration(0)
+		firstSent := time.Duration(0)
 		if !restarted {
-			first = known.first
+			firstSent = current.firstSent
 		}
-		known = &endpoint{Endpoint: p, listing: l, name: e.ID, addr: e.Addr, entry: e, first: first}
-		t.byName[e.ID], t.byID[p.ID] = known, known
+		current = &endpoint{Endpoint: p, status: status, name: e.ID, addr: e.Addr, entry: e, firstSent: firstSent}
+		t.byName[e.ID], t.byID[p.ID] = current, current
 	}
 	if full {
 		for name, e := range t.byName {
@@ -135,12 +135,12 @@
 			}
 		}
 	}
-	return told
+	return changed
 }
 
 func (t *endpoints) drop(now time.Duration, e *endpoint) {
-	e.listing.becomes(permit.Removed, now)
-	t.starts.leave(e.name, start{e.entry.StartedMS, e.Started})
+	e.status.set(permit.Removed, now)
+	t.starts.remember(e.name, start{e.entry.StartedMS, e.Started})
 	delete(t.byName, e.name)
 	delete(t.disabled, e.name)
 	delete(t.byID, e.ID)
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -9,8 +9,7 @@
 	"spokegw/policy"
 )
 
-// Explanation is what would become of a request now, and why. Nothing is sent, and
-// nothing charged.
+// Explanation states how a request would be handled now, and why. Nothing is sent or charged.
 type Explanation struct {
 	Service  string        `json:"service,omitempty"`
 	Class    string        `json:"class,omitempty"`
@@ -18,23 +17,23 @@
 	Aim      time.Duration `json:"aim_ns,omitempty"`
 	Deadline time.Duration `json:"deadline_ns,omitempty"`
 
-	Status int           `json:"status,omitempty"` // with which it would be refused at once; 0: it would be tried
+	Status int           `json:"status,omitempty"` // of the refusal; 0: the request would be attempted
 	Reason string        `json:"reason,omitempty"`
 	Retry  time.Duration `json:"retry_ns,omitempty"`
 
 	Team     string `json:"team,omitempty"`
-	Contract string `json:"contract"` // what the contract says to it
+	Contract string `json:"contract"` // verdict of the contract
 	Key      string `json:"key,omitempty"`
 
 	Moves      []MoveAssignment `json:"moves,omitempty"`
 	Candidates []Candidate      `json:"candidates,omitempty"`
 }
 
-// MoveAssignment is the pool of a move that a request meets.
+// MoveAssignment is the pool of a move that a request is routed to.
 type MoveAssignment struct {
 	Move  string  `json:"move"`
-	Pool  string  `json:"pool"`  // old or new; by chance, of a request without a key
-	Share float64 `json:"share"` // of the new one
+	Pool  string  `json:"pool"`  // old or new; by chance for a request without a key
+	Share float64 `json:"share"` // of the new pool
 }
 
 // Candidate is an endpoint of the service.
@@ -42,12 +41,12 @@
 	ID    string  `json:"id"`
 	Part  float64 `json:"part"`             // of the requests that may go anywhere
 	Not   string  `json:"not,omitempty"`    // why the request may not go there, "": it may
-	Avoid string  `json:"avoids,omitempty"` // why nobody does, or next to nobody
+	Avoid string  `json:"avoids,omitempty"` // why it gets hardly any requests or none; "": it is not avoided
 }
 
 var effectNames = map[policy.Effect]string{policy.Idempotent: "safe", policy.Keyed: "keyed", policy.Unsafe: "unsafe"}
 
-// Explain tells what would become of a request with this head.
+// Explain states how a request with this head would be handled.
 func (c *Core) Explain(h *Head) Explanation {
 	t := c.table.Load()
 	m, class, q, refused := t.read(h)
@@ -74,12 +73,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.explainContract(e, q.Class)
-	earlier, known := s.keys.Find(s.now(), hash)
+	prior, known := s.keys.Find(s.now(), hash)
 	known = known && key != ""
-	mask := earlier.Mask()
+	mask := prior.Mask()
 	switch {
 	case known:
-		e.Key = "it came before and may have run: only where a repeat is dropped"
+		e.Key = "it was sent before and may have run: only endpoints that deduplicate a repeat"
 	case key != "":
 		e.Key = "it is new"
 	}
@@ -100,21 +99,21 @@
 		e.Moves = append(e.Moves, MoveAssignment{move.Name, pool, move.Share()})
 	}
 	for _, m := range s.memberList() {
-		to := s.endpoints.byName[m.ID]
+		ep := s.endpoints.byName[m.ID]
 		c := Candidate{ID: m.ID, Part: m.Share, Avoid: m.AvoidedReason}
 		switch {
-		case to.Readiness != policy.Ready:
+		case ep.Readiness != policy.Ready:
 			c.Not = m.AvoidedReason
-		case known && !earlier.Allows(s.now(), to.Endpoint):
-			c.Not = "a repeat of the key is not dropped there"
-		case key != "" && s.pools.any && s.pools.meets[mask] && !mask.Allows(to.pools):
+		case known && !prior.Allows(s.now(), ep.Endpoint):
+			c.Not = "a repeat of the key is not deduplicated there"
+		case key != "" && s.pools.active && s.pools.usable[mask] && !mask.Allows(ep.pools):
 			c.Not = "it is in the other pool of a move"
 		}
 		e.Candidates = append(e.Candidates, c)
 	}
 }
 
-// explainContract asks the contracts, and takes back at once what they charged.
+// explainContract asks the contracts and immediately refunds the charge.
 func (s *Service) explainContract(e *Explanation, class int) {
 	if s.broker == nil {
 		return
@@ -125,43 +124,43 @@
 		s.broker.Withdraw(s.now(), &ticket, false)
 		e.Contract = "admitted"
 		if v.Guaranteed {
-			e.Contract = "admitted, and owed: it is not turned away for the sake of others"
+			e.Contract = "admitted, and guaranteed: it is not refused in favour of others"
 		}
 	case broker.OverRate:
 		e.Status, e.Reason, e.Retry, e.Contract = http.StatusTooManyRequests, overRate, v.RetryAfter, "over its rate"
 	case broker.OverShare:
-		e.Status, e.Reason, e.Retry, e.Contract = http.StatusServiceUnavailable, overShare, v.RetryAfter, "over its share, and there is too little for all"
+		e.Status, e.Reason, e.Retry, e.Contract = http.StatusServiceUnavailable, overShare, v.RetryAfter, "over its share, and there is not enough capacity for all"
 	default:
-		e.Status, e.Reason, e.Contract = http.StatusForbidden, notAllowed, "has no such call"
+		e.Status, e.Reason, e.Contract = http.StatusForbidden, notAllowed, "does not allow the call"
 	}
 }
 
-// TeamStanding is how a team stands with a service.
+// TeamStanding is the usage of a service by a team.
 type TeamStanding struct {
 	Service string      `json:"service"`
-	Team    string      `json:"team"` // "": all that have no contract
+	Team    string      `json:"team"` // "": all teams without a contract
 	Retries float64     `json:"retries"`
-	Queued  float64     `json:"queued_s"` // seconds of work that it is ahead of its share
+	Queued  float64     `json:"queued_s"` // seconds of work beyond its share
 	Calls   []CallUsage `json:"calls"`
 }
 
-// CallUsage is how far ahead of its schedule a call is: its burst is spent where that is
-// as long as the burst takes at the rate.
+// CallUsage states how far a call is ahead of its rate. Its burst is used up when that is as
+// long as the burst takes at the rate.
 type CallUsage struct {
-	Class    string        `json:"class"` // the first of the call
+	Class    string        `json:"class"` // the first class of the call
 	Requests time.Duration `json:"requests_ns"`
 	Work     time.Duration `json:"work_ns"`
 }
 
-// Teams tells how the contracts with the service stand; tight tells that there is too
-// little capacity for all.
+// Teams returns the usage of the service by the teams; tight reports that shares are enforced
+// because the capacity is insufficient.
 func (s *Service) Teams() (all []TeamStanding, tight bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.broker == nil {
 		return nil, false
 	}
-	names, st := s.settled.names(), s.broker.Snapshot(s.now())
+	names, st := s.settings.classNames(), s.broker.Snapshot(s.now())
 	for _, t := range st.Teams {
 		row := TeamStanding{Service: cmp.Or(s.name, "-"), Team: t.Team, Retries: t.Tokens, Queued: t.Queued}
 		for _, c := range t.Calls {
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -17,14 +17,14 @@
 	"spokegw/policy"
 )
 
-// alone is a core of one service with one endpoint that nobody is at.
-func alone(t testing.TB) (*Core, *Service) {
+// newTestCore is a core of one service with one endpoint, on a port that nothing listens on.
+func newTestCore(t testing.TB) (*Core, *Service) {
 	t.Helper()
-	return aloneWith(t, budget.New(4).Join(1, nil), time.Second)
+	return newTestCoreWith(t, budget.New(4).Join(1, nil), time.Second)
 }
 
-// aloneWith is alone with these places for connections, and how long one may take.
-func aloneWith(t testing.TB, slots *budget.Partition, connect time.Duration) (*Core, *Service) {
+// newTestCoreWith is newTestCore with the given connection slots and connect timeout.
+func newTestCoreWith(t testing.TB, slots *budget.Partition, connect time.Duration) (*Core, *Service) {
 	t.Helper()
 	s, err := NewService(ServiceConfig{
 		Kinds: []string{"std"}, Limits: []FrontLimits{{Bodies: budget.New(1<<20).Join(1, nil)}}, Seed: 1, Figures: figures.New(),
@@ -45,7 +45,7 @@
 	return New(table), s
 }
 
-// open takes the head of a request of 30 ms.
+// open passes the head of a request with a deadline of 30 ms.
 func open(t testing.TB, c *Core, id string) *Exchange {
 	t.Helper()
 	x, refused := c.Open(&Head{Method: "GET", Target: "/tile/1", Host: "b", Header: http.Header{"Req-Id": {id}, "Req-Deadline": {"30m"}}})
@@ -55,64 +55,63 @@
 	return x
 }
 
-// A request in whose event the module panics is answered when its time is over, and its
-// attempts, timers and room are given back.
-func TestModulePanics(t *testing.T) {
-	c, _ := alone(t)
+// The decision module panics on a request: it is answered at its deadline, and its attempts,
+// timers and capacity are released.
+func TestPanicInDecisionModule(t *testing.T) {
+	c, _ := newTestCore(t)
 	x := open(t, c, "1")
-	x.request.Eligible = func(policy.Endpoint) bool { panic("in the module") }
+	x.request.Eligible = func(policy.Endpoint) bool { panic("in the decision module") }
 	if a, err := x.Do(context.Background(), nil); a.Status != http.StatusGatewayTimeout || err != nil {
 		t.Errorf("%d %v", a.Status, err)
 	}
 	s := x.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.calls) != 0 || s.timers.queue.Len() != 0 || x.place.open.Load() != 0 {
-		t.Errorf("%d calls, %d timers and %d requests of the class are left", len(s.calls), s.timers.queue.Len(), x.place.open.Load())
+	if len(s.calls) != 0 || s.timers.queue.Len() != 0 || x.slot.open.Load() != 0 {
+		t.Errorf("%d calls, %d timers and %d requests of the class remain", len(s.calls), s.timers.queue.Len(), x.slot.open.Load())
 	}
 }
 
-// A client that has left before its request is taken is owed nothing, and the module does
-// not hear of it.
-func TestLeftBefore(t *testing.T) {
-	c, _ := alone(t)
+// A client that disconnects before its request is processed gets no answer, and the decision
+// module does not receive the request.
+func TestDisconnectedBeforeStart(t *testing.T) {
+	c, _ := newTestCore(t)
 	x := open(t, c, "1")
 	x.ClientDisconnected()
 	if a, err := x.Do(context.Background(), nil); err != ErrClientDisconnected {
 		t.Errorf("%d %v", a.Status, err)
 	}
-	if s := x.service; len(s.calls) != 0 || s.timers.queue.Len() != 0 || x.place.open.Load() != 0 {
-		t.Errorf("%d calls and %d timers are left", len(s.calls), s.timers.queue.Len())
+	if s := x.service; len(s.calls) != 0 || s.timers.queue.Len() != 0 || x.slot.open.Load() != 0 {
+		t.Errorf("%d calls and %d timers remain", len(s.calls), s.timers.queue.Len())
 	}
 }
 
-// A client that has left by the time its request is taken, as its context tells, has no
-// attempt begun for it.
-func TestContextEndedBefore(t *testing.T) {
+// If the request's context has ended before the request is processed, no attempt is started.
+func TestContextCancelledBeforeStart(t *testing.T) {
 	ended, end := context.WithCancel(context.Background())
 	end()
 	for i := range 50 {
-		c, _ := alone(t)
+		c, _ := newTestCore(t)
 		x := open(t, c, strconv.Itoa(i))
 		if a, err := x.Do(ended, nil); err != ErrClientDisconnected {
 			t.Errorf("%d %v", a.Status, err)
 		}
 		if n := len(x.call.attempts); n > 0 {
-			t.Fatalf("%d attempts were begun", n)
+			t.Fatalf("%d attempts were started", n)
 		}
 	}
 }
 
-// closedConnection is a client that has closed its connection, which nobody has told yet.
+// closedConnection is a client that has closed its connection, without a notification so far.
 type closedConnection struct{}
 
 func (closedConnection) Disconnected() bool { return true }
 
-// A client whose connection is closed by the time an attempt has failed gets no other one,
-// though word of its leaving comes later: after a stall both wait, in any order.
-func TestNoFurtherAttemptForAClosedConnection(t *testing.T) {
-	inBubble(t, func(t *testing.T) { // its 30 ms are not to pass while the machine is busy
-		c, s := alone(t)
+// If a client has closed its connection by the time an attempt fails, there is no retry, even
+// if the notification arrives later: after a stall both may be handled in either order.
+func TestNoRetryForClosedConnection(t *testing.T) {
+	inBubble(t, func(t *testing.T) { // a busy machine must not use up the 30 ms
+		c, s := newTestCore(t)
 		x := open(t, c, "1")
 		x.head.Client = closedConnection{}
 		if a, err := x.Do(context.Background(), nil); err != ErrClientDisconnected {
@@ -122,47 +121,47 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if n := len(x.call.attempts) - 1; n != 1 {
-			t.Errorf("%d further attempts were decided on", n)
+			t.Errorf("%d retries were decided on", n)
 		}
-		for _, further := range x.call.attempts[1:] {
-			if further.sent {
-				t.Error("a further attempt was made")
+		for _, retry := range x.call.attempts[1:] {
+			if retry.sent {
+				t.Error("a retry was made")
 			}
 		}
-		if len(s.calls) != 0 || s.timers.queue.Len() != 0 || x.place.open.Load() != 0 {
-			t.Errorf("%d calls, %d timers and %d requests of the class are left", len(s.calls), s.timers.queue.Len(), x.place.open.Load())
+		if len(s.calls) != 0 || s.timers.queue.Len() != 0 || x.slot.open.Load() != 0 {
+			t.Errorf("%d calls, %d timers and %d requests of the class remain", len(s.calls), s.timers.queue.Len(), x.slot.open.Load())
 		}
-		s.timers.alarm.Stop()
+		s.timers.timer.Stop()
 	})
 }
 
-// A client leaves while its attempt waits for a connection, where attempts may not be
-// called off: nothing has been sent, so the attempt ends there and then.
-func TestLeftWhileConnecting(t *testing.T) {
-	const longest = 20 * time.Second // a tenth of what the attempt would wait for
+// A client disconnects while its attempt waits for a connection, also where attempts may not be
+// cancelled: nothing has been sent, so the attempt ends immediately.
+func TestDisconnectedWhileConnecting(t *testing.T) {
+	const maxWait = 20 * time.Second // a tenth of the attempt's timeout
 	for _, mayCancel := range []bool{false, true} {
 		slots := budget.New(1).Join(1, nil)
-		c, s := aloneWith(t, slots, 10*longest)
-		s.settled.policy.Cancel = mayCancel
-		if err := s.balancer.Retune(s.settled.policy); err != nil {
+		c, s := newTestCoreWith(t, slots, 10*maxWait)
+		s.settings.policy.Cancel = mayCancel
+		if err := s.balancer.Retune(s.settings.policy); err != nil {
 			t.Fatal(err)
 		}
-		if !slots.TryAcquire(1) { // the attempt waits for the one place there is
-			t.Fatal("the place is taken")
+		if !slots.TryAcquire(1) { // the attempt waits for the only slot
+			t.Fatal("the slot is in use")
 		}
 		x := open(t, c, "1")
-		x.request.TimeLeft = 10 * longest
+		x.request.TimeLeft = 10 * maxWait
 		ended := make(chan error)
 		go func() {
 			_, err := x.Do(context.Background(), nil)
 			ended <- err
 		}()
-		for taken := false; !taken; runtime.Gosched() {
+		for started := false; !started; runtime.Gosched() {
 			s.mu.Lock()
-			taken = x.call != nil && len(x.call.attempts) == 1
+			started = x.call != nil && len(x.call.attempts) == 1
 			s.mu.Unlock()
 		}
-		left := time.Now()
+		disconnected := time.Now()
 		x.ClientDisconnected()
 		if err := <-ended; err != ErrClientDisconnected {
 			t.Errorf("cancelling %v: ended with %v", mayCancel, err)
@@ -171,59 +170,58 @@
 			s.mu.Lock()
 			calls = len(s.calls)
 			s.mu.Unlock()
-			if time.Since(left) > longest {
-				t.Fatalf("cancelling %v: the attempt goes on", mayCancel)
+			if time.Since(disconnected) > maxWait {
+				t.Fatalf("cancelling %v: the attempt continues", mayCancel)
 			}
 		}
 	}
 }
 
-// The process stalls, and its alarm goes off first: what the module judges by time
-// waits until the ends of attempts have been seen, once and not again and again.
-func TestTimersAfterAStall(t *testing.T) {
-	for name, again := range map[string]bool{"once": false, "and once more": true} {
+// The system timer fires first after a process stall: timers of the decision module are
+// deferred until the results of attempts have been read, but only once.
+func TestTimersAfterStall(t *testing.T) {
+	for name, stalledAgain := range map[string]bool{"once": false, "stalled again": true} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				_, s := alone(t)
-				var asked atomic.Int32
-				s.OnSubscribe(func() { asked.Add(1) })
-				set := s.settled.policy
+				_, s := newTestCore(t)
+				var subscriptions atomic.Int32
+				s.OnSubscribe(func() { subscriptions.Add(1) })
+				set := s.settings.policy
 				set.DiscoveryOnRequest, set.PollWithin = true, 10*time.Second
 				if err := s.balancer.Retune(set); err != nil {
 					t.Fatal(err)
 				}
-				s.DiscoveryLost(time.Time{}, true) // the next call is planned some seconds later
-				stallNow := func() {
+				s.DiscoveryLost(time.Time{}, true) // the next call is due some seconds later
+				stall := func() {
 					s.mu.Lock()
 					s.start = s.start.Add(-time.Hour)
 					s.mu.Unlock()
 					s.timersDue()
 				}
-				if stallNow(); asked.Load() != 0 {
-					t.Error("the module is told of its timers before anything that waits is read")
+				if stall(); subscriptions.Load() != 0 {
+					t.Error("the decision module received its timers before pending results were read")
 				}
-				if again {
-					stallNow()
+				if stalledAgain {
+					stall()
 				} else {
 					<-time.After(readAfterStall + 2*timerTick)
 				}
-				if asked.Load() != 1 {
-					t.Errorf("the module was told %d times of its timer", asked.Load())
+				if subscriptions.Load() != 1 {
+					t.Errorf("the decision module received its timer %d times", subscriptions.Load())
 				}
-				s.timers.alarm.Stop()
+				s.timers.timer.Stop()
 			})
 		})
 	}
 }
 
-// A request whose time ends while the process is stalled is answered as soon as that
-// goes on.
-func TestAnsweredAfterAStall(t *testing.T) {
+// A request whose deadline passes during a process stall is answered as soon as the stall ends.
+func TestAnswerAfterStall(t *testing.T) {
 	const connect = 10 * time.Minute
 	slots := budget.New(1).Join(1, nil)
-	c, s := aloneWith(t, slots, connect)
-	if !slots.TryAcquire(1) { // the attempt waits for the one place there is
-		t.Fatal("the place is taken")
+	c, s := newTestCoreWith(t, slots, connect)
+	if !slots.TryAcquire(1) { // the attempt waits for the only slot
+		t.Fatal("the slot is in use")
 	}
 	x := open(t, c, "1")
 	x.request.TimeLeft = connect
@@ -232,9 +230,9 @@
 		a, _ := x.Do(context.Background(), nil)
 		answered <- a
 	}()
-	for taken := false; !taken; runtime.Gosched() {
+	for started := false; !started; runtime.Gosched() {
 		s.mu.Lock()
-		taken = x.call != nil && len(x.call.attempts) == 1
+		started = x.call != nil && len(x.call.attempts) == 1
 		s.mu.Unlock()
 	}
 	s.mu.Lock()
@@ -246,22 +244,22 @@
 	}
 }
 
-// inBubble runs a test in virtual time, with channels for answers of its own: those that
-// are kept for the next request may not pass from such a test to others.
+// inBubble runs a test in virtual time with its own pool of answer channels, since channels of
+// a synctest bubble must not be used outside of it.
 func inBubble(t *testing.T, test func(t *testing.T)) {
-	before := answers
-	defer func() { answers = before }()
+	saved := answers
+	defer func() { answers = saved }()
 	synctest.Test(t, func(t *testing.T) {
 		answers = newAnswers()
 		test(t)
 	})
 }
 
-// Four hours of requests, one a second, each with attempts that fail, leave no call, no
-// timer and no room behind, and the wheel has no more places than timers were set at once.
-func TestSoakOfRequests(t *testing.T) {
+// Four hours of one request a second, each with failing attempts, leave no calls, timers or
+// reserved capacity behind, and the timer queue does not grow beyond the timers set at once.
+func TestSoakRequests(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		c, s := alone(t)
+		c, s := newTestCore(t)
 		for i := range 4 * 3600 {
 			x := open(t, c, strconv.Itoa(i))
 			if i%3 == 0 {
@@ -271,13 +269,13 @@
 				t.Fatalf("%d %v", a.Status, err)
 			}
 			s.mu.Lock()
-			calls, timers, places := len(s.calls), s.timers.queue.Len(), s.timers.queue.Cap()
+			calls, timers, capacity := len(s.calls), s.timers.queue.Len(), s.timers.queue.Cap()
 			s.mu.Unlock()
-			if calls > 0 || timers > 0 || places > 4 || x.place.open.Load() != 0 || s.pool.OpenConns() != 0 {
-				t.Fatalf("after %d: %d calls, %d timers in %d places, %d open, %d connections", i, calls, timers, places, x.place.open.Load(), s.pool.OpenConns())
+			if calls > 0 || timers > 0 || capacity > 4 || x.slot.open.Load() != 0 || s.pool.OpenConns() != 0 {
+				t.Fatalf("after %d: %d calls, %d timers of %d allocated, %d open, %d connections", i, calls, timers, capacity, x.slot.open.Load(), s.pool.OpenConns())
 			}
 			<-time.After(time.Second)
 		}
-		s.timers.alarm.Stop()
+		s.timers.timer.Stop()
 	})
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -9,22 +9,22 @@
 	"spokegw/internal/moves"
 )
 
-// Snapshot is what a service knows that the one which takes its place should.
+// Snapshot is the state of a service that is handed over to its successor process.
 type Snapshot struct {
-	Classes       []string // names, by the places that the rest knows; "": none
+	Classes       []string // by the slots that the other fields use; "": none
 	Learnt        learnt.Record
 	ContractUsage *broker.Snapshot // nil: there are no contracts
 	Keys          []keyed.Note
-	Disabled      []string // endpoints, by operators
+	Disabled      []string // endpoint ids, disabled by an operator
 	Moves         []moves.Record
 }
 
-// Snapshot tells what the service knows, with at most so many keys.
+// Snapshot returns the state of the service, with at most the given number of keys.
 func (s *Service) Snapshot(keys int) Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	k := Snapshot{Classes: s.settled.names(), Learnt: learnt.Snapshot(now, s.balancer), Keys: s.keys.Notes(now, keys)}
+	k := Snapshot{Classes: s.settings.classNames(), Learnt: learnt.Snapshot(now, s.balancer), Keys: s.keys.Notes(now, keys)}
 	if s.broker != nil {
 		st := s.broker.Snapshot(now)
 		k.ContractUsage = &st
@@ -36,14 +36,14 @@
 	return k
 }
 
-// Adopt takes over what the service of another process knows, before the first
-// request and once the endpoints are listed.
+// Adopt takes over the state of the service of another process. It must be called before the
+// first request and after the endpoints are listed.
 func (s *Service) Adopt(k Snapshot) {
 	s.mu.Lock()
-	now, names := s.now(), s.settled.names()
-	k.Learnt.Apply(now, s.balancer, match(names, k.Classes))
+	now, names := s.now(), s.settings.classNames()
+	k.Learnt.Apply(now, s.balancer, positions(names, k.Classes))
 	if s.broker != nil && k.ContractUsage != nil {
-		s.broker.Restore(now, *k.ContractUsage, match(k.Classes, names))
+		s.broker.Restore(now, *k.ContractUsage, positions(k.Classes, names))
 	}
 	for _, n := range k.Keys {
 		s.keys.Adopt(now, n)
@@ -51,17 +51,17 @@
 	s.adoptMoves(k.Moves)
 	s.mu.Unlock()
 	for _, id := range k.Disabled {
-		s.Disable(id) // one that is gone needs it no more
+		s.Disable(id) // fails for one that was removed, which needs no disabling
 	}
 }
 
-// match tells for each of some names where it stands among others: -1, nowhere.
-func match(names, among []string) []int {
-	at := make([]int, len(names))
+// positions returns the index of each name in among; -1: it is not there.
+func positions(names, among []string) []int {
+	index := make([]int, len(names))
 	for i, name := range names {
-		if at[i] = -1; name != "" {
-			at[i] = slices.Index(among, name)
+		if index[i] = -1; name != "" {
+			index[i] = slices.Index(among, name)
 		}
 	}
-	return at
+	return index
 }
--- a/internal/core/head.go
+++ b/internal/core/head.go
@@ -16,19 +16,19 @@
 
 // Head is what a front has read of a request before its body.
 type Head struct {
-	Front  int // by which it came, of those that the service has room for
+	Front  int // index of the front that received it, in the service's limits
 	Method string
-	Target string      // path and query, as they were sent
-	Host   string      // the authority asked
+	Target string      // path and query, unchanged
+	Host   string      // the requested authority
 	Header http.Header // canonical names
-	Length int64       // of the body; -1: not told
-	Client Client      // nil: who sent it can't be looked for
+	Length int64       // of the body; -1: unknown
+	Client Client      // nil: its connection can't be checked
 }
 
-// Client is who sent a request, as its front sees it.
+// Client is the sender of a request as the front sees it.
 type Client interface {
-	// Disconnected reports whether the client has closed its connection. It does not wait. Word of
-	// that may still be on its way, as Exchange.ClientDisconnected.
+	// Disconnected reports whether the client has closed its connection. It does not wait. The
+	// corresponding call of Exchange.ClientDisconnected may still be pending.
 	Disconnected() bool
 }
 
@@ -37,36 +37,35 @@
 	maxName     = 256 // bytes of an id or a key
 )
 
-// single are the fields that decide what becomes of a request. Two of one
-// would let this sidecar and an endpoint go by different ones.
-var single = []string{"Req-Id", "Req-Kind", "Req-Owner", "Req-Deadline", "Idempotency-Key"}
+// singleFields are the fields that decide how a request is handled. If one were present twice,
+// this sidecar and an endpoint could use different values.
+var singleFields = []string{"Req-Id", "Req-Kind", "Req-Owner", "Req-Deadline", "Idempotency-Key"}
 
-// known are the fields that mean something to this sidecar or an endpoint. A
-// field that spells one of them with _ is another to the one and the same to
-// the other, so it goes no further.
-var known = map[string]bool{
+// knownFields are the fields that have a meaning for this sidecar or an endpoint. Some
+// recipients treat a name spelt with _ as the same field and others as a different one, so a
+// field that spells one of these with _ is not forwarded.
+var knownFields = map[string]bool{
 	"Req-Id": true, "Req-Kind": true, "Req-Owner": true, "Req-Deadline": true, "Req-Retry": true, "Req-Cost": true,
 	"Req-Extra": true, "Idempotency-Key": true, "Host": true, "Content-Length": true, "Transfer-Encoding": true,
 	"Connection": true, "Upgrade": true, "Content-Type": true, "Content-Encoding": true, "Authorization": true,
 }
 
-// misspelt reports whether a canonical name spells a known one with _.
-func misspelt(name string) bool {
-	return strings.IndexByte(name, '_') >= 0 && known[http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-"))]
+// isMisspelt reports whether a canonical name spells a known one with _.
+func isMisspelt(name string) bool {
+	return strings.IndexByte(name, '_') >= 0 && knownFields[http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-"))]
 }
 
-// read reads what the module is to know of a request, and finds its service.
-// What the protocol has no place for is refused rather than guessed at: a class
-// of which path and field tell different things, a method that does not go with
-// it, a body where there is none.
-func (t *Table) read(head *Head) (*Mount, entry, policy.Request, *Answer) {
+// read finds the service of a request and parses its head for the decision module. Inconsistent
+// requests are refused rather than guessed at: a class field that contradicts the path, a
+// method that does not match the class, a body where none is allowed.
+func (t *Table) read(head *Head) (*Mount, tableClass, policy.Request, *Answer) {
 	m, class, q, err := t.route(head)
 	if err == nil {
 		err = m.describe(&q, class, head)
 	}
-	var none notFound
+	var unknown notFound
 	switch {
-	case errors.As(err, &none) && t.Contracts:
+	case errors.As(err, &unknown) && t.Contracts:
 		return nil, class, q, &Answer{Status: http.StatusNotFound, Reason: err.Error()}
 	case err != nil:
 		return nil, class, q, malformed(http.StatusBadRequest, err.Error())
@@ -74,18 +73,18 @@
 	return m, class, q, nil
 }
 
-// notFound tells that no service has a class for a path.
+// notFound states that no service has a class for a path.
 type notFound string
 
 func (path notFound) Error() string {
 	return fmt.Sprintf("unknown class: nothing is served at %.100q", string(path))
 }
 
-// route finds the service and class of a request by its path, which is sent on
-// as it was matched.
-func (t *Table) route(head *Head) (m *Mount, class entry, q policy.Request, err error) {
+// route finds the service and class of a request by its path, which is forwarded exactly as it
+// was matched.
+func (t *Table) route(head *Head) (m *Mount, class tableClass, q policy.Request, err error) {
 	h := head.Header
-	for _, name := range single {
+	for _, name := range singleFields {
 		if v := h[name]; len(v) > 1 || len(v) == 1 && len(v[0]) > maxName {
 			return nil, class, q, fmt.Errorf("%s stands there twice or is too long", name)
 		}
@@ -105,7 +104,7 @@
 		return nil, class, q, notFound(path)
 	}
 	m = &t.mounts[to.Service]
-	class = m.entry(to.Class)
+	class = m.class(to.Class)
 	q.Class = class.number
 	if kind := h.Get("Req-Kind"); kind != "" && kind != class.name {
 		return nil, class, q, fmt.Errorf("Req-Kind %.100q is not the class in the path, %.100q", kind, class.name)
@@ -116,8 +115,8 @@
 	return m, class, q, nil
 }
 
-// describe reads what a head of one of the service's classes tells.
-func (m *Mount) describe(q *policy.Request, class entry, head *Head) error {
+// describe parses the head of a request to one of the service's classes.
+func (m *Mount) describe(q *policy.Request, class tableClass, head *Head) error {
 	h := head.Header
 	effect := class.rules.Effect
 	if !slices.Contains(class.Methods, head.Method) {
@@ -133,12 +132,12 @@
 	if q.TimeLeft, err = parseDeadline(h.Get("Req-Deadline")); err != nil {
 		return err
 	}
-	if longest := class.rules.Deadline; longest > 0 {
-		q.TimeLeft = min(q.TimeLeft, longest) // nobody waits for longer, whatever he says
+	if limit := class.rules.Deadline; limit > 0 {
+		q.TimeLeft = min(q.TimeLeft, limit) // clients never wait longer than this, whatever they request
 	}
-	// One over its share costs the others; a tenant that nobody knows has none.
-	q.Tenant = slices.Index(m.settled.tenants, h.Get("Req-Owner"))
-	if text := h.Get("Req-Cost"); text != "" { // the error for none is allocated each time
+	// A tenant above its share takes capacity from the others; an unknown tenant has no share.
+	q.Tenant = slices.Index(m.settings.tenants, h.Get("Req-Owner"))
+	if text := h.Get("Req-Cost"); text != "" { // ParseFloat would allocate an error for each request without the field
 		if cost, err := strconv.ParseFloat(text, 64); err == nil && cost > 0 && cost < 1e12 {
 			q.Cost = cost / 1e6
 		}
@@ -146,7 +145,7 @@
 	return nil
 }
 
-// parseDeadline reads a number and its unit: m is milliseconds, u microseconds.
+// parseDeadline parses a number and its unit: m is milliseconds, u microseconds.
 func parseDeadline(text string) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
@@ -164,13 +163,13 @@
 	return 0, fmt.Errorf("bad Req-Deadline %.100q", text)
 }
 
-// queryValue finds one parameter. url.ParseQuery would drop a query in which
-// any other parameter is odd.
+// queryValue finds one parameter. url.ParseQuery would discard a query in which any other
+// parameter is malformed.
 func queryValue(query, name string) string {
 	for part := range strings.SplitSeq(query, "&") {
 		if k, v, _ := strings.Cut(part, "="); k == name {
-			if plain, err := url.QueryUnescape(v); err == nil {
-				return plain
+			if decoded, err := url.QueryUnescape(v); err == nil {
+				return decoded
 			}
 			return v
 		}
--- a/internal/core/ids.go
+++ b/internal/core/ids.go
@@ -5,32 +5,30 @@
 	"sync"
 )
 
-// idsKept is how many ids are remembered at the least, twice that at the most:
-// some seconds' worth at the rates that come to a sidecar, and far more than
-// can be open at once.
-const idsKept = 4096
+// minIDs is the minimum number of remembered ids; the maximum is twice that. This is some
+// seconds' worth at the request rates of a sidecar, and far more than can be open at once.
+const minIDs = 4096
 
-// ids remembers the ids of the requests taken last. An id is new with every
-// request, so one that comes again is somebody else's: sent on while the first
-// is open it would be a second copy of it, and its answer could be taken for
-// the other's. An id whose hash meets another's, one in 10^15, is refused
-// without need.
+// recentIDs remembers the ids of the most recent requests. Every request has a new id, so an id
+// that is repeated belongs to a different request: forwarding it while the first is open would
+// look like a second copy of that one, and the two answers could be confused. A hash collision,
+// about one in 10^15, refuses a valid request.
 //
-// The hash is keyed, so that nobody can look for ids that meet, and by a key
-// that the process which takes this one's place can be given along.
-type ids struct {
+// The hash is keyed, so that clients can't construct collisions. The key can be handed over to
+// the successor of this process.
+type recentIDs struct {
 	key uint64
 
-	mu       sync.Mutex
-	now, old map[uint64]struct{}
+	mu                sync.Mutex
+	current, previous map[uint64]struct{}
 }
 
-func newIDs() *ids {
-	return &ids{key: rand.Uint64(), now: make(map[uint64]struct{}, idsKept)}
+func newRecentIDs() *recentIDs {
+	return &recentIDs{key: rand.Uint64(), current: make(map[uint64]struct{}, minIDs)}
 }
 
-// hash is FNV-1a over texts with their ends, begun and mixed with the key.
-func (s *ids) hash(texts ...string) uint64 {
+// hash is FNV-1a over terminated texts, seeded and finalized with the key.
+func (s *recentIDs) hash(texts ...string) uint64 {
 	const offset, prime, end = 14695981039346656037, 1099511628211, 256
 	h := s.key ^ offset
 	for _, text := range texts {
@@ -44,11 +42,11 @@
 	return h ^ h>>32
 }
 
-// all are the hashes remembered, the newer half first, and their key.
-func (s *ids) all() (key uint64, hashes []uint64) {
+// all returns the remembered hashes, the newer half first, and their key.
+func (s *recentIDs) all() (key uint64, hashes []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, half := range []map[uint64]struct{}{s.now, s.old} {
+	for _, half := range []map[uint64]struct{}{s.current, s.previous} {
 		for h := range half {
 			hashes = append(hashes, h)
 		}
@@ -56,33 +54,33 @@
 	return s.key, hashes
 }
 
-// adopt remembers those of another process, before any request is taken here.
-func (s *ids) adopt(key uint64, hashes []uint64) {
+// adopt remembers the hashes of another process, before any request is accepted here.
+func (s *recentIDs) adopt(key uint64, hashes []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.key, s.old = key, make(map[uint64]struct{}, idsKept)
-	for _, h := range hashes[:min(len(hashes), 2*idsKept)] {
-		s.old[h] = struct{}{}
+	s.key, s.previous = key, make(map[uint64]struct{}, minIDs)
+	for _, h := range hashes[:min(len(hashes), 2*minIDs)] {
+		s.previous[h] = struct{}{}
 	}
 }
 
-// take notes an id; it reports false if the id was taken before.
-func (s *ids) take(id string) bool {
+// add records an id; it reports false if the id is already known.
+func (s *recentIDs) add(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.hash(id)
-	_, now := s.now[h]
-	_, old := s.old[h]
-	if now || old {
+	_, inCurrent := s.current[h]
+	_, inPrevious := s.previous[h]
+	if inCurrent || inPrevious {
 		return false
 	}
-	if len(s.now) >= idsKept {
-		s.now, s.old = s.old, s.now
-		if s.now == nil {
-			s.now = make(map[uint64]struct{}, idsKept)
+	if len(s.current) >= minIDs {
+		s.current, s.previous = s.previous, s.current
+		if s.current == nil {
+			s.current = make(map[uint64]struct{}, minIDs)
 		}
-		clear(s.now)
+		clear(s.current)
 	}
-	s.now[h] = struct{}{}
+	s.current[h] = struct{}{}
 	return true
 }
--- a/internal/core/keyed.go
+++ b/internal/core/keyed.go
@@ -9,35 +9,35 @@
 	"spokegw/policy"
 )
 
-// Peers are the other processes that clients of this one come to as well.
+// Peers are the other processes that accept requests from the same clients.
 type Peers interface {
-	// Exist reports whether there are some, or were.
+	// Exist reports whether there are or were other processes.
 	Exist() bool
-	// Publish has them know of a key. When it returns without an error each of them finds that as it
-	// catches up, whatever becomes of this process.
+	// Publish makes a key known to the other processes. Once it has returned without an error,
+	// each of them finds the key in its next CatchUp, even if this process ends.
 	Publish(keyed.Note) error
-	// CatchUp has all adopted that they have told by now. It does not wait for them.
+	// CatchUp adopts all that the peers have published so far. It does not wait for them.
 	CatchUp() error
 }
 
-// SetPeers sets the other processes. It is to be set before the first request.
+// SetPeers sets the other processes. It must be called before the first request.
 func (s *Service) SetPeers(p Peers) { s.peers = p }
 
-// catchUp has a request decided on by what other processes have told of its key.
+// catchUp adopts what other processes have published before a keyed request is decided.
 func (s *Service) catchUp(c *call) {
 	if c.keyed && s.peers != nil && s.peers.Exist() {
-		s.peers.CatchUp() // where it can't, the attempt is not claimed
+		s.peers.CatchUp() // after a failure the attempt will not be claimed
 	}
 }
 
-// claim reports whether an attempt may be made though other processes may make one of its key.
-// Each tells of its own before it looks for those of the others: of two, one at least finds the
-// other's, and gives way.
+// claim reports whether an attempt may be made although other processes may make one of the
+// same key. Each process publishes its own attempt before it reads those of the others. So at
+// least one of two processes sees the other's attempt and abandons its own.
 func (s *Service) claim(a *attempt) bool {
-	if a.note == nil || s.peers == nil || !s.peers.Exist() {
+	if a.keyNote == nil || s.peers == nil || !s.peers.Exist() {
 		return true
 	}
-	n := *a.note
+	n := *a.keyNote
 	n.Age += time.Since(a.decided)
 	if s.peers.Publish(n) != nil || s.peers.CatchUp() != nil {
 		return false
@@ -47,77 +47,77 @@
 	return s.keys.Claim(a.call.key, policy.Endpoint{Zone: a.zone, Cell: a.cell})
 }
 
-// pin has a request whose key came before, and may have run, reach only endpoints
-// that drop the repeat.
+// pin restricts a request whose key was sent before, and may have run, to endpoints that
+// deduplicate the repeat.
 //
-// Where there are moves, each request meets its pools only. A key that came before
-// stays with those that it met then, whatever the share is now.
+// While there are moves, a request is also restricted to its pools. A key that was sent before
+// keeps the pools that it was routed to then, whatever the share is now.
 func (s *Service) pin(c *call, q *policy.Request, now time.Duration, h http.Header) {
-	var earlier keyed.PriorSend
+	var prior keyed.PriorSend
 	known := false
 	if c.keyed {
-		earlier, known = s.keys.Find(now, c.key)
+		prior, known = s.keys.Find(now, c.key)
 	}
-	if s.pools.any {
-		c.repeatable = s.settled.places[c.class].rules.Effect == policy.Idempotent
-		if c.mask = earlier.Mask(); !known {
+	if s.pools.active {
+		c.repeatable = s.settings.slots[c.class].rules.Effect == policy.Idempotent
+		if c.mask = prior.Mask(); !known {
 			c.mask = s.pools.mask(h.Get("Idempotency-Key"))
 		}
 	}
 	switch {
-	case s.pools.any:
-		q.Eligible = func(to policy.Endpoint) bool { return (!known || earlier.Allows(s.now(), to)) && s.meets(c, to) }
+	case s.pools.active:
+		q.Eligible = func(to policy.Endpoint) bool { return (!known || prior.Allows(s.now(), to)) && s.allowedByMoves(c, to) }
 	case known:
-		q.Eligible = func(to policy.Endpoint) bool { return earlier.Allows(s.now(), to) }
+		q.Eligible = func(to policy.Endpoint) bool { return prior.Allows(s.now(), to) }
 	}
 }
 
-// noteSent notes that an attempt of a call goes to an endpoint, and returns the note, nil
-// where it has no key, and when the window for a repeat ends; zero: it is none.
-func (s *Service) noteSent(c *call, to *endpoint) (note *keyed.Note, repeatBy time.Time) {
+// recordSent records that an attempt of a call is sent to an endpoint. It returns the note, nil
+// without a key, and the end of the deduplication window, zero if the attempt is not a repeat.
+func (s *Service) recordSent(c *call, to *endpoint) (note *keyed.Note, dedupUntil time.Time) {
 	if !c.keyed {
-		return nil, repeatBy
+		return nil, dedupUntil
 	}
 	now := s.now()
-	s.keys.RecordSent(now, c.key, &s.settled.places[c.class].rules, to.Endpoint, c.mask.Met(to.pools))
+	s.keys.RecordSent(now, c.key, &s.settings.slots[c.class].rules, to.Endpoint, c.mask.Met(to.pools))
 	if end, repeat := s.keys.DedupUntil(c.key); repeat {
-		repeatBy = s.at(end)
+		dedupUntil = s.at(end)
 	}
 	n, ok := s.keys.NoteOf(now, c.key)
 	if !ok {
-		return nil, repeatBy
+		return nil, dedupUntil
 	}
-	if s.testHookNoted != nil {
-		s.testHookNoted()
+	if s.testHookRecorded != nil {
+		s.testHookRecorded()
 	}
-	return &n, repeatBy
+	return &n, dedupUntil
 }
 
-// SetKeyWriter sets what has a keyed request on a disk before it is sent. It may wait;
-// its error tells that the request is not to be sent. It is to be set before the first
-// request.
-func (s *Service) SetKeyWriter(keep func(context.Context, keyed.Note) error) { s.durable = keep }
+// SetKeyWriter sets the function that makes a keyed request durable before it is sent. It may
+// block; on an error the request is not sent. It must be set before the first request.
+func (s *Service) SetKeyWriter(write func(context.Context, keyed.Note) error) { s.keyWriter = write }
 
-// keepKey has the key of an attempt on the disk in its time, where that is asked for.
-func (s *Service) keepKey(a *attempt) error {
-	if a.note == nil || s.durable == nil {
+// writeKey makes the key of an attempt durable before the attempt's deadline, if that is
+// configured.
+func (s *Service) writeKey(a *attempt) error {
+	if a.keyNote == nil || s.keyWriter == nil {
 		return nil
 	}
-	ctx, cancel := context.WithDeadline(&a.end, a.until)
+	ctx, cancel := context.WithDeadline(&a.cancellation, a.deadline)
 	defer cancel()
-	n := *a.note
-	n.Age += time.Since(a.decided) // some time may have passed since it was noted
-	return s.durable(ctx, n)
+	n := *a.keyNote
+	n.Age += time.Since(a.decided) // time may have passed since the note was made
+	return s.keyWriter(ctx, n)
 }
 
-// noteEnded notes the end of an attempt that was sent.
-func (s *Service) noteEnded(c *call, r policy.Result) {
+// recordEnded records the end of an attempt that was sent.
+func (s *Service) recordEnded(c *call, r policy.Result) {
 	if c.keyed {
 		s.keys.RecordEnded(c.key, r.NeverRan())
 	}
 }
 
-// AdoptKey takes a note of another process.
+// AdoptKey adopts a key that another process sent.
 func (s *Service) AdoptKey(n keyed.Note) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/core/keyed_test.go
+++ b/internal/core/keyed_test.go
@@ -16,24 +16,24 @@
 	"spokegw/policy"
 )
 
-// A keyed request is decided on again in its window, and the way to its endpoint takes
-// until that is over: it is not written there, where it would run a second time.
-func TestRepeatIsWrittenInItsWindow(t *testing.T) {
+// A retry of a keyed request is decided within the deduplication window but delayed until the
+// window ends. It must not be sent, since the endpoint would run it a second time.
+func TestRepeatNotSentAfterWindow(t *testing.T) {
 	const window = time.Second
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	got := make(chan time.Time, 10)
-	go func() { // it runs each request and breaks the connection
+	received := make(chan time.Time, 10)
+	go func() { // runs each request and then closes the connection
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-				got <- time.Now()
+				received <- time.Now()
 			}
 			c.Close()
 		}
@@ -51,7 +51,7 @@
 	}
 	tries := 0
 	s.SetKeyWriter(func(ctx context.Context, n keyed.Note) error {
-		if tries++; tries == 2 { // the way takes until the window is over
+		if tries++; tries == 2 { // delayed until the end of the window
 			<-time.After(n.Window - n.Age)
 		}
 		return nil
@@ -73,10 +73,10 @@
 	if tries < 2 {
 		t.Fatalf("%d attempts were decided on", tries)
 	}
-	first := <-got
-	for len(got) > 0 {
-		if again := <-got; again.Sub(first) > window {
-			t.Errorf("it was sent again %v after the first time, the window is %v", again.Sub(first), window)
+	first := <-received
+	for len(received) > 0 {
+		if repeat := <-received; repeat.Sub(first) > window {
+			t.Errorf("it was sent again %v after the first time, the window is %v", repeat.Sub(first), window)
 		}
 	}
 }
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -9,32 +9,32 @@
 	"spokegw/policy"
 )
 
-// UpdateEndpoints takes entries from discovery: the whole list, or only changes.
+// UpdateEndpoints applies entries from discovery: the full list, or only changes.
 func (s *Service) UpdateEndpoints(entries []discovery.Entry, full bool) {
 	s.UpdateEndpointsAfter(entries, full, 0)
 }
 
-// UpdateEndpointsAfter is UpdateEndpoints where it is known how long ago the list before was current; 0: it is not.
+// UpdateEndpointsAfter is UpdateEndpoints with the age of the previous list; 0: unknown.
 func (s *Service) UpdateEndpointsAfter(entries []discovery.Entry, full bool, since time.Duration) {
 	s.event(func(b *policy.Balancer, now time.Duration) []policy.Action {
-		told := s.endpoints.apply(now, since, entries, full, s.pool.RemoveEndpoint)
+		changed := s.endpoints.apply(now, since, entries, full, s.pool.RemoveEndpoint)
 		s.endUnsent()
-		s.endpointsMoved()
-		return s.tellEndpoints(b, now, told, full)
+		s.refreshPools()
+		return s.applyEndpoints(b, now, changed, full)
 	})
 }
 
-// tellEndpoints tells the module of a list, or changes, with the sizes that are in force.
-func (s *Service) tellEndpoints(b *policy.Balancer, now time.Duration, told []policy.Endpoint, full bool) []policy.Action {
-	s.away(told)
-	actions := b.Endpoints(now, told, full)
-	if s.measured != nil && s.measured.inUse {
+// applyEndpoints passes a list or changes to the decision module, with the capacities in force.
+func (s *Service) applyEndpoints(b *policy.Balancer, now time.Duration, changed []policy.Endpoint, full bool) []policy.Action {
+	s.markAvoided(changed)
+	actions := b.Endpoints(now, changed, full)
+	if s.measurements != nil && s.measurements.active {
 		s.resize(b, now)
 	}
 	return actions
 }
 
-// DiscoveryEntries is the list as discovery has told it.
+// DiscoveryEntries is the list as received from discovery.
 func (s *Service) DiscoveryEntries() []discovery.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,29 +45,28 @@
 	return all
 }
 
-// CountMembers counts the endpoints as the registry lists them, and of them those
-// that the module avoids for now.
+// CountMembers counts the listed endpoints, and those of them that the decision module avoids.
 func (s *Service) CountMembers() (m figures.Members) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	standings := learnt.EndpointStatuses(s.now(), s.balancer)
+	statuses := learnt.EndpointStatuses(s.now(), s.balancer)
 	for id, e := range s.endpoints.byID {
 		m.Listed++
-		if e.Readiness != policy.Ready || standings[id].Avoided() {
+		if e.Readiness != policy.Ready || statuses[id].Avoided() {
 			m.Unavailable++
 		}
 	}
 	return m
 }
 
-// DiscoveryLost tells that a call to discovery failed or is late, when the list was last known
-// to be current (zero: it never was), and whether discovery may have too many calls.
-func (s *Service) DiscoveryLost(current time.Time, crowded bool) {
+// DiscoveryLost reports that a call to discovery failed or is overdue, when the list was last
+// known to be current (zero: never), and whether discovery may be overloaded with calls.
+func (s *Service) DiscoveryLost(current time.Time, overloaded bool) {
 	s.event(func(b *policy.Balancer, now time.Duration) []policy.Action {
 		var at time.Duration
 		if !current.IsZero() {
 			at = now - time.Since(current)
 		}
-		return b.DiscoveryLost(now, at, crowded)
+		return b.DiscoveryLost(now, at, overloaded)
 	})
 }
--- a/internal/core/measured_test.go
+++ b/internal/core/measured_test.go
@@ -14,9 +14,9 @@
 	"spokegw/policy"
 )
 
-// measuring is a service with two endpoints in each of two zones.
-func measuring(t testing.TB) (*Core, *Service) {
-	c, s := alone(t)
+// newMeasuringCore is a core of a service with two endpoints in each of two zones.
+func newMeasuringCore(t testing.TB) (*Core, *Service) {
+	c, s := newTestCore(t)
 	s.EnableMeasurement()
 	var list []discovery.Entry
 	for i, zone := range []string{"a", "a", "b", "b"} {
@@ -26,11 +26,12 @@
 	return c, s
 }
 
-// What attempts come to is told once, by endpoint and class, what is called off as overtaken
-// only where a later attempt answered; and what nobody asks for takes bounded room.
-func TestMeasured(t *testing.T) {
-	c, s := measuring(t)
-	call := &call{exchange: open(t, c, "1"), by: 1}
+// The results of attempts are reported once, by endpoint and class. Cancelled attempts count as
+// superseded only if a later attempt answered. Observations that are never collected use bounded
+// memory.
+func TestMeasure(t *testing.T) {
+	c, s := newMeasuringCore(t)
+	call := &call{exchange: open(t, c, "1"), answeredBy: 1}
 	s.mu.Lock()
 	to := s.endpoints.byName["s-1"].ID
 	for n, r := range []policy.Result{policy.Cancelled, policy.Served, policy.Cancelled, policy.NoAnswer, policy.Errored, policy.NoConnection, policy.Declined, policy.NotSent} {
@@ -53,18 +54,19 @@
 		s.UpdateEndpoints([]discovery.Entry{{ID: "n-" + strconv.Itoa(i), Addr: "127.0.0.1:1", Kind: "std", State: "active"}}, false)
 		s.mu.Lock()
 		s.measure(call, &attempt{endpoint: s.endpoints.byName["n-"+strconv.Itoa(i)].ID}, upstream.Answer{Result: policy.Errored})
-		held := len(s.measured.sums)
+		held := len(s.measurements.sums)
 		s.mu.Unlock()
 		if held > weights.MaxEndpoints {
-			t.Fatalf("%d endpoints' sums are held", held)
+			t.Fatalf("sums of %d endpoints are held", held)
 		}
 	}
 }
 
-// Factors are the sizes that the module draws by, also after a list, until there are none.
-func TestFactorsInForce(t *testing.T) {
-	_, s := measuring(t)
-	speeds := func() float64 { // of the kind, once the module has drawn
+// Factors scale the capacities that the decision module draws by, also after a list update,
+// until they are removed.
+func TestFactors(t *testing.T) {
+	_, s := newMeasuringCore(t)
+	speed := func() float64 { // of the kind, after a draw of the decision module
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.lastID++
@@ -81,35 +83,35 @@
 	}
 	s.mu.Unlock()
 	s.SetFactors(factors)
-	if x := speeds(); math.Abs(x-4) > 1e-9 {
+	if x := speed(); math.Abs(x-4) > 1e-9 {
 		t.Errorf("speed %v with factors of 4", x)
 	}
 	s.UpdateEndpoints(s.DiscoveryEntries(), true)
-	if x := speeds(); math.Abs(x-4) > 1e-9 {
+	if x := speed(); math.Abs(x-4) > 1e-9 {
 		t.Errorf("speed %v after another list", x)
 	}
 	s.SetFactors(nil)
-	if x := speeds(); x != 1 {
+	if x := speed(); x != 1 {
 		t.Errorf("speed %v with no factors", x)
 	}
 }
 
-// lostPlan is one in which a site is lost and half of a class is let in.
-func lostPlan(now time.Duration, site string, admit float64) *sites.Enforcer {
-	d := sites.NewEnforcer("g", "elsewhere", 1000) // of which few look
-	h := sites.Plan{RetryAfter: 4 * time.Second, Sites: []sites.SitePlan{{Site: sites.Hash(site), State: sites.Lost}}}
-	if admit < 1 {
-		h.Admit = []sites.Admission{{Group: sites.Group{Class: uint16(weights.NewClass("", "tile"))}, Fraction: admit}}
-	}
-	d.Apply(now, h, nil)
-	return d
+// newLostSite is the admission of a plan in which a site is lost and a fraction of a class is
+// admitted.
+func newLostSite(now time.Duration, site string, part float64) *sites.Enforcer {
+	admission := sites.NewEnforcer("g", "elsewhere", 1000) // one of 1000 gateways, of which only few probe a lost site
+	plan := sites.Plan{RetryAfter: 4 * time.Second, Sites: []sites.SitePlan{{Site: sites.Hash(site), State: sites.Lost}}}
+	if part < 1 {
+		plan.Admit = []sites.Admission{{Group: sites.Group{Class: uint16(weights.NewClass("", "tile"))}, Fraction: part}}
+	}
+	admission.Apply(now, plan, nil)
+	return admission
 }
 
-// An endpoint of a lost site gets nothing new, whatever list comes meanwhile, and is met
-// again with the site; nobody is let in whom the plan has no room for, and each is told
-// when to come back.
-func TestSiteInForce(t *testing.T) {
-	c, s := measuring(t)
+// An endpoint of a lost site gets no new requests, also after a list update, until the site is
+// back. Requests beyond the plan's capacity are refused with a Retry-After.
+func TestSiteAdmission(t *testing.T) {
+	c, s := newMeasuringCore(t)
 	usable := func() (n int) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -123,34 +125,34 @@
 		return n
 	}
 	if n := usable(); n != 4 {
-		t.Fatalf("%d of 4 are met", n)
+		t.Fatalf("%d of 4 endpoints are usable", n)
 	}
-	s.SetSiteAdmission(lostPlan(time.Second, "b", 1))
+	s.SetSiteAdmission(newLostSite(time.Second, "b", 1))
 	if n := usable(); n != 2 {
-		t.Errorf("%d are met while a site of two is lost", n)
+		t.Errorf("%d endpoints are usable while one of two sites is lost", n)
 	}
 	s.UpdateEndpoints(s.DiscoveryEntries(), true)
 	if n := usable(); n != 2 {
-		t.Errorf("%d are met after another list", n)
+		t.Errorf("%d endpoints are usable after another list", n)
 	}
 	s.SetSiteAdmission(nil)
 	if n := usable(); n != 4 {
-		t.Errorf("%d are met when it is whole", n)
+		t.Errorf("%d endpoints are usable after the site is back", n)
 	}
-	s.SetSiteAdmission(lostPlan(time.Second, "b", 0))
+	s.SetSiteAdmission(newLostSite(time.Second, "b", 0))
 	_, refused := c.Open(&Head{Method: "GET", Target: "/tile/1", Host: "b", Header: map[string][]string{"Req-Id": {"1"}, "Req-Deadline": {"30m"}}})
 	if refused == nil || refused.Status != 503 || refused.RetryAfter < 2*time.Second || refused.RetryAfter > 6*time.Second {
 		t.Errorf("%+v", refused)
 	}
 	if seen := s.TakeObservations(); len(seen) != 1 || seen[0].Cells[0].Served != 1 {
-		t.Errorf("what is refused is not counted as asked for: %+v", seen)
+		t.Errorf("a refused request is not counted as demand: %+v", seen)
 	}
 }
 
-// BenchmarkMeasure is what an attempt's end costs more where the fleet has weights, and
-// BenchmarkDoor a request at the door of a plan.
+// BenchmarkMeasure measures the additional cost of an attempt's end in a fleet with weights,
+// and BenchmarkSiteAdmission that of a request under a plan.
 func BenchmarkMeasure(b *testing.B) {
-	c, s := measuring(b)
+	c, s := newMeasuringCore(b)
 	call := &call{exchange: open(b, c, "1")}
 	a := &attempt{endpoint: s.endpoints.byName["s-1"].ID}
 	b.ReportAllocs()
@@ -159,12 +161,12 @@
 	}
 }
 
-func BenchmarkDoor(b *testing.B) {
-	c, s := measuring(b)
+func BenchmarkSiteAdmission(b *testing.B) {
+	c, s := newMeasuringCore(b)
 	x := open(b, c, "1")
-	s.SetSiteAdmission(lostPlan(time.Second, "b", 0.999999))
+	s.SetSiteAdmission(newLostSite(time.Second, "b", 0.999999))
 	b.ReportAllocs()
 	for b.Loop() {
-		s.letIn(x)
+		s.admitBySite(x)
 	}
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -12,16 +12,16 @@
 	"spokegw/policy"
 )
 
-// Member is an endpoint as an operator is shown it.
+// Member is an endpoint as operators see it.
 type Member struct {
 	ID, Addr, Kind, State string
 	Disabled              bool    // by an operator
-	AvoidedReason         string  // it is avoided; "": it is not
+	AvoidedReason         string  // "": it is not avoided
 	Share                 float64 // of the requests that it is drawn for
 	learnt.EndpointStatus
 }
 
-// MemberList is every endpoint in the list, by id.
+// MemberList returns every listed endpoint, ordered by id.
 func (s *Service) MemberList() (all []Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,13 +29,13 @@
 }
 
 func (s *Service) memberList() (all []Member) {
-	const none = math.SmallestNonzeroFloat64
-	standings, sum := learnt.EndpointStatuses(s.now(), s.balancer), none
-	for _, st := range standings {
+	const epsilon = math.SmallestNonzeroFloat64
+	statuses, sum := learnt.EndpointStatuses(s.now(), s.balancer), epsilon
+	for _, st := range statuses {
 		sum += st.SelectionWeight
 	}
 	for id, e := range s.endpoints.byID {
-		st := standings[id]
+		st := statuses[id]
 		m := Member{ID: e.name, Addr: e.addr, Kind: e.entry.Kind, State: e.entry.State, Disabled: s.endpoints.disabled[e.name], Share: st.SelectionWeight / sum, EndpointStatus: st}
 		switch {
 		case m.Disabled:
@@ -44,7 +44,7 @@
 			m.AvoidedReason = "leaving"
 		case st.Avoided():
 			m.AvoidedReason = "failed"
-		case m.Share == 0 && sum > none: // else nothing was drawn yet, and any may be
+		case m.Share == 0 && sum > epsilon: // before the first draw any endpoint may be chosen
 			m.AvoidedReason = "no part"
 		}
 		all = append(all, m)
@@ -53,11 +53,12 @@
 	return all
 }
 
-// Disable has an endpoint get nothing new, whatever discovery says of it, until
-// Enable or its end. What it has goes on. It is an error if it is not in the list.
+// Disable stops new requests to an endpoint, whatever its state in discovery, until Enable is
+// called or the endpoint is removed. Open requests continue. It is an error if the endpoint is
+// not listed.
 func (s *Service) Disable(id string) error { return s.setDisabled(id, true) }
 
-// Enable takes that back.
+// Enable reverts Disable.
 func (s *Service) Enable(id string) error { return s.setDisabled(id, false) }
 
 func (s *Service) setDisabled(id string, disabled bool) (err error) {
@@ -76,10 +77,10 @@
 			delete(s.endpoints.disabled, id)
 		}
 		s.log.Info("endpoint by an operator", "id", id, "disabled", disabled)
-		told := s.endpoints.apply(now, 0, []discovery.Entry{e.entry}, false, s.pool.RemoveEndpoint)
+		changed := s.endpoints.apply(now, 0, []discovery.Entry{e.entry}, false, s.pool.RemoveEndpoint)
 		s.endUnsent()
-		s.endpointsMoved()
-		return s.tellEndpoints(b, now, told, false)
+		s.refreshPools()
+		return s.applyEndpoints(b, now, changed, false)
 	})
 	return err
 }
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -18,31 +18,31 @@
 	"spokegw/policy"
 )
 
-// MovePlan is a move between two pools of a service as an operator wants it.
+// MovePlan is a move between two pools of a service as configured by an operator.
 type MovePlan struct {
 	moves.Config                                 // without Guards
-	GuardsFor    func(class string) moves.Guards // by the name of a class
+	GuardsFor    func(class string) moves.Guards // by class name
 }
 
-// pools are the moves over a service. Each has a bit, which it keeps.
+// pools are the moves of a service. Each move keeps its bit.
 type pools struct {
-	moves [moves.MaxMoves]*moves.Move // nil: none has the bit
-	plans [moves.MaxMoves]MovePlan
-	next  []MovePlan // that wait until a move over the same endpoints is over
-	any   bool       // there is one
-	// meets tells by mask whether an endpoint is ready that a request of it may
-	// meet. Where none is it may meet all: an empty pool loses no request.
-	meets [1 << moves.MaxMoves]bool
+	moves   [moves.MaxMoves]*moves.Move // nil: the bit is free
+	plans   [moves.MaxMoves]MovePlan
+	waiting []MovePlan // waiting until a move over the same endpoints is over
+	active  bool       // there is a move
+	// usable states for each mask whether a ready endpoint is allowed. If there is none, all
+	// endpoints are allowed, so that an empty pool does not fail requests.
+	usable [1 << moves.MaxMoves]bool
 }
 
-// SetMoves has the service go by these moves. One that is under way and is not
-// among them is undone first, and one that takes its place waits for that. More
-// than moves.MaxMoves wait as well.
+// SetMoves replaces the moves of the service. A move that is under way and not in plans is
+// undone first; the move that replaces it waits for that, and so do moves beyond
+// moves.MaxMoves.
 func (s *Service) SetMoves(plans []MovePlan) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := &s.pools
-	p.next = nil
+	p.waiting = nil
 	for i, m := range p.moves {
 		if m != nil && !isAmong(m, plans) {
 			p.moves[i].Retire()
@@ -51,12 +51,12 @@
 	for _, plan := range plans {
 		if i := p.find(&plan); i >= 0 {
 			p.plans[i] = plan
-			p.moves[i].Configure(s.now(), s.guarded(plan))
+			p.moves[i].Configure(s.now(), s.withGuards(plan))
 		} else {
-			p.next = append(p.next, plan)
+			p.waiting = append(p.waiting, plan)
 		}
 	}
-	s.placeMoves()
+	s.assignBits()
 }
 
 func isAmong(m *moves.Move, plans []MovePlan) bool {
@@ -77,16 +77,16 @@
 	return -1
 }
 
-// guarded is a plan's move with its guards by the places of the classes.
-func (s *Service) guarded(plan MovePlan) moves.Config {
+// withGuards is the configuration of a move with its guards by class slot.
+func (s *Service) withGuards(plan MovePlan) moves.Config {
 	c := plan.Config
 	c.Guards, c.Worth = nil, nil
-	for i, name := range s.settled.names() {
+	for i, name := range s.settings.classNames() {
 		var g moves.Guards
 		var w moves.ClassWorth
 		if name != "" {
 			g = plan.GuardsFor(name)
-			rules := &s.settled.places[i].rules
+			rules := &s.settings.slots[i].rules
 			w = moves.ClassWorth{InTime: rules.Worth, Late: rules.Worth * rules.LateWorth}
 		}
 		c.Guards, c.Worth = append(c.Guards, g), append(c.Worth, w)
@@ -94,12 +94,11 @@
 	return c
 }
 
-// placeMoves gives those that wait a bit where one is free and no move of the same
-// name is still on its way back, drops those that are over, and looks up anew
-// which endpoints are in which pool.
-func (s *Service) placeMoves() {
+// assignBits assigns free bits to waiting moves, unless a move of the same name is still being
+// undone. It removes moves that are over, and recomputes the pools of the endpoints.
+func (s *Service) assignBits() {
 	p := &s.pools
-	p.any = false
+	p.active = false
 	for i, m := range p.moves {
 		if m != nil && m.Over() {
 			if m.Course().Phase == moves.Done {
@@ -108,37 +107,37 @@
 			p.moves[i] = nil
 		}
 	}
-	var wait []MovePlan
-	for _, plan := range p.next {
-		if i := p.free(plan.Name); i >= 0 {
-			p.moves[i], p.plans[i] = moves.New(s.now(), s.guarded(plan)), plan
+	var waiting []MovePlan
+	for _, plan := range p.waiting {
+		if i := p.freeBit(plan.Name); i >= 0 {
+			p.moves[i], p.plans[i] = moves.New(s.now(), s.withGuards(plan)), plan
 		} else {
-			wait = append(wait, plan)
+			waiting = append(waiting, plan)
 		}
 	}
-	p.next = wait
+	p.waiting = waiting
 	for _, m := range p.moves {
-		p.any = p.any || m != nil
+		p.active = p.active || m != nil
 	}
-	s.endpointsMoved()
+	s.refreshPools()
 }
 
-// free is a bit that no move has; -1: none, or one of this name is there still.
-func (p *pools) free(name string) int {
-	if p.named(name) >= 0 {
+// freeBit returns an unused bit; -1: there is none, or a move of this name still exists.
+func (p *pools) freeBit(name string) int {
+	if p.byName(name) >= 0 {
 		return -1
 	}
 	return slices.Index(p.moves[:], nil)
 }
 
-// endpointsMoved looks up which endpoints are in which pools, and which masks
-// leave a request somewhere to go.
-func (s *Service) endpointsMoved() {
+// refreshPools recomputes which endpoints are in which pools, and which masks have a ready
+// endpoint.
+func (s *Service) refreshPools() {
 	p := &s.pools
-	if !p.any {
+	if !p.active {
 		return
 	}
-	p.meets = [len(p.meets)]bool{}
+	p.usable = [len(p.usable)]bool{}
 	for _, e := range s.endpoints.byID {
 		e.pools = moves.Pools{}
 		for i, m := range p.moves {
@@ -149,22 +148,22 @@
 			if from && !to {
 				e.pools.From |= 1 << i
 			}
-			if to && !from { // one in both is in neither
+			if to && !from { // an endpoint that both select is in neither pool
 				e.pools.To |= 1 << i
 			}
 		}
-		for mask := range p.meets {
-			p.meets[mask] = p.meets[mask] || e.Readiness == policy.Ready && moves.Mask(mask).Allows(e.pools)
+		for mask := range p.usable {
+			p.usable[mask] = p.usable[mask] || e.Readiness == policy.Ready && moves.Mask(mask).Allows(e.pools)
 		}
 	}
 }
 
-// mask is which pools a call meets: by its key where it has one, so that a key
-// changes pools once at most, and else by chance.
+// mask states which pools a call is routed to: by the hash of its key, so that a key changes
+// pools at most once, and otherwise at random.
 func (p *pools) mask(key string) (mask moves.Mask) {
 	hash := rand.Uint64
 	if key != "" {
-		h := fnv.New64a() // alike in every process
+		h := fnv.New64a() // the same in every process
 		h.Write([]byte(key))
 		sum := h.Sum64()
 		hash = func() uint64 { return sum }
@@ -177,33 +176,33 @@
 	return mask
 }
 
-// meets reports whether a call may go to an endpoint by the moves. What is tried
-// again crosses to the other pool where that does no harm: where nothing of it
-// can have run, or it may run any number of times.
-func (s *Service) meets(c *call, to policy.Endpoint) bool {
-	if !s.pools.meets[c.mask&(1<<moves.MaxMoves-1)] || len(c.attempts) > 0 && (c.unsure == 0 || c.repeatable) {
+// allowedByMoves reports whether a call may go to an endpoint under the moves. A retry may
+// cross to the other pool where that is harmless: if no attempt can have run, or the request
+// may run any number of times.
+func (s *Service) allowedByMoves(c *call, to policy.Endpoint) bool {
+	if !s.pools.usable[c.mask&(1<<moves.MaxMoves-1)] || len(c.attempts) > 0 && (c.mayHaveRun == 0 || c.repeatable) {
 		return true
 	}
 	e := s.endpoints.byID[to.ID]
 	return e == nil || c.mask.Allows(e.pools)
 }
 
-// seen tells the moves how an attempt ended. Only first ones count: what is tried
-// again is so for the fault of another, and has less time. What was not sent, for
-// want of the sidecar's own places, speaks of no pool.
-func (s *Service) seen(c *call, a *attempt, result upstream.Answer) {
+// observe reports the end of an attempt to the moves. Only first attempts count, since a retry
+// was caused by another endpoint and has less time. An attempt that was not sent for lack of
+// the sidecar's own connection slots says nothing about a pool.
+func (s *Service) observe(c *call, a *attempt, result upstream.Answer) {
 	e := s.endpoints.byID[a.endpoint]
 	if a.n > 0 || e == nil || e.pools == (moves.Pools{}) {
 		return
 	}
-	p := &s.settled.places[c.class].rules
+	p := &s.settings.slots[c.class].rules
 	o := moves.Seen{Class: c.class, Endpoint: uint32(a.endpoint)}
 	switch result.Result {
 	case policy.Served:
 		o.Took, o.Late = result.Elapsed, p.Aim > 0 && result.Elapsed > p.Aim
 	case policy.Declined:
 		o.Turned = true
-	case policy.Cancelled: // another attempt was sooner, or its client has left
+	case policy.Cancelled: // another attempt was faster, or the client has disconnected
 		if o.Late = p.Aim > 0 && result.Elapsed > p.Aim; !o.Late {
 			return
 		}
@@ -212,46 +211,46 @@
 	default:
 		o.Failed, o.Late = true, result.Result == policy.NoAnswer
 	}
-	age := s.now() - max(e.Started, e.first)
+	age := s.now() - max(e.Started, e.firstSent)
 	for i, m := range s.pools.moves {
 		bit := uint8(1) << i
 		if m == nil || (e.pools.From|e.pools.To)&bit == 0 {
 			continue
 		}
 		o.New = e.pools.To&bit != 0
-		o.Cold = age < max(m.Warming, s.settled.policy.WarmupTime)
+		o.Cold = age < max(m.Warming, s.settings.policy.WarmupTime)
 		m.See(&o)
 	}
 }
 
-// TickMoves lets time pass for the moves. It is to be called once a second.
+// TickMoves advances the moves in time. It must be called once a second.
 func (s *Service) TickMoves() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := &s.pools
-	if !p.any && len(p.next) == 0 {
+	if !p.active && len(p.waiting) == 0 {
 		return
 	}
-	now, names := s.now(), s.settled.names()
-	standings := learnt.EndpointStatuses(now, s.balancer)
-	over := len(p.next) > 0
+	now, names := s.now(), s.settings.classNames()
+	statuses := learnt.EndpointStatuses(now, s.balancer)
+	reassign := len(p.waiting) > 0
 	for i, m := range p.moves {
 		if m == nil {
 			continue
 		}
-		m.Conditions(s.poolMembers(i, standings))
+		m.Conditions(s.poolMembers(i, statuses))
 		for _, e := range m.Tick(now, names) {
 			s.logMove(m, e)
 		}
-		over = over || m.Over()
+		reassign = reassign || m.Over()
 	}
-	if over {
-		s.placeMoves()
+	if reassign {
+		s.assignBits()
 	}
 }
 
 // poolMembers are the endpoints of both pools of a move.
-func (s *Service) poolMembers(i int, standings map[policy.EndpointID]learnt.EndpointStatus) (all []moves.Member) {
+func (s *Service) poolMembers(i int, statuses map[policy.EndpointID]learnt.EndpointStatus) (all []moves.Member) {
 	bit := uint8(1) << i
 	for id, e := range s.endpoints.byID {
 		if (e.pools.From|e.pools.To)&bit == 0 {
@@ -259,8 +258,8 @@
 		}
 		all = append(all, moves.Member{
 			ID: uint32(id), From: e.pools.From&bit != 0, To: e.pools.To&bit != 0,
-			Ready: e.Readiness == policy.Ready, Weight: cmp.Or(standings[id].Speed, e.NominalSize), Warmth: standings[id].Warmth,
-			InFlight: standings[id].InFlight,
+			Ready: e.Readiness == policy.Ready, Weight: cmp.Or(statuses[id].Speed, e.NominalSize), Warmth: statuses[id].Warmth,
+			InFlight: statuses[id].InFlight,
 		})
 	}
 	return all
@@ -274,23 +273,23 @@
 	s.log.Log(context.Background(), level, "move "+e.What, "move", m.Name, "share", e.Share, "why", e.Why)
 }
 
-// MoveState is a move as an operator is shown it.
+// MoveState is the state of a move as operators see it.
 type MoveState struct {
 	Name, Service       string
 	From, To            string
 	Course              moves.Course
 	Plan                moves.Plan
-	PhaseAge, Remaining time.Duration // that it has been in this phase or step, and until it is done at least
-	NewShare            float64       // part of the requests that met the new pool of late
-	Ready               [2]int        // endpoints of the old pool and the new
+	PhaseAge, Remaining time.Duration // PhaseAge: time in this phase or step; Remaining: minimum time until it is done
+	NewShare            float64       // fraction of recent requests that were routed to the new pool
+	Ready               [2]int        // endpoints of the old and the new pool
 	Evidence            []moves.Evidence
 }
 
-// Moves are the moves over the service, by their bits.
+// Moves returns the moves of the service, ordered by bit.
 func (s *Service) Moves() (all []MoveState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, names := s.now(), s.settled.names()
+	now, names := s.now(), s.settings.classNames()
 	for i, m := range s.pools.moves {
 		if m == nil {
 			continue
@@ -312,21 +311,21 @@
 	return all
 }
 
-// ErrNoMove tells that a service has no move of a name.
+// ErrNoMove states that a service has no move of the given name.
 var ErrNoMove = errors.New("there is no such move")
 
-// CommandMove is an operator's word on a move: begin, hold, go-on or undo.
-func (s *Service) CommandMove(name, word string) error {
+// CommandMove executes an operator's command on a move: begin, hold, go-on or undo.
+func (s *Service) CommandMove(name, command string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := s.pools.named(name)
+	i := s.pools.byName(name)
 	if i < 0 {
 		return ErrNoMove
 	}
 	now, m := s.now(), s.pools.moves[i]
 	m.Conditions(s.poolMembers(i, learnt.EndpointStatuses(now, s.balancer)))
 	var err error
-	switch word {
+	switch command {
 	case "begin":
 		err = m.Begin(now)
 	case "hold":
@@ -336,39 +335,39 @@
 	case "undo":
 		err = m.Undo(now, "by an operator")
 	default:
-		err = fmt.Errorf("%.40q is no word on a move", word)
+		err = fmt.Errorf("%.40q is not a move command", command)
 	}
 	if err != nil {
 		return fmt.Errorf("move %s: %w", name, err)
 	}
-	s.log.Info("move by an operator", "move", name, "word", word, "share", m.Share())
+	s.log.Info("move by an operator", "move", name, "word", command, "share", m.Share())
 	return nil
 }
 
-// named is the bit of a move; -1: there is none of this name.
-func (p *pools) named(name string) int {
+// byName returns the bit of the named move; -1: there is none.
+func (p *pools) byName(name string) int {
 	return slices.IndexFunc(p.moves[:], func(m *moves.Move) bool { return m != nil && m.Name == name })
 }
 
-// AddMoveEvidence tells a move what others have seen of its two pools.
+// AddMoveEvidence adds observations of the two pools of a move by other processes.
 func (s *Service) AddMoveEvidence(name, class string, k moves.Kind, b judge.Block) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := s.pools.named(name)
+	i := s.pools.byName(name)
 	if i < 0 {
 		return ErrNoMove
 	}
-	return s.pools.moves[i].Told(slices.Index(s.settled.names(), class), k, b)
+	return s.pools.moves[i].Told(slices.Index(s.settings.classNames(), class), k, b)
 }
 
-// MoveRecords are what another process is told of the moves.
+// MoveRecords are the states of the moves for another process.
 func (s *Service) MoveRecords() []moves.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.moveRecords()
 }
 
-// AdoptMoves has the moves go on where records have them.
+// AdoptMoves continues the moves from the states in the records.
 func (s *Service) AdoptMoves(all []moves.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/core/order_test.go
+++ b/internal/core/order_test.go
@@ -18,15 +18,16 @@
 	"spokegw/policy"
 )
 
-// silent is an endpoint that gets requests and answers none. came has when each came.
-func silent(t *testing.T) (addr string, came chan time.Time) {
+// silentEndpoint is an endpoint that receives requests and answers none; received has the
+// times.
+func silentEndpoint(t *testing.T) (addr string, received chan time.Time) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	came = make(chan time.Time, 16)
+	received = make(chan time.Time, 16)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -36,16 +37,16 @@
 			t.Cleanup(func() { c.Close() })
 			go func() {
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					came <- time.Now()
+					received <- time.Now()
 				}
 			}()
 		}
 	}()
-	return l.Addr().String(), came
+	return l.Addr().String(), received
 }
 
-// orders is a core of keyed requests to endpoints of one group.
-func orders(t *testing.T, window, aim time.Duration, addrs ...string) (*Core, *Service) {
+// newOrderCore is a core for keyed requests to endpoints of one deduplication group.
+func newOrderCore(t *testing.T, window, aim time.Duration, addrs ...string) (*Core, *Service) {
 	t.Helper()
 	s, err := NewService(ServiceConfig{
 		Kinds: []string{"std"}, Limits: []FrontLimits{{Bodies: budget.New(1<<20).Join(1, nil)}}, Seed: 1, Figures: figures.New(),
@@ -70,7 +71,7 @@
 	return New(table), s
 }
 
-// openOrder takes the head of a keyed request, of one key.
+// openOrder passes the head of a request; all requests have the same key.
 func openOrder(t *testing.T, c *Core, id string, client Client) *Exchange {
 	t.Helper()
 	x, refused := c.Open(&Head{Method: "POST", Target: "/order", Host: "b", Client: client,
@@ -81,7 +82,7 @@
 	return x
 }
 
-// do has a request answered.
+// do runs a request in its own goroutine.
 func do(x *Exchange) (answered chan Answer) {
 	answered = make(chan Answer, 1)
 	go func() {
@@ -91,57 +92,57 @@
 	return answered
 }
 
-// firstWaits has the first attempt of a service wait for its disk until goesOn is closed, and
-// no other. waits is closed when it does.
-func firstWaits(s *Service) (waits, goesOn chan struct{}) {
-	waits, goesOn = make(chan struct{}), make(chan struct{})
+// blockFirstAttempt blocks the key write of the first attempt only, until proceed is closed.
+// blocked is closed when it blocks.
+func blockFirstAttempt(s *Service) (blocked, proceed chan struct{}) {
+	blocked, proceed = make(chan struct{}), make(chan struct{})
 	s.SetKeyWriter(func(context.Context, keyed.Note) error {
 		select {
-		case <-waits: // the hedged one does not wait
+		case <-blocked: // the hedged attempt does not block
 		default:
-			close(waits)
-			<-goesOn
+			close(blocked)
+			<-proceed
 		}
 		return nil
 	})
-	return waits, goesOn
+	return blocked, proceed
 }
 
-// leaves is a client that closes its connection, which nobody tells.
-type leaves struct{ atomic.Bool }
+// closingClient is a client that closes its connection without a notification.
+type closingClient struct{ atomic.Bool }
 
-func (c *leaves) Disconnected() bool { return c.Load() }
+func (c *closingClient) Disconnected() bool { return c.Load() }
 
-// A client closes its connection while its request waits for the disk, as while the process
-// stands still: nothing is sent for it, though word of its leaving comes later.
-func TestClientLeftWhileAKeyIsKept(t *testing.T) {
-	addr, came := silent(t)
-	c, s := orders(t, time.Minute, time.Second, addr)
-	client := new(leaves)
+// A client closes its connection while its request waits for a key write, as in a process
+// stall. Nothing may be sent for it, even though the notification comes later.
+func TestDisconnectedDuringKeyWrite(t *testing.T) {
+	addr, received := silentEndpoint(t)
+	c, s := newOrderCore(t, time.Minute, time.Second, addr)
+	client := new(closingClient)
 	s.SetKeyWriter(func(context.Context, keyed.Note) error {
 		client.Store(true)
-		<-time.After(2 * lookAgain)
+		<-time.After(2 * recheckAfter)
 		return nil
 	})
 	x := openOrder(t, c, "1", client)
 	answered := do(x)
 	select {
 	case <-answered:
-	case <-came:
-		t.Error("an attempt was begun for a client that had left")
+	case <-received:
+		t.Error("an attempt was sent for a disconnected client")
 		x.ClientDisconnected()
 		<-answered
 	}
 }
 
-// The process stands still between the moment that a request's time counts from and that at
-// which its attempt is given one: what passes meanwhile is not added to the request's time.
-func TestTimeThatPassesBeforeAnAttemptIsDecided(t *testing.T) {
+// The process stalls between the time that a request's deadline counts from and the decision on
+// its attempt. The stall must not extend the deadline.
+func TestStallDoesNotExtendDeadline(t *testing.T) {
 	const pause = 30 * time.Millisecond
 	for _, decided := range []bool{false, true} {
-		addr, came := silent(t)
-		c, s := orders(t, time.Minute, 10*time.Second, addr)
-		s.testHookNoted = func() {
+		addr, received := silentEndpoint(t)
+		c, s := newOrderCore(t, time.Minute, 10*time.Second, addr)
+		s.testHookRecorded = func() {
 			if decided {
 				<-time.After(pause)
 			}
@@ -153,30 +154,31 @@
 			<-time.After(pause)
 		}
 		answered := do(x)
-		<-came
+		<-received
 		s.mu.Lock()
-		over := x.call.attempts[0].until.Sub(latest)
+		excess := x.call.attempts[0].deadline.Sub(latest)
 		s.mu.Unlock()
-		if over > 0 {
-			t.Errorf("stood still after the decision: %t: the attempt may last for %v more than its request", decided, over)
+		if excess > 0 {
+			t.Errorf("stalled after the decision: %t: the attempt may exceed its request's deadline by %v", decided, excess)
 		}
 		x.ClientDisconnected()
 		<-answered
 	}
 }
 
-// When a window ends does not depend on how long the process stood still while that was found.
-func TestWindowEndsByOneClock(t *testing.T) {
-	addr, came := silent(t)
-	c, s := orders(t, time.Minute, 10*time.Second, addr)
+// The end of a deduplication window must not depend on how long the process stalled while
+// computing it.
+func TestWindowEndIndependentOfStall(t *testing.T) {
+	addr, received := silentEndpoint(t)
+	c, s := newOrderCore(t, time.Minute, 10*time.Second, addr)
 	for _, id := range []string{"1", "2"} { // the same key
 		x := openOrder(t, c, id, nil)
 		answered := do(x)
-		<-came
+		<-received
 		s.mu.Lock()
 		a := x.call.attempts[0]
-		if end, repeat := s.keys.DedupUntil(x.key); repeat != (id == "2") || repeat && !a.repeatBy.Equal(s.start.Add(end-s.unixStart)) {
-			t.Errorf("request %s: repeat %t, by %v", id, repeat, a.repeatBy)
+		if end, repeat := s.keys.DedupUntil(x.key); repeat != (id == "2") || repeat && !a.dedupUntil.Equal(s.start.Add(end-s.unixStart)) {
+			t.Errorf("request %s: repeat %t, by %v", id, repeat, a.dedupUntil)
 		}
 		s.mu.Unlock()
 		defer func() {
@@ -186,94 +188,95 @@
 	}
 }
 
-// The first attempt of a key waits, a hedged one is sent before it and may have run: by now
-// the first is the repeat, and it is not written once the window of the other is over.
-func TestFirstAttemptIsTheRepeat(t *testing.T) {
+// The first attempt of a key is delayed, and a hedged attempt is sent before it and may have
+// run. The first attempt is then the repeat, and must not be sent after the end of the window.
+func TestDelayedFirstAttemptIsRepeat(t *testing.T) {
 	const window = 2 * permit.MaxStall
-	first, came := silent(t)
-	second, cameToo := silent(t)
-	c, s := orders(t, window, 10*time.Millisecond, first, second)
-	waits, goesOn := firstWaits(s)
+	firstAddr, received := silentEndpoint(t)
+	secondAddr, receivedToo := silentEndpoint(t)
+	c, s := newOrderCore(t, window, 10*time.Millisecond, firstAddr, secondAddr)
+	blocked, proceed := blockFirstAttempt(s)
 	x := openOrder(t, c, "1", nil)
 	answered := do(x)
-	<-waits
-	var ran time.Time
+	<-blocked
+	var firstSent time.Time
 	select {
-	case ran = <-came:
-	case ran = <-cameToo:
+	case firstSent = <-received:
+	case firstSent = <-receivedToo:
 	}
-	<-time.After(time.Until(ran.Add(window)))
-	close(goesOn)
-	var again []time.Time
+	<-time.After(time.Until(firstSent.Add(window)))
+	close(proceed)
+	var repeats []time.Time
 	for done := false; !done; <-time.After(time.Millisecond) {
 		s.mu.Lock()
-		done = x.call.open < 2 // the first has ended unsent
+		done = x.call.inFlight < 2 // the first has ended unsent
 		s.mu.Unlock()
 		select {
-		case at := <-came:
-			again, done = append(again, at), true
-		case at := <-cameToo:
-			again, done = append(again, at), true
+		case at := <-received:
+			repeats, done = append(repeats, at), true
+		case at := <-receivedToo:
+			repeats, done = append(repeats, at), true
 		default:
 		}
 	}
-	if len(again) > 0 {
-		t.Errorf("the key came again %v after the first time, the window is %v", again[0].Sub(ran), window)
+	if len(repeats) > 0 {
+		t.Errorf("the key was sent again %v after the first time, the window is %v", repeats[0].Sub(firstSent), window)
 	}
 	x.ClientDisconnected()
 	<-answered
 }
 
-// A hedged request is answered while the first attempt waits, where attempts may not be called
-// off: nothing of that one has been sent, and nothing is any more.
-func TestNothingIsSentAfterTheAnswer(t *testing.T) {
+// A hedged attempt is answered while the first one waits, also where attempts may not be
+// cancelled. The first one has sent nothing, and must not be sent any more.
+func TestNothingSentAfterAnswer(t *testing.T) {
 	for _, mayCancel := range []bool{false, true} {
-		first, came := counted(t)
-		second, cameToo := counted(t)
-		c, s := orders(t, time.Minute, 10*time.Millisecond, first, second)
-		s.settled.policy.Cancel = mayCancel
-		if err := s.balancer.Retune(s.settled.policy); err != nil {
+		firstAddr, received := countingEndpoint(t)
+		secondAddr, receivedToo := countingEndpoint(t)
+		c, s := newOrderCore(t, time.Minute, 10*time.Millisecond, firstAddr, secondAddr)
+		s.settings.policy.Cancel = mayCancel
+		if err := s.balancer.Retune(s.settings.policy); err != nil {
 			t.Fatal(err)
 		}
-		waits, goesOn := firstWaits(s)
+		blocked, proceed := blockFirstAttempt(s)
 		x := openOrder(t, c, "1", nil)
 		answered := do(x)
-		<-waits
+		<-blocked
 		var a Answer
-		if mayCancel { // its own goroutine makes the first attempt
-			for s.calling(x, 2) {
+		if mayCancel { // the request's own goroutine makes the first attempt
+			for s.unfinished(x, 2) {
 				<-time.After(time.Millisecond)
 			}
-			close(goesOn)
+			close(proceed)
 			a = <-answered
 		} else {
 			a = <-answered
-			close(goesOn)
+			close(proceed)
 		}
 		a.Free()
-		for s.calling(x, 1) {
+		for s.unfinished(x, 1) {
 			<-time.After(time.Millisecond)
 		}
-		if n := len(came) + len(cameToo); a.Status != http.StatusOK || n != 1 {
-			t.Errorf("may be called off: %t: answered %d, and %d attempts were sent", mayCancel, a.Status, n)
+		if n := len(received) + len(receivedToo); a.Status != http.StatusOK || n != 1 {
+			t.Errorf("may be cancelled: %t: answered %d, and %d attempts were sent", mayCancel, a.Status, n)
 		}
 	}
 }
 
-// calling reports whether so many attempts of a request are out, or its call is not over.
-func (s *Service) calling(x *Exchange, open int) bool {
+// unfinished reports whether at least so many attempts of a request are in flight, or its call is
+// not over.
+func (s *Service) unfinished(x *Exchange, inFlight int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return x.call == nil || !x.call.over || x.call.open >= open
+	return x.call == nil || !x.call.done || x.call.inFlight >= inFlight
 }
 
-// The process stands still between a key's note and its way to the disk: it is kept as old as it is
-// by then, or the next process would take its window for as much longer.
-func TestKeyIsKeptAsOldAsItIs(t *testing.T) {
+// The process stalls between the note of a key and its key write. The age that is written must
+// include the stall, or the next process would extend the window by it.
+func TestKeyAgeIncludesStall(t *testing.T) {
 	const pause = 30 * time.Millisecond
-	addr, came := silent(t)
-	c, s := orders(t, time.Minute, 10*time.Second, addr)
-	s.testHookNoted = func() { <-time.After(pause) }
+	addr, received := silentEndpoint(t)
+	c, s := newOrderCore(t, time.Minute, 10*time.Second, addr)
+	s.testHookRecorded = func() { <-time.After(pause) }
 	age := make(chan time.Duration, 1)
 	s.SetKeyWriter(func(_ context.Context, n keyed.Note) error {
 		age <- n.Age
@@ -281,46 +284,47 @@
 	})
 	x := openOrder(t, c, "1", nil)
 	answered := do(x)
-	<-came
-	if was := <-age; was < pause {
-		t.Errorf("it was sent %v ago at least, and is kept as %v old", pause, was)
+	<-received
+	if written := <-age; written < pause {
+		t.Errorf("it was sent at least %v ago, and is stored with an age of %v", pause, written)
 	}
 	x.ClientDisconnected()
 	<-answered
 }
 
-// others is another process that tells what was made of a key after this one has decided on it.
-type others struct {
-	service *Service
-	fails   error
-	told    []keyed.Note
-	asked   int
+// conflictingPeer is another process that publishes an attempt of a key after this one has
+// decided on it.
+type conflictingPeer struct {
+	service   *Service
+	err       error
+	published []keyed.Note
+	catchUps  int
 }
 
-func (o *others) Exist() bool { return true }
+func (o *conflictingPeer) Exist() bool { return true }
 
-func (o *others) Publish(n keyed.Note) error {
-	o.told = append(o.told, n)
-	return o.fails
+func (o *conflictingPeer) Publish(n keyed.Note) error {
+	o.published = append(o.published, n)
+	return o.err
 }
 
-func (o *others) CatchUp() error {
-	if o.asked++; len(o.told) > 0 {
-		n := o.told[0]
+func (o *conflictingPeer) CatchUp() error {
+	if o.catchUps++; len(o.published) > 0 {
+		n := o.published[0]
 		n.Cell++
 		o.service.AdoptKey(n)
 	}
 	return nil
 }
 
-// Another process has sent a key elsewhere since this one decided on it, or can't be told of the
-// key: it is not sent here, and the client is refused.
-func TestKeyThatAnotherProcessSends(t *testing.T) {
-	for _, fails := range []error{nil, context.DeadlineExceeded} {
-		addr, came := silent(t)
-		c, s := orders(t, time.Minute, time.Second, addr)
-		s.settled.places[0].rules.Scope = policy.ScopeCell
-		o := &others{service: s, fails: fails}
+// Another process has sent a key elsewhere since this one decided on it, or the key can't be
+// published: it must not be sent here, and the client is refused.
+func TestKeySentByAnotherProcess(t *testing.T) {
+	for _, publishErr := range []error{nil, context.DeadlineExceeded} {
+		addr, received := silentEndpoint(t)
+		c, s := newOrderCore(t, time.Minute, time.Second, addr)
+		s.settings.slots[0].rules.Scope = policy.ScopeCell
+		o := &conflictingPeer{service: s, err: publishErr}
 		s.SetPeers(o)
 		x := openOrder(t, c, "1", nil)
 		answered := do(x)
@@ -329,13 +333,13 @@
 			if a.Status != http.StatusServiceUnavailable {
 				t.Errorf("answered %d", a.Status)
 			}
-		case <-came:
+		case <-received:
 			t.Error("it was sent here as well")
 			x.ClientDisconnected()
 			<-answered
 		}
-		if n := len(o.told); n == 0 || o.asked == 0 {
-			t.Errorf("told %d times, caught up %d times", n, o.asked)
+		if n := len(o.published); n == 0 || o.catchUps == 0 {
+			t.Errorf("published %d times, caught up %d times", n, o.catchUps)
 		}
 	}
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -11,12 +11,11 @@
 	"spokegw/policy"
 )
 
-// probePatience bounds a probe: the module waits for it with a timer of its
-// own, so this only frees the connection.
-const probePatience = time.Second
+// probeTimeout bounds a probe. The decision module has its own timer for the result, so this
+// timeout only frees the connection.
+const probeTimeout = time.Second
 
-// probe asks an endpoint for its load report, or for its health where there
-// are no reports.
+// probe requests the load report of an endpoint, or its health if there are no load reports.
 func (s *Service) probe(id policy.EndpointID) {
 	e := s.endpoints.byID[id]
 	if e == nil {
@@ -28,10 +27,10 @@
 	}
 	to := e.upstream()
 	head := fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nReq-Deadline: ", path, to.Addr)
-	terms := upstream.Constraints{Deadline: time.Now().Add(probePatience), Gate: probing{e.listing}}
+	constraints := upstream.Constraints{Deadline: time.Now().Add(probeTimeout), Gate: probeGate{e.status}}
 	go func() {
 		defer logPanic("probe")
-		a, _ := s.pool.Begin(new(upstream.Cancellation), to, &upstream.Request{Head: head}, terms, nil)
+		a, _ := s.pool.Begin(new(upstream.Cancellation), to, &upstream.Request{Head: head}, constraints, nil)
 		defer a.Free()
 		r := policy.ProbeResult{Endpoint: id, Result: a.Result}
 		if a.Result == policy.Served {
@@ -41,25 +40,24 @@
 	}()
 }
 
-// probing is a probe as upstream asks about it. No client waits for it, and it has no effect.
-type probing struct{ of *listing }
+// probeGate is the gate of a probe for upstream. A probe has no client and no side effect.
+type probeGate struct{ status *listStatus }
 
-// FillFacts fills in how the endpoint stands now.
-func (p probing) FillFacts(facts *permit.Attempt) {
-	facts.Endpoint = permit.EndpointStatus(p.of.now.Load())
+// FillFacts fills in the current status of the endpoint.
+func (p probeGate) FillFacts(facts *permit.Attempt) {
+	facts.Endpoint = permit.EndpointStatus(p.status.current.Load())
 }
 
-// FirstByteWritten is told of what no rule is about.
-func (probing) FirstByteWritten(time.Duration) {}
+// FirstByteWritten does nothing: no rule applies to probes.
+func (probeGate) FirstByteWritten(time.Duration) {}
 
-// reportNames are the names that a load report may use for a field of the
-// settings.
+// reportNames are the alternative names of load report fields, by the names of the settings.
 var reportNames = map[string]string{
 	"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms", "rate": "qps", "fail_rate": "eps",
 }
 
-// parseReport puts a load report's values in the order of the settings; nil
-// where one is missing or no number.
+// parseReport returns the values of a load report in the order of the settings; nil if one is
+// missing or not a number.
 func parseReport(fields []string, text string) []float64 {
 	values := map[string]string{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -72,11 +70,11 @@
 		if !ok {
 			v = values[reportNames[f]]
 		}
-		x, err := strconv.ParseFloat(v, 64)
+		value, err := strconv.ParseFloat(v, 64)
 		if err != nil {
 			return nil
 		}
-		report = append(report, x)
+		report = append(report, value)
 	}
 	return report
 }
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -19,52 +19,52 @@
 	"spokegw/policy"
 )
 
-// Service is a pool of endpoints, a table of classes and an instance of the
-// decision module, which it owns. Every event is one call on the module under
-// the mutex, and the actions that come back are carried out before the next
-// event. None of them waits for anything.
+// Service is a pool of endpoints with a table of classes and its own instance of the decision
+// module (policy.Balancer). Every event is one call to that module under the mutex, and the
+// returned actions are carried out before the next event. None of them blocks.
 type Service struct {
 	name      string
-	log       *slog.Logger // tells the service's name, where it has one
+	log       *slog.Logger // with the service's name, if it has one
 	figures   *figures.Figures
 	report    []string // fields of a load report
 	pool      *upstream.Pool
-	rooms     []FrontLimits // by front
-	subscribe func()        // asks for a watch on discovery
+	limits    []FrontLimits // by front
+	subscribe func()        // requests a watch on discovery
 	unixStart time.Duration
 	start     time.Time
 
-	mu        sync.Mutex
-	settled   *settled
-	balancer  *policy.Balancer
-	broker    *broker.Broker // nil: there are no contracts
-	tight     bool           // the broker's word when it was last logged
-	toldTight time.Duration  // and when that was
-	denied    []*attempt     // that the broker had no room for, and the module is still to hear of
-	endpoints *endpoints
-	calls     map[policy.RequestID]*call
-	lastID    policy.RequestID
-	timers    timers
-	keys      *keyed.Table
-	peers     Peers                                   // nil: there are no other processes
-	durable   func(context.Context, keyed.Note) error // nil: nothing waits for a disk
-	pools     pools
-	measured  *measured            // nil: no fleet has weights
-	grace     time.Duration        // for sends to an endpoint that drains, as told at the start
-	delay     func() time.Duration // of this sidecar's own processor; nil: not known
-	stalled   func() time.Duration // the same, for contracts
-
-	// stalledSince is for how long this process got no processor between a time and now; nil: not known.
+	mu               sync.Mutex
+	settings         *resolvedSettings
+	balancer         *policy.Balancer
+	broker           *broker.Broker // nil: there are no contracts
+	shortageLogged   bool           // whether shares were enforced when that was last logged
+	shortageLoggedAt time.Duration  // when that was last logged
+	denied           []*attempt     // attempts that the contract refused, not yet reported to the decision module
+	endpoints        *endpoints
+	calls            map[policy.RequestID]*call
+	lastID           policy.RequestID
+	timers           timers
+	keys             *keyed.Table
+	peers            Peers                                   // nil: there are no other processes
+	keyWriter        func(context.Context, keyed.Note) error // nil: keys are not made durable
+	pools            pools
+	measurements     *measurements        // nil: the fleet has no weights
+	drainGrace       time.Duration        // for sends to a draining endpoint, as configured at the start
+	processorDelay   func() time.Duration // scheduling delay of this sidecar; nil: unknown
+	stallDelay       func() time.Duration // the same, for contracts
+
+	// stalledSince is how long this process got no processor between a time and now; nil:
+	// unknown.
 	stalledSince func(from, now time.Time) time.Duration
 
-	testHookNoted func() // called as a key is noted; nil but in tests
+	testHookRecorded func() // called when a key is recorded; nil outside of tests
 }
 
-// ServiceConfig is what a service is made of.
+// ServiceConfig is the configuration of a service.
 type ServiceConfig struct {
-	Name         string   // for the log; "": it is the only one
-	Settings              // with which it begins
-	Kinds, Zones []string // names, by the numbers that the module knows
+	Name         string   // for the log; "": it is the only service
+	Settings              // initial settings
+	Kinds, Zones []string // names, by the numbers in the decision module
 	Report       []string // fields of a load report
 	Seed         uint64
 	Figures      *figures.Figures
@@ -72,23 +72,23 @@
 	Limits       []FrontLimits // by front
 }
 
-// FrontLimits is what requests of one front may take up of a service: a flood on one
-// takes nothing from the other that is in its reserve.
+// FrontLimits bound the resources of a service that requests of one front may use, so that a
+// flood on one front takes nothing from the reserve of the other.
 type FrontLimits struct {
 	Bodies   *budget.Partition // bytes of bodies
-	Requests *budget.Partition // requests that are open; asked where there are contracts
+	Requests *budget.Partition // open requests; used only with contracts
 }
 
-// NewService makes a service. It is asleep until it is told of endpoints.
+// NewService makes a service. It is idle until it is given endpoints.
 func NewService(c ServiceConfig) (*Service, error) {
 	if len(c.Classes) != len(c.Policy.Classes) {
-		return nil, fmt.Errorf("%d classes are named and %d described", len(c.Classes), len(c.Policy.Classes))
+		return nil, fmt.Errorf("%d class names for %d class settings", len(c.Classes), len(c.Policy.Classes))
 	}
-	first, err := settle(nil, nil, c.Settings, c.Figures)
+	settings, err := resolveSettings(nil, nil, c.Settings, c.Figures)
 	if err != nil {
 		return nil, err
 	}
-	b, err := policy.New(first.policy, c.Seed)
+	b, err := policy.New(settings.policy, c.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -97,85 +97,85 @@
 		log = log.With("service", c.Name)
 	}
 	return &Service{
-		name: c.Name, log: log, figures: c.Figures, settled: first, report: c.Report, pool: c.Pool,
-		rooms: c.Limits, subscribe: func() {},
+		name: c.Name, log: log, figures: c.Figures, settings: settings, report: c.Report, pool: c.Pool,
+		limits: c.Limits, subscribe: func() {},
 		unixStart: time.Duration(now.UnixNano()), start: now,
-		balancer: b, grace: c.Policy.DrainGrace, endpoints: newEndpoints(log, c.Kinds, c.Zones),
+		balancer: b, drainGrace: c.Policy.DrainGrace, endpoints: newEndpoints(log, c.Kinds, c.Zones),
 		calls: map[policy.RequestID]*call{}, keys: keyed.New(), timers: timers{queue: wheel.NewQueue[policy.Token](timerTick)},
 	}, nil
 }
 
-// Name is the service's; "": it is the only one.
+// Name is the service's name; "": it is the only one.
 func (s *Service) Name() string { return s.name }
 
-// OnSubscribe sets what the module's wish for a watch on discovery calls. It is
-// to be set before the first event, and must not wait.
-func (s *Service) OnSubscribe(ask func()) { s.subscribe = ask }
+// OnSubscribe sets the function that is called when the decision module requests a watch on
+// discovery. It must be set before the first event, and must not block.
+func (s *Service) OnSubscribe(subscribe func()) { s.subscribe = subscribe }
 
-// call is a request from when the module is told of it until it is answered
-// and no attempt is out.
+// call is a request from when it is passed to the decision module until it is answered and none
+// of its attempts is in flight.
 type call struct {
-	id       policy.RequestID
-	exchange *Exchange
-	class    int
-	ticket   *ticket // nil: no contracts were in force
-	req      *upstream.Request
-	answer   chan Answer // takes the one final answer, or word that the client has left
-	over     bool        // answered, or the client left
-	here     bool        // an event of the request's own goroutine is carried out, which makes
-	next     *attempt    // this attempt then
-	made     *attempt    // and made that one last
-	attempts []*attempt
-	open     int     // attempts that are out
-	first    attempt // the most that most need, in one piece with the call
-	room     [1]*attempt
-	by       int    // the number of the attempt that answered
-	slow     bool   // the latest attempt timed out
-	keyed    bool   // the request has a key
-	key      uint64 // hash of it
-
-	until      time.Time  // its client's time is over then
-	trace      *Trace     // nil: nobody looks on
-	mask       moves.Mask // which pools it meets
+	id             policy.RequestID
+	exchange       *Exchange
+	class          int
+	ticket         *ticket // nil: no contracts were in force
+	req            *upstream.Request
+	answer         chan Answer // receives the one final answer, or an empty one when the client has disconnected
+	done           bool        // answered, or the client has disconnected
+	onOwnGoroutine bool        // an event of the request's own goroutine is running; that goroutine makes ownNext
+	ownNext        *attempt    // attempt that the request's own goroutine makes next
+	ownLast        *attempt    // attempt that it made last
+	attempts       []*attempt
+	inFlight       int     // attempts in flight
+	firstAttempt   attempt // most requests need one attempt, which is allocated with the call
+	attemptBuf     [1]*attempt
+	answeredBy     int    // number of the attempt that answered
+	timedOut       bool   // the latest attempt timed out
+	keyed          bool   // the request has an idempotency key
+	key            uint64 // hash of the key
+
+	deadline   time.Time  // of its client
+	trace      *Trace     // nil: the request is not traced
+	mask       moves.Mask // the pools that it is routed to
 	repeatable bool       // it may run any number of times
-	unsure     int        // attempts that are out, or have ended and may have run
+	mayHaveRun int        // attempts that are in flight, or have ended and may have run
 
-	// timers are those that the module has set for the request; with it they are
-	// of no more use. What there is no place for runs out by itself.
-	timers [5]wheel.ID
-	set    int // of timers, how many there are
+	// timers are those of the request, cancelled with it. Timers beyond the array expire
+	// without effect.
+	timers    [5]wheel.ID
+	numTimers int
 }
 
-// now is the module's clock: Unix time at the start and what has passed since.
-// It agrees with the registry's start times and does not jump.
+// now is the clock of the decision module: Unix time at the start plus the time elapsed since.
+// It matches the start times of the registry and does not jump.
 func (s *Service) now() time.Duration { return s.clockAt(time.Now()) }
 
-// at is a time of the module's clock. Nothing passes between the readings of two clocks.
+// at converts a time of that clock. No time passes between two clock readings.
 func (s *Service) at(t time.Duration) time.Time { return s.start.Add(t - s.unixStart) }
 
-// clockAt is what the module's clock was at a time.
+// clockAt converts a time to that clock.
 func (s *Service) clockAt(t time.Time) time.Duration { return s.unixStart + t.Sub(s.start) }
 
-// event makes one call on the module and carries out its actions. A panic is
-// logged: it must not take the requests of others along.
-func (s *Service) event(tell func(b *policy.Balancer, now time.Duration) []policy.Action) {
+// event makes one call to the decision module and carries out its actions. A panic is logged,
+// since it must not affect other requests.
+func (s *Service) event(call func(b *policy.Balancer, now time.Duration) []policy.Action) {
 	defer logPanic("event")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(tell)
+	s.invoke(call)
 }
 
-func (s *Service) tell(tell func(b *policy.Balancer, now time.Duration) []policy.Action) {
-	s.carryOutAll(tell(s.balancer, s.now()))
+func (s *Service) invoke(call func(b *policy.Balancer, now time.Duration) []policy.Action) {
+	s.carryOutAll(call(s.balancer, s.now()))
 }
 
 func (s *Service) carryOutAll(actions []policy.Action) {
 	for _, a := range actions {
 		s.carryOut(a)
 	}
-	// The module's actions are valid until the next call on it, so what was
-	// denied is told when they have been carried out. A request has a bounded
-	// number of attempts, so this ends.
+	// The actions are valid until the next call to the decision module, so attempts that were
+	// denied are reported after all have been carried out. The loop ends because a request has
+	// a bounded number of attempts.
 	for len(s.denied) > 0 {
 		a := s.denied[0]
 		s.denied = s.denied[1:]
@@ -196,21 +196,21 @@
 	case policy.Send:
 		s.send(a)
 	case policy.Refuse:
-		s.calls[a.Request].tell("module", "refuses, best after %v", a.RetryAfter)
-		s.unsent(s.calls[a.Request])
+		s.calls[a.Request].traceStep("module", "refuses, retry after %v", a.RetryAfter)
+		s.refundUnsent(s.calls[a.Request])
 		s.conclude(s.calls[a.Request], Answer{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter})
 	case policy.Fail:
 		c, status := s.calls[a.Request], http.StatusBadGateway
-		if c != nil && c.slow {
+		if c != nil && c.timedOut {
 			status = http.StatusGatewayTimeout
 		}
-		c.tell("module", "gives up")
-		s.unsent(c)
+		c.traceStep("module", "fails the request")
+		s.refundUnsent(c)
 		s.conclude(c, Answer{Status: status})
 	case policy.Cancel:
 		if c := s.calls[a.Request]; c != nil && a.Attempt < len(c.attempts) {
-			c.tell("module", "calls off attempt %d", a.Attempt)
-			c.attempts[a.Attempt].end.Cancel(upstream.ErrCancelled)
+			c.traceStep("module", "cancels attempt %d", a.Attempt)
+			c.attempts[a.Attempt].cancellation.Cancel(upstream.ErrCancelled)
 		}
 	case policy.SetTimer:
 		s.setTimer(s.calls[a.Token.Request], a)
@@ -219,115 +219,119 @@
 	case policy.Subscribe:
 		s.subscribe()
 	default:
-		panic(fmt.Sprintf("no way to carry out %T", a))
+		panic(fmt.Sprintf("unknown action %T", a))
 	}
 }
 
-// eventOf is event for one of a request's own goroutine. It returns the attempt that is to
-// be made by that, before anything is waited for: one goroutine fewer for most requests.
-// nil: none is. Where attempts can't be called off it never is: the request's answer may
-// come of another one first, and is not to wait for this.
+// eventOf is event for an event on a request's own goroutine. It returns the attempt that this
+// goroutine should make before it waits, which saves a goroutine for most requests; nil: there
+// is none. It is always nil where attempts can't be cancelled: another attempt may answer the
+// request first, and that answer must not wait for this attempt.
 func (s *Service) eventOf(c *call, event func(s *Service, c *call)) *attempt {
 	defer logPanic("event")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.here = s.settled.policy.Cancel && c.req.Stream == nil
-	defer func() { c.here = false }()
+	c.onOwnGoroutine = s.settings.policy.Cancel && c.req.Stream == nil
+	defer func() { c.onOwnGoroutine = false }()
 	event(s, c)
-	next := c.next
-	if c.next = nil; next != nil {
-		c.made = next
+	next := c.ownNext
+	if c.ownNext = nil; next != nil {
+		c.ownLast = next
 	}
 	return next
 }
 
-// answers are what answers are handed over by. Each carries one and is used again then.
+// answers recycles the channels that deliver answers. Each channel carries one answer per use.
 var answers = newAnswers()
 
 func newAnswers() *sync.Pool { return &sync.Pool{New: func() any { return make(chan Answer, 1) }} }
 
-// request tells the module of a request, and makes the attempts that are the caller's to
-// make. The caller then waits on the answer.
+// request passes a request to the decision module and makes the attempts of the caller's
+// goroutine. The caller then waits for the answer.
 func (s *Service) request(x *Exchange, req *upstream.Request) *call {
 	c := &call{
 		exchange: x, class: x.request.Class, ticket: x.ticket, req: req, answer: answers.Get().(chan Answer),
 		keyed: x.keyed, key: x.key, trace: x.trace,
 	}
-	c.attempts = c.room[:0]
+	c.attempts = c.attemptBuf[:0]
 	s.catchUp(c)
-	for next := s.eventOf(c, (*Service).take); next != nil; {
-		next = s.make(next, true)
+	for next := s.eventOf(c, (*Service).register); next != nil; {
+		next = s.runAttempt(next, true)
 	}
 	return c
 }
 
-// take tells the module of a request.
-func (s *Service) take(c *call) {
+// register passes a request to the decision module.
+func (s *Service) register(c *call) {
 	q, now := c.exchange.request, s.now()
-	if s.lastID++; s.lastID == 0 { // no request's: timers that are of none have it
+	if s.lastID++; s.lastID == 0 { // 0 is the request id of timers without a request
 		s.lastID++
 	}
 	c.id, q.ID = s.lastID, s.lastID
 	s.calls[c.id] = c
-	q.TimeLeft -= now - s.clockAt(c.exchange.came)
-	c.until = s.at(now + q.TimeLeft)
-	s.guard(c, q.TimeLeft+answerOverdue) // first: what follows may panic
+	q.TimeLeft -= now - s.clockAt(c.exchange.received)
+	c.deadline = s.at(now + q.TimeLeft)
+	s.setGuard(c, q.TimeLeft+overdueMargin) // first, since what follows may panic
 	s.pin(c, &q, now, c.exchange.head.Header)
 	if c.trace != nil {
-		c.trace.step("taken", "%v left, pools %b, owed by contract: %v, pinned: %v", q.TimeLeft.Round(time.Millisecond), c.mask, q.Guaranteed, q.Eligible != nil)
+		c.trace.step("taken", "%v left, pools %b, guaranteed by contract: %v, pinned: %v", q.TimeLeft.Round(time.Millisecond), c.mask, q.Guaranteed, q.Eligible != nil)
 	}
-	if c.exchange.call = c; c.exchange.left {
-		s.left(c)
+	if c.exchange.call = c; c.exchange.disconnected {
+		s.disconnected(c)
 		return
 	}
 	s.carryOutAll(s.balancer.Request(now, q))
 }
 
-// leave ends a request whose client has left, now or before the module is told of it.
-func (x *Exchange) leave(s *Service) {
+// disconnect ends a request whose client has disconnected, before or after the decision module
+// has received the request.
+func (x *Exchange) disconnect(s *Service) {
 	s.event(func(b *policy.Balancer, now time.Duration) []policy.Action {
-		if x.left = true; x.call == nil || x.call.over {
+		if x.disconnected = true; x.call == nil || x.call.done {
 			return nil
 		}
-		s.left(x.call)
+		s.disconnected(x.call)
 		return b.ClientDisconnected(now, x.call.id)
 	})
 }
 
-// left has a call over without an answer.
-func (s *Service) left(c *call) {
-	s.unsent(c)
+// disconnected completes a call without an answer.
+func (s *Service) disconnected(c *call) {
+	s.refundUnsent(c)
 	s.conclude(c, Answer{})
 }
 
-// clientLeft reports whether the client has left, also where word of it is still on its
-// way: after a stall that and the end of an attempt wait together, in any order.
-func (x *Exchange) clientLeft() bool { return x.head.Client != nil && x.head.Client.Disconnected() }
+// connectionClosed reports whether the client has disconnected, even if the notification is
+// still pending: after a stall, the notification and the end of an attempt may be handled in
+// either order.
+func (x *Exchange) connectionClosed() bool {
+	return x.head.Client != nil && x.head.Client.Disconnected()
+}
 
-// conclude gives the final answer, once.
+// conclude delivers the final answer, once.
 func (s *Service) conclude(c *call, a Answer) {
-	if c == nil || c.over {
+	if c == nil || c.done {
 		return
 	}
 	c.end()
 	c.answer <- a
-	s.forget(c)
+	s.removeIfDone(c)
 }
 
-// end has a call over. Attempts that have sent nothing yet are ended, also where the module may
-// not call off what is out: nothing of them is.
+// end completes a call. Attempts that have sent nothing are ended even if the decision module
+// may not cancel attempts in flight.
 func (c *call) end() {
-	c.over = true
+	c.done = true
 	for _, a := range c.attempts {
-		a.end.CancelUnsent(upstream.ErrCancelled)
+		a.cancellation.CancelUnsent(upstream.ErrCancelled)
 	}
 }
 
-// forget drops a call of which nothing is left.
-func (s *Service) forget(c *call) {
-	if c.over && c.open == 0 {
+// removeIfDone removes a call that is answered and has no attempts in flight.
+func (s *Service) removeIfDone(c *call) {
+	if c.done && c.inFlight == 0 {
 		delete(s.calls, c.id)
-		for _, t := range c.timers[:c.set] {
+		for _, t := range c.timers[:c.numTimers] {
 			s.timers.queue.Cancel(t)
 		}
 		c.exchange.release()
--- a/internal/core/started.go
+++ b/internal/core/started.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// starts tells when endpoints started, by the module's clock. Registries tell it by the clock of
-// the day, which may have been set here or there, by an hour or back: what is known without it
-// goes before it. It is guarded by the service's mutex.
+// starts determines the start times of endpoints by the clock of the service. Registries report
+// them by wall clocks, which may be wrong or be changed by hours on either side, so bounds that
+// don't depend on wall clocks take precedence. It is guarded by the service's mutex.
 type starts struct {
-	gone map[string]start // of endpoints that are not listed any more; at most mostGone
+	unlisted map[string]start // of endpoints that are no longer listed; at most maxUnlisted
 }
 
-// start is when an endpoint started.
+// start is the start of an endpoint.
 type start struct {
-	told int64         // Unix milliseconds, as the registry has it; 0: long ago
-	at   time.Duration // by the module's clock; 0: long ago
+	reportedMS int64         // Unix milliseconds from the registry; 0: long ago
+	at         time.Duration // by the clock of the service; 0: long ago
 }
 
 const (
-	// mostGone bounds the endpoints that are remembered when they are not listed any more.
-	mostGone = 1024
-	// listedWithin is how soon after its start an endpoint is listed, where it is not for long.
-	listedWithin = 2 * time.Second
+	// maxUnlisted bounds the number of remembered endpoints that are no longer listed.
+	maxUnlisted = 1024
+	// listingDelay is the maximum expected time from the start of an endpoint to its listing.
+	listingDelay = 2 * time.Second
 )
 
-// of is the start of an endpoint that is listed now. since is how long ago a list was current that
-// did not have it; 0: none is known to have been. It may be listed again as it was: it stayed away
-// from the registry, and is as warm as before.
-func (s *starts) of(now time.Duration, id string, told int64, since time.Duration) start {
-	if told == 0 {
+// startOf returns the start of an endpoint that is listed now. since is the age of the last
+// list without it; 0: unknown. An endpoint that is listed again with the same start time was
+// only missing from the registry, and is as warm as before.
+func (s *starts) startOf(now time.Duration, id string, reportedMS int64, since time.Duration) start {
+	if reportedMS == 0 {
 		return start{}
 	}
-	if before, ok := s.gone[id]; ok && before.told == told {
-		return before
+	if previous, ok := s.unlisted[id]; ok && previous.reportedMS == reportedMS {
+		return previous
 	}
-	at := min(time.Duration(told)*time.Millisecond, now) // one that is to come is the clock's fault
+	at := min(time.Duration(reportedMS)*time.Millisecond, now) // a start in the future is due to a wrong clock
 	if since > 0 {
-		at = max(at, now-since-listedWithin)
+		at = max(at, now-since-listingDelay)
 	}
-	return start{told, at}
+	return start{reportedMS, at}
 }
 
-// leave remembers the start of an endpoint that is not listed any more.
-func (s *starts) leave(id string, its start) {
-	if s.gone == nil || len(s.gone) >= mostGone {
-		s.gone = map[string]start{}
+// remember stores the start of an endpoint that is no longer listed.
+func (s *starts) remember(id string, last start) {
+	if s.unlisted == nil || len(s.unlisted) >= maxUnlisted {
+		s.unlisted = map[string]start{}
 	}
-	s.gone[id] = its
+	s.unlisted[id] = last
 }
--- a/internal/core/table.go
+++ b/internal/core/table.go
@@ -8,49 +8,50 @@
 	"spokegw/internal/route"
 )
 
-// Table is what requests are taken by: the services, and where paths lead. It
-// does not change; another takes its place.
+// Table is the immutable routing table for requests: the services, and the classes of paths.
 type Table struct {
-	// Contracts tells that the operator has said what there is and who may ask
-	// for it: what is not there is then 404, and not malformed.
+	// Contracts states that an operator has configured all services and who may use them: an
+	// unknown path is then answered with 404 instead of 400.
 	Contracts bool
 
 	routes *route.Table
 	mounts []Mount
 }
 
-// Mount is a service with how requests of its classes are known.
+// Mount is a service together with the paths and methods of its classes.
 type Mount struct {
 	*Service
-	Classes []Class         // by position in the service's settings
-	Update  *SettingsUpdate // the change of its settings that comes with the table; nil: none
+	Classes []Class         // by index in the service's settings
+	Update  *SettingsUpdate // the change of its settings that belongs to the table; nil: none
 
-	settled *settled
+	settings *resolvedSettings
 }
 
-// entry is a class of a table.
-type entry struct {
+// tableClass is a class of a table.
+type tableClass struct {
 	*Class
-	*place
+	*classSlot
 }
 
-func (m *Mount) entry(class int) entry { return entry{&m.Classes[class], m.settled.classes[class]} }
+func (m *Mount) class(class int) tableClass {
+	return tableClass{&m.Classes[class], m.settings.classes[class]}
+}
 
-// NewTable makes a table of services. It is an error if two classes of them
-// have a path in common, or one has a path that none can have.
+// NewTable makes a table of services. It returns an error if two classes have a path in common
+// or a path is not valid.
 func NewTable(contracts bool, mounts ...Mount) (*Table, error) {
 	t := &Table{Contracts: contracts, routes: route.New(), mounts: mounts}
 	for i := range mounts {
 		m := &mounts[i]
 		if m.Update != nil {
-			m.settled = m.Update.to
+			m.settings = m.Update.settings
 		} else {
 			m.Service.mu.Lock()
-			m.settled = m.Service.settled
+			m.settings = m.Service.settings
 			m.Service.mu.Unlock()
 		}
-		if len(m.Classes) != len(m.settled.classes) {
-			return nil, fmt.Errorf("%d classes are named and %d described", len(m.Classes), len(m.settled.classes))
+		if len(m.Classes) != len(m.settings.classes) {
+			return nil, fmt.Errorf("%d class names for %d class settings", len(m.Classes), len(m.settings.classes))
 		}
 		for j, c := range m.Classes {
 			for _, p := range c.Paths {
@@ -63,7 +64,7 @@
 	return t, nil
 }
 
-// MaxDeadline is the longest that a client of any class waits for an answer.
+// MaxDeadline is the longest time that a client of any class waits for an answer.
 func (c *Core) MaxDeadline() (longest time.Duration) {
 	for _, s := range c.table.Load().mounts {
 		longest = max(longest, s.Service.deadline())
@@ -71,8 +72,8 @@
 	return longest
 }
 
-// SetTableAndTerms puts a table in place together with the contracts of its services,
-// by their order in it. No service decides anything while that is done.
+// SetTableAndTerms replaces the table together with the contracts of its services, which are in
+// the same order. No service makes a decision in between.
 func (c *Core) SetTableAndTerms(t *Table, terms []broker.Terms) {
 	for _, s := range t.mounts {
 		s.mu.Lock()
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -11,100 +11,99 @@
 	"spokegw/policy"
 )
 
-// timerTick is how exactly the module's timers go off: at most so much late.
+// timerTick is the resolution of the decision module's timers: each is at most this late.
 const timerTick = time.Millisecond
 
-// readAfterStall is the time that the ends of attempts which came during a stall may take
-// to be seen.
+// readAfterStall is the time allowed for reading results that arrived during a stall.
 const readAfterStall = 20 * time.Millisecond
 
-// timers are those that the module has set, on one timer of the system's. Most are of
-// requests that are answered long before, and cost no more than their place on a wheel. It
-// is guarded by the service's mutex.
+// timers are the timers of the decision module, multiplexed on one system timer. Most belong to
+// requests that are answered long before, and cost only their place in the timing wheel.
+// Guarded by the service's mutex.
 type timers struct {
-	queue *wheel.Queue[policy.Token]
-	alarm *time.Timer    // nil: none was needed yet
-	armed time.Duration  // since the service's start, when it goes off; 0: it does not
-	due   []policy.Token // scratch
-	again bool           // what is due was put off once, and is not again
+	queue    *wheel.Queue[policy.Token]
+	timer    *time.Timer    // nil: not needed yet
+	armedFor time.Duration  // since the service's start, when it fires; 0: it is not set
+	due      []policy.Token // scratch
+	deferred bool           // the due timers were already deferred once, and are not deferred again
 }
 
-// setTimer sets one; c, which may be nil, takes it back when nothing is left of it.
+// setTimer sets a timer; c, which may be nil, cancels it when the call is removed.
 func (s *Service) setTimer(c *call, a policy.SetTimer) {
 	id := s.timers.queue.Add(time.Since(s.start)+a.Delay, a.Token)
-	if c != nil && c.set < len(c.timers) {
-		c.timers[c.set] = id
-		c.set++
+	if c != nil && c.numTimers < len(c.timers) {
+		c.timers[c.numTimers] = id
+		c.numTimers++
 	}
 	s.arm()
 }
 
-// arm has the alarm go off for the next timer, where it would not by then. One that is
-// armed for a timer that was taken back goes off for nothing, at most once for each time
-// it is armed.
+// arm sets the system timer for the next timer, unless it fires earlier anyway. If the timer
+// that it was set for is cancelled, it fires without effect, at most once each time it is set.
 func (s *Service) arm() {
 	t := &s.timers
 	next, ok := t.queue.Next()
-	if !ok || t.armed > 0 && t.armed <= next {
+	if !ok || t.armedFor > 0 && t.armedFor <= next {
 		return
 	}
-	t.armed = max(next, 1)
+	t.armedFor = max(next, 1)
 	in := next - time.Since(s.start)
-	if t.alarm == nil {
-		t.alarm = time.AfterFunc(in, s.timersDue)
+	if t.timer == nil {
+		t.timer = time.AfterFunc(in, s.timersDue)
 	} else {
-		t.alarm.Reset(in)
+		t.timer.Reset(in)
 	}
 }
 
-// timersDue tells the module of what is due. What is late by this sidecar's own doing is
-// not late yet, and waits: also where the whole process stalled, and answers that came
-// in time have not been read. Requests whose time is over are answered at once.
+// timersDue passes due timers to the decision module. Timers are deferred while this sidecar
+// itself is delayed, and once after a stall of the whole process, since answers that arrived in
+// time may not have been read yet. Requests whose deadline has passed are answered immediately.
 func (s *Service) timersDue() {
-	if own := s.own(); own > time.Millisecond {
-		time.Sleep(min(ownWaits*own, longestPutOff))
+	if own := s.ownDelay(); own > time.Millisecond {
+		time.Sleep(min(ownWaits*own, maxTimerDelay))
 	}
 	defer logPanic("timers")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.arm() // also after a panic: the others' timers go on
+	defer s.arm() // also after a panic, so that the timers of other requests continue
 	t, now := &s.timers, time.Since(s.start)
-	late := t.armed > 0 && stall.Detected(now-t.armed) && !t.again
-	t.armed, t.due, t.again = 0, t.due[:0], late
+	stalled := t.armedFor > 0 && stall.Detected(now-t.armedFor) && !t.deferred
+	t.armedFor, t.due, t.deferred = 0, t.due[:0], stalled
 	t.queue.Advance(now, func(k policy.Token) { t.due = append(t.due, k) })
-	for _, k := range t.due { // first: what follows may panic
-		if k.Purpose == guarded {
-			s.unanswered(s.calls[k.Request])
+	for _, k := range t.due { // first, since what follows may panic
+		if k.Purpose == guardPurpose {
+			s.answerExpired(s.calls[k.Request])
 		}
 	}
 	for _, k := range t.due {
-		if late && k.Purpose != guarded {
+		if stalled && k.Purpose != guardPurpose {
 			t.queue.Add(now+readAfterStall, k)
 			continue
 		}
-		s.tell(func(b *policy.Balancer, now time.Duration) []policy.Action { return b.Timer(now, k) })
+		s.invoke(func(b *policy.Balancer, now time.Duration) []policy.Action { return b.Timer(now, k) })
 	}
 }
 
-// guarded is the purpose of the timer that a request is guarded by; the module has none of
-// that number.
-const guarded uint8 = 255
+// guardPurpose is the purpose of the guard timer of a request; the decision module does not use
+// this number.
+const guardPurpose uint8 = 255
 
-// guard has a request answered that the module has not answered in its time.
-func (s *Service) guard(c *call, in time.Duration) {
-	s.setTimer(c, policy.SetTimer{Token: policy.Token{Purpose: guarded, Request: c.id}, Delay: in})
+// setGuard sets the timer that answers a request if the decision module does not answer it in
+// time.
+func (s *Service) setGuard(c *call, in time.Duration) {
+	s.setTimer(c, policy.SetTimer{Token: policy.Token{Purpose: guardPurpose, Request: c.id}, Delay: in})
 }
 
-// unanswered answers a request that the module was to answer before.
-func (s *Service) unanswered(c *call) {
-	if c == nil || c.over {
+// answerExpired answers a request that the decision module failed to answer.
+func (s *Service) answerExpired(c *call) {
+	if c == nil || c.done {
 		return
 	}
 	slog.Error("the module gave no answer", "request", c.exchange.head.Header.Get("Req-Id"))
-	s.unsent(c)
+	s.refundUnsent(c)
 	for _, a := range c.attempts {
-		a.end.Cancel(upstream.ErrCancelled)
+		a.cancellation.Cancel(upstream.ErrCancelled)
 	}
 	s.conclude(c, *malformed(http.StatusGatewayTimeout, "no answer"))
-	s.tell(func(b *policy.Balancer, now time.Duration) []policy.Action { return b.ClientDisconnected(now, c.id) })
+	s.invoke(func(b *policy.Balancer, now time.Duration) []policy.Action { return b.ClientDisconnected(now, c.id) })
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -13,7 +13,7 @@
 	"spokegw/policy"
 )
 
-// Trace is what was decided of one request, from its head to its answer.
+// Trace is a record of the decisions on one request, from its head to its answer.
 type Trace struct {
 	At      time.Time     `json:"at"`
 	ID      string        `json:"id"`
@@ -22,18 +22,18 @@
 	Service string        `json:"service,omitempty"`
 	Class   string        `json:"class,omitempty"`
 	Team    string        `json:"team,omitempty"`
-	Aim     time.Duration `json:"aim_ns,omitempty"` // of its class
+	Aim     time.Duration `json:"aim_ns,omitempty"` // latency target of its class
 	Steps   []Step        `json:"steps"`
 	Sent    []SentAttempt `json:"sent,omitempty"` // its attempts, in order
-	Status  int           `json:"status"`         // 0: its client left
+	Status  int           `json:"status"`         // 0: its client disconnected
 	Took    time.Duration `json:"took_ns"`
 
-	tap  *Tap
-	mu   sync.Mutex
-	over bool
+	tap   *Tap
+	mu    sync.Mutex
+	ended bool
 }
 
-// Step is one decision, or what came of one.
+// Step is one decision, or its result.
 type Step struct {
 	After  time.Duration `json:"after_ns"`
 	What   string        `json:"what"`
@@ -42,57 +42,57 @@
 
 // SentAttempt is one attempt of a request.
 type SentAttempt struct {
-	N        int           `json:"n"` // from 0; those that the contract had no room for are left out
+	N        int           `json:"n"` // from 0; attempts that the contract refused are omitted
 	After    time.Duration `json:"after_ns"`
 	Endpoint string        `json:"endpoint"`
-	Result   string        `json:"result,omitempty"` // "": it was out when the request was answered
+	Result   string        `json:"result,omitempty"` // "": in flight when the request was answered
 	Took     time.Duration `json:"took_ns,omitempty"`
-	Dialled  bool          `json:"dialled,omitempty"` // on a connection made for it
+	Dialled  bool          `json:"dialled,omitempty"` // on a new connection
 }
 
 const (
-	mostTaps  = 4
-	mostSteps = 64
-	tapQueue  = 256
+	maxTaps  = 4
+	maxSteps = 64
+	tapQueue = 256
 )
 
-// Filter tells which requests are traced. What is not set fits all.
+// Filter selects the requests to trace. Unset fields match all.
 type Filter struct {
 	Class, Team, Path string        // Path is a prefix
-	Status            int           // at least
-	Took              time.Duration // at least
+	Status            int           // minimum
+	Took              time.Duration // minimum
 }
 
-// Tap receives traces. Traces that find its queue full are counted and left out:
-// nobody who serves waits for who looks on.
+// Tap receives traces. A trace that finds the queue full is counted and dropped, so that
+// tracing never delays a request.
 type Tap struct {
-	filter Filter
-	traces chan *Trace
-	missed atomic.Int64
+	filter  Filter
+	traces  chan *Trace
+	dropped atomic.Int64
 }
 
-// Traces are those that fit, as their requests end.
+// Traces returns the channel of matching traces, each sent when its request ends.
 func (t *Tap) Traces() <-chan *Trace { return t.traces }
 
-// Dropped is how many fitted and found no room.
-func (t *Tap) Dropped() int64 { return t.missed.Load() }
+// Dropped is the number of matching traces that found the queue full.
+func (t *Tap) Dropped() int64 { return t.dropped.Load() }
 
-// taps are who looks on. Without any a request costs one load.
+// taps are the active taps. Without any, tracing costs one atomic load per request.
 type taps struct {
 	mu  sync.Mutex
 	all atomic.Pointer[[]*Tap]
 }
 
-// Tap has requests that come from now on traced, until stop is called.
+// Tap traces the requests that arrive from now on, until stop is called.
 func (c *Core) Tap(f Filter) (t *Tap, stop func(), err error) {
 	c.taps.mu.Lock()
 	defer c.taps.mu.Unlock()
-	now := c.taps.list()
-	if len(now) >= mostTaps {
-		return nil, nil, fmt.Errorf("%d traces are being taken already", len(now))
+	current := c.taps.list()
+	if len(current) >= maxTaps {
+		return nil, nil, fmt.Errorf("%d traces are already active", len(current))
 	}
 	t = &Tap{filter: f, traces: make(chan *Trace, tapQueue)}
-	c.taps.set(append(append([]*Tap(nil), now...), t))
+	c.taps.set(append(append([]*Tap(nil), current...), t))
 	return t, func() { c.taps.remove(t) }, nil
 }
 
@@ -111,26 +111,26 @@
 	t.all.Store(&all)
 }
 
-func (t *taps) remove(gone *Tap) {
+func (t *taps) remove(removed *Tap) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var left []*Tap
-	for _, one := range t.list() {
-		if one != gone {
-			left = append(left, one)
+	var remaining []*Tap
+	for _, tap := range t.list() {
+		if tap != removed {
+			remaining = append(remaining, tap)
 		}
 	}
-	t.set(left)
+	t.set(remaining)
 }
 
-// begin begins the trace of a request, if somebody wants it; nil: nobody does. Of
-// several who do the first has it.
+// begin begins the trace of a request if a tap matches, else it returns nil. If several taps
+// match, the first one gets the trace.
 func (t *taps) begin(h *Head, service, class string, aim time.Duration) *Trace {
 	for _, tap := range t.list() {
 		f := &tap.filter
 		path, _, _ := strings.Cut(h.Target, "?")
 		team := h.Header.Get("Req-Owner")
-		fits := func(want, is string) bool { return want == "" || want == is }
+		fits := func(want, value string) bool { return want == "" || want == value }
 		if fits(f.Class, class) && fits(f.Team, team) && strings.HasPrefix(path, f.Path) {
 			return &Trace{At: time.Now(), ID: h.Header.Get("Req-Id"), Method: h.Method, Path: path, Service: service, Class: class, Team: team, Aim: aim, tap: tap}
 		}
@@ -138,20 +138,20 @@
 	return nil
 }
 
-// step notes a decision. It may be called at any time, also of no trace.
+// step records a decision. It may be called at any time, also on a nil trace.
 func (t *Trace) step(what, format string, args ...any) {
 	if t == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.over && len(t.Steps) < mostSteps {
+	if !t.ended && len(t.Steps) < maxSteps {
 		t.Steps = append(t.Steps, Step{time.Since(t.At), what, fmt.Sprintf(format, args...)})
 	}
 }
 
-// end ends a trace, once, and hands it on. What is decided of its request after that,
-// such as of a second copy, is not in it.
+// end ends a trace, once, and delivers it. Later decisions on its request, such as on a hedged
+// attempt, are not recorded.
 func (t *Trace) end(status int, reason string) {
 	if t == nil {
 		return
@@ -159,10 +159,10 @@
 	t.step("answered", "%d %s", status, reason)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.over {
+	if t.ended {
 		return
 	}
-	t.over = true
+	t.ended = true
 	t.Status, t.Took = status, time.Since(t.At)
 	if status < t.tap.filter.Status || t.Took < t.tap.filter.Took {
 		return
@@ -170,16 +170,16 @@
 	select {
 	case t.tap.traces <- t:
 	default:
-		t.tap.missed.Add(1)
+		t.tap.dropped.Add(1)
 	}
 }
 
-// endWith ends the trace of a request that is answered; a nil answer: its client left.
+// endWith ends the trace of a request that was answered; nil: its client disconnected.
 func (t *Trace) endWith(a *Answer) {
 	switch {
 	case t == nil:
 	case a == nil:
-		t.step("dropped", "its client left, or it did not come whole")
+		t.step("dropped", "the client disconnected, or the request was incomplete")
 		t.end(0, "")
 	case a.Reason != "":
 		t.end(a.Status, a.Reason)
@@ -193,30 +193,30 @@
 	policy.NoConnection: "no connection", policy.ConnectionLost: "connection lost", policy.Cancelled: "called off", policy.NotSent: "not sent",
 }
 
-// tell notes a decision on a call, if somebody looks on. There may be no such call.
-func (c *call) tell(what, format string, args ...any) {
+// traceStep records a decision on a call, if it is traced. c may be nil.
+func (c *call) traceStep(what, format string, args ...any) {
 	if c != nil && c.trace != nil {
 		c.trace.step(what, format, args...)
 	}
 }
 
-// sending notes an attempt that goes out.
-func (t *Trace) sending(n int, endpoint string) {
+// recordSent records an attempt that is being sent.
+func (t *Trace) recordSent(n int, endpoint string) {
 	if t == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.over && len(t.Sent) < mostSteps {
+	if !t.ended && len(t.Sent) < maxSteps {
 		t.Sent = append(t.Sent, SentAttempt{N: n, After: time.Since(t.At), Endpoint: endpoint})
 	}
 }
 
-// sent notes how attempt n ended.
-func (t *Trace) sent(n int, result upstream.Answer) {
+// recordResult records how attempt n ended.
+func (t *Trace) recordResult(n int, result upstream.Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.over {
+	if t.ended {
 		return
 	}
 	if i := slices.IndexFunc(t.Sent, func(s SentAttempt) bool { return s.N == n }); i >= 0 {
@@ -225,10 +225,10 @@
 	}
 }
 
-// traced notes the end of an attempt.
-func (c *call) traced(a *attempt, result upstream.Answer) {
+// traceEnded records the end of an attempt.
+func (c *call) traceEnded(a *attempt, result upstream.Answer) {
 	if c.trace != nil {
-		c.trace.sent(a.n, result)
+		c.trace.recordResult(a.n, result)
 		c.trace.step("attempt ended", "%d: %s after %v", a.n, resultNames[result.Result], result.Elapsed.Round(time.Microsecond))
 	}
 }
