--- a/internal/broker/capacity.go
+++ b/internal/broker/capacity.go
@@ -5,335 +5,335 @@
 	"time"
 )
 
-// capacity learns how much work a second the service does for this sidecar. No
-// endpoint tells, other sidecars take their part unseen, and the settings know
-// nothing of slow or lost endpoints. There are two signs of too little: a standing
-// queue, that is answers that waited, over the time that such a request usually
-// takes, and later ones to requests that were sent after the first had come, since a
-// burst leaves a queue, too; and, long before those come, more work out than can be
-// answered in time at the rate at which work is being answered (Little's law).
-// While there is neither, there is enough and nothing is refused. When there is
-// one, capacity is the work that is being answered, less what it takes for the
-// queue to drain; without one it is raised.
+// capacity estimates how much work per second the service does for this sidecar. Endpoints do not
+// report it, other sidecars take an unknown part, and the settings say nothing of slow or lost
+// endpoints. There are two signs of a shortage. One is a standing queue: answers exceed the usual
+// latency of such requests, and so do answers to requests sent after the first delayed answer
+// arrived (a burst leaves a queue, too, but a short one). The other comes much earlier: more work
+// is in flight than can be answered in time at the rate at which work is being answered (Little's
+// law). Without either sign capacity suffices and nothing is refused. During a shortage the
+// capacity is the rate at which work is being answered, less what is needed to drain the queue;
+// once no sign is left, it is raised.
 //
-// The usual time falls quickly and rises slowly: a queue must not become usual.
-// So a service that has truly become slower, and is no fuller for it, is taken
-// for a full one until the usual time has followed.
+// The usual latency falls quickly and rises slowly, so that a queue does not become usual. Hence a
+// service that has become slower without being fuller is taken for a full one until the usual
+// latency has followed.
 type capacity struct {
-	estimate float64       // seconds of work a second; +Inf: not known yet
-	guess    bool          // nothing is known, but that it may be too much: the first window tells
-	heldUp   time.Duration // when this process was last held up; what began before tells nothing
-	blind    time.Duration // since when no window could be judged for that; -1: it could
-	emptied  time.Duration // when the last attempt that was out ended
-	crowded  time.Duration // since when a crowd is out without an end
-	through  float64       // work answered since then
-	waiting  time.Duration // since when answers have waited for what may be a burst; none: they have not
-	seeking  bool          // since then nothing has waited
-	tight    bool          // there is too little for all: shares are enforced
-	why      Cause         // of that, while they are
-	out      float64       // work of the attempts that are out
-	attempts float64       // that are out
-	behind   backlog       // of those, what has been out since before the process was last held up
+	estimate      float64       // seconds of work per second; +Inf: unknown
+	provisional   bool          // the estimate is a lower bound after a burst; the first window replaces it
+	stalledAt     time.Duration // end of the last process stall; attempts that started before it are no evidence
+	unjudgedSince time.Duration // start of the time in which stalls kept every window from being judged; noTime: none
+	idleSince     time.Duration // when the number of attempts in flight last fell to 0
+	burstSince    time.Duration // when the attempts in flight last reached burstAttempts
+	servedInBurst float64       // work answered since burstSince
+	queuedSince   time.Duration // when answers were first seen to wait, which may be due to a burst; noTime: they do not
+	probing       bool          // the estimate is raised quickly, as nothing has waited since this was set
+	tight         bool          // capacity is short: shares are enforced
+	cause         Cause         // why tight is set
+	inFlightWork  float64       // work of the attempts in flight
+	inFlight      float64       // attempts in flight
+	beforeStall   outstanding   // the part of these sent before the last process stall
 
-	// The window that is open: a tenth of a second, or more where little comes.
-	opened  time.Duration
-	waits   float64 // sum over attempts of the part of the wanted time waited
-	n       float64 // attempts
-	done    float64 // work answered
-	refused bool    // something was, for its share
+	// The current window: 100 ms, or longer if there are few attempts.
+	windowStart time.Duration
+	waitSum     float64 // sum over attempts of the wait as a fraction of the latency target
+	samples     float64 // attempts
+	workDone    float64 // work answered
+	anyRefused  bool    // a request was refused for its share
 
-	served  mean // work answered a second
-	clean   int  // windows without waiting, in a row
-	kept    int  // windows in which nothing was refused, in a row
-	usual   mean // time of an answer that does not wait, by work
-	aim     mean // wanted time, by work
-	classes []usual
+	servedRate       mean // work answered per second
+	unqueuedWindows  int  // consecutive windows without waiting
+	unrefusedWindows int  // consecutive windows without a refusal
+	baseLatency      mean // latency of an answer that does not queue, weighted by work
+	target           mean // latency target, weighted by work
+	classes          []baseline
 }
 
-// none is no time of a capacity's clock.
-const none = -1
+// noTime marks an unset time; it is no time of a capacity's clock.
+const noTime = -1
 
-// backlog is work that is out, of so many attempts.
-type backlog struct{ work, attempts float64 }
+// outstanding is the work of a number of attempts in flight.
+type outstanding struct{ work, attempts float64 }
 
-// usual is what answers of a class take when they do not wait: a low quantile
-// of their time over their work, followed in the log.
-type usual struct {
-	per, n float64
-	at     time.Duration
+// baseline is the latency of the answers of a class that do not queue: a low quantile of latency
+// per work, tracked in the log domain.
+type baseline struct {
+	perWork, samples float64
+	updatedAt        time.Duration
 }
 
 const (
-	window       = 100 * time.Millisecond
-	guessAnswers = 3.0         // usual times of answers that the first window takes, and at least
-	guessPart    = 20          // that part of a window
-	longWindow   = time.Second // a window with few attempts goes on until here
-	enough       = 8.0         // attempts that a window is judged by
-	windowMemory = 3.0         // windows that the work answered is averaged over
-	hardly       = 0.08        // of the wanted time waited, up to which nothing queues
-	much         = 0.25        // from which there is too little
-	farTooMuch   = 0.5         // from which there is too little at once; by the work that is out
-	crowd        = 24.0        // with so many attempts out: few of them tell nothing,
-	stands       = 0.02        // nor such that are answered within that part of the wanted time
-	unseen       = 3.0         // answers that a crowd may miss by chance
-	coldCrowd    = 96.0        // attempts out from which there is too little while nothing is known
-	drainTime    = 0.5         // s, in which a queue is to be drained
-	deepestDrain = 0.6         // part of the capacity that is left unused for that at most
-	owedDrain    = 0.9         // part that is owed all the while
-	follow       = 0.3         // part by which the estimate follows what is answered
-	raise        = 0.02        // a window without waiting, more with every one in a row, up to
-	raiseMost    = 0.20
-	seek         = 2.0
-	binding      = 0.7 // part of the estimate that is answered where it limits
-	keptEnough   = 10  // windows without a refusal after which there is enough for all
-	longestBlind = 2 * time.Second
-	leastRate    = 0.05
-	lowQuantile  = 0.2
-	usualMemory  = 200.0
-	usualRise    = 30 * time.Second // to e times as much at the fastest
-	lullMemory   = 30 * time.Second // what was answered a second before counts e times less after it
+	defaultWindow        = 100 * time.Millisecond
+	provisionalLatencies = 3.0         // usual latencies that the first window lasts, but at least
+	minWindowDivisor     = 20          // this fraction of defaultWindow
+	maxWindow            = time.Second // length of a window with too few attempts
+	minSamples           = 8.0         // attempts needed to judge a window
+	windowMemory         = 3.0         // windows that the rate of answered work averages over
+	negligibleWait       = 0.08        // wait as a fraction of the latency target, up to which there is no queue
+	excessiveWait        = 0.25        // wait from which capacity is short, if it persists
+	severeWait           = 0.5         // wait from which capacity is short at once, also as predicted from the work in flight
+	burstAttempts        = 24.0        // attempts in flight below which a burst is no evidence of a shortage,
+	minBurstAge          = 0.02        // and the age of a burst, as a fraction of the latency target, below which it is none
+	unseenAnswers        = 3.0         // answers that a burst may lack by chance
+	maxUnknownInFlight   = 96.0        // attempts in flight from which capacity is short while it is unknown
+	drainTime            = 0.5         // s, time over which a queue is drained
+	maxDrain             = 0.6         // maximum fraction of the capacity left unused to drain a queue
+	minGuarantee         = 0.9         // minimum fraction of the capacity guaranteed while a queue drains
+	estimateGain         = 0.3         // weight of the answered work in an update of the estimate
+	raiseStep            = 0.02        // increase for a window without waiting, multiplied by the number of such windows in a row, up to maxRaise
+	maxRaise             = 0.20
+	probeFactor          = 2.0
+	limitingFraction     = 0.7 // fraction of the estimate in use from which the estimate limits
+	recoveryWindows      = 10  // windows without a refusal that end a shortage
+	maxUnjudged          = 2 * time.Second
+	minRate              = 0.05
+	lowQuantile          = 0.2
+	baselineSamples      = 200.0
+	baselineRise         = 30 * time.Second // time in which the baseline may grow by a factor of e
+	estimateDecay        = 30 * time.Second // time constant of the decay of a past estimate
 )
 
 func newCapacity(now time.Duration, classes int) capacity {
-	return capacity{estimate: math.Inf(1), opened: now, heldUp: math.MinInt64, blind: none, waiting: none, classes: make([]usual, classes)}
+	return capacity{estimate: math.Inf(1), windowStart: now, stalledAt: math.MinInt64, unjudgedSince: noTime, queuedSince: noTime, classes: make([]baseline, classes)}
 }
 
-// idle reports that nothing has been out for a while, though it was asked for: there is
-// more than it is taken for, and how much is sought.
-func (c *capacity) idle(now time.Duration) bool {
-	if c.attempts > 0 || now-c.emptied < window {
+// isIdle reports whether nothing has been in flight for a while although there is demand. The
+// capacity is then higher than estimated, and the estimate is raised quickly from here on.
+func (c *capacity) isIdle(now time.Duration) bool {
+	if c.inFlight > 0 || now-c.idleSince < defaultWindow {
 		return false
 	}
-	c.seeking = true
+	c.probing = true
 	return true
 }
 
-// rate is the work a second that may be admitted now.
-func (c *capacity) rate() float64 {
+// admitRate returns the work per second that may be admitted now.
+func (c *capacity) admitRate() float64 {
 	if !c.tight {
 		return c.estimate
 	}
-	over := c.queue() - hardly*c.aim.value
-	return c.estimate * (1 - math.Min(math.Max(over/drainTime, 0), deepestDrain))
+	excess := c.queueDelay() - negligibleWait*c.target.value
+	return c.estimate * (1 - math.Min(math.Max(excess/drainTime, 0), maxDrain))
 }
 
-// owedRate is the part of it that is owed. A queue is drained at the cost of
-// those first who have more than they are owed, but never at theirs alone.
-func (c *capacity) owedRate() float64 { return math.Max(c.rate(), owedDrain*c.estimate) }
+// guaranteedRate returns the rate that guaranteed shares are fractions of. Draining a queue first
+// costs the teams that use more than their share, but not them alone.
+func (c *capacity) guaranteedRate() float64 { return math.Max(c.admitRate(), minGuarantee*c.estimate) }
 
-// queue is how long an attempt would wait now, in seconds, by the work that is
-// out. What has been out since before a hold-up may be answered long ago.
-func (c *capacity) queue() float64 { return c.queueAt(c.estimate) }
+// queueDelay returns how long an attempt would wait now, in seconds, given the work in flight.
+// Work sent before the last process stall is left out: it may have been answered long ago.
+func (c *capacity) queueDelay() float64 { return c.queueDelayAt(c.estimate) }
 
-// queueAt is that where so much work a second is answered.
-func (c *capacity) queueAt(rate float64) float64 {
-	return math.Max((c.out-c.behind.work)/rate-c.usual.value, 0)
+// queueDelayAt returns that delay for a given rate of answered work.
+func (c *capacity) queueDelayAt(rate float64) float64 {
+	return math.Max((c.inFlightWork-c.beforeStall.work)/rate-c.baseLatency.value, 0)
 }
 
-// begun takes an attempt that goes out.
-func (c *capacity) begun(now time.Duration, work float64) {
-	if c.attempts == 0 && c.n == 0 && !c.refused { // nothing was asked for: that is no lack
-		c.waiting = none
-		c.open(now)
+// attemptStarted records an attempt that is sent.
+func (c *capacity) attemptStarted(now time.Duration, work float64) {
+	if c.inFlight == 0 && c.samples == 0 && !c.anyRefused { // no demand is no sign of a shortage
+		c.queuedSince = noTime
+		c.openWindow(now)
 	}
-	c.out += work
-	c.attempts++
-	attempts := c.attempts - c.behind.attempts
-	if attempts == crowd {
-		c.crowded, c.through = now, 0
+	c.inFlightWork += work
+	c.inFlight++
+	attempts := c.inFlight - c.beforeStall.attempts
+	if attempts == burstAttempts {
+		c.burstSince, c.servedInBurst = now, 0
 	}
 	switch {
-	case c.tight || attempts < crowd || c.blind >= 0: // what came while the process was held up is out all at once
+	case c.tight || attempts < burstAttempts || c.unjudgedSince >= 0: // requests that queued up during a stall are sent all at once
 	case math.IsInf(c.estimate, 1):
-		if attempts >= coldCrowd {
-			c.estimate, c.guess, c.seeking = leastRate, true, true
-			c.tighten(ExcessInFlight)
+		if attempts >= maxUnknownInFlight {
+			c.estimate, c.provisional, c.probing = minRate, true, true
+			c.declareShortage(ExcessInFlight)
 		}
-	case now-c.crowded > seconds(stands*c.aim.value) && c.queue() > farTooMuch*c.aim.value:
-		c.surge(now)
+	case now-c.burstSince > seconds(minBurstAge*c.target.value) && c.queueDelay() > severeWait*c.target.value:
+		c.checkBurst(now)
 	}
 }
 
-// surge has shares enforced unless the crowd that is out may be answered in time by how fast it has
-// been so far. The estimate alone does not tell, which may be no more than what was asked for before.
-func (c *capacity) surge(now time.Duration) {
-	rate := (c.through + unseen*c.out/c.attempts) / (now - c.crowded).Seconds()
-	if c.queueAt(rate) <= farTooMuch*c.aim.value {
+// checkBurst enforces shares unless the rate at which attempts have been answered since the burst
+// began suffices to answer it in time. The estimate alone does not tell, as it may be no more than
+// the previous demand.
+func (c *capacity) checkBurst(now time.Duration) {
+	rate := (c.servedInBurst + unseenAnswers*c.inFlightWork/c.inFlight) / (now - c.burstSince).Seconds()
+	if c.queueDelayAt(rate) <= severeWait*c.target.value {
 		return
 	}
 	c.estimate = math.Max(c.estimate, rate)
-	c.tighten(ExcessInFlight)
+	c.declareShortage(ExcessInFlight)
 }
 
-// hold takes that this process is held up, or was until now: how much is out, and how late
-// answers are, is its own doing. A window that this falls into tells nothing of the service,
-// nor what was out. Others may have been held up with it, and a queue that it then meets is
-// a new one. Where no window can be judged for long, shares are not enforced
-// any more: nobody knows of too little.
-func (c *capacity) hold(now time.Duration) {
-	c.behind = backlog{c.out, c.attempts}
-	if c.heldUp = now; c.blind < 0 {
-		c.blind = now
+// processStalled records that this process is stalled, or was until now. The number of attempts in
+// flight and the delay of answers are then its own doing, so the current window and the attempts
+// in flight are no evidence. Other sidecars may have stalled with it, so a queue seen afterwards
+// is a new one. If no window can be judged for a long time, shares are no longer enforced: a
+// shortage can't be established.
+func (c *capacity) processStalled(now time.Duration) {
+	c.beforeStall = outstanding{c.inFlightWork, c.inFlight}
+	if c.stalledAt = now; c.unjudgedSince < 0 {
+		c.unjudgedSince = now
 	}
-	if c.tight && now-c.blind > longestBlind {
+	if c.tight && now-c.unjudgedSince > maxUnjudged {
 		c.tight = false
 	}
-	c.waiting = none
-	c.open(now)
+	c.queuedSince = noTime
+	c.openWindow(now)
 }
 
-func (c *capacity) tighten(why Cause) {
-	c.tight, c.why = true, why
-	c.waiting, c.clean, c.kept = none, 0, 0
+func (c *capacity) declareShortage(cause Cause) {
+	c.tight, c.cause = true, cause
+	c.queuedSince, c.unqueuedWindows, c.unrefusedWindows = noTime, 0, 0
 }
 
-// ended takes the end of an attempt. It reports whether a window has ended in
-// which nothing waited: there is no queue.
-func (c *capacity) ended(now time.Duration, t *Ticket, e AttemptResult, elapsed, aim time.Duration) (empty bool) {
-	if c.attempts--; c.attempts <= 0 {
-		c.attempts, c.out, c.emptied = 0, 0, now // rounding errors do not pile up
+// attemptEnded records the end of an attempt. It reports whether this closed a window in which
+// nothing waited, that is, whether there is no queue.
+func (c *capacity) attemptEnded(now time.Duration, t *Ticket, e AttemptResult, elapsed, target time.Duration) (noQueue bool) {
+	if c.inFlight--; c.inFlight <= 0 {
+		c.inFlight, c.inFlightWork, c.idleSince = 0, 0, now // discards rounding errors
 	}
-	c.out = math.Max(c.out-t.work, 0)
+	c.inFlightWork = math.Max(c.inFlightWork-t.work, 0)
 	if e == Answered {
-		c.through += t.work
+		c.servedInBurst += t.work
 	}
-	if t.admitted <= c.heldUp {
-		c.behind.attempts = math.Max(c.behind.attempts-1, 0)
-		c.behind.work = math.Max(c.behind.work-t.work, 0)
+	if t.admitted <= c.stalledAt {
+		c.beforeStall.attempts = math.Max(c.beforeStall.attempts-1, 0)
+		c.beforeStall.work = math.Max(c.beforeStall.work-t.work, 0)
 	}
-	c.behind = backlog{math.Min(c.behind.work, c.out), math.Min(c.behind.attempts, c.attempts)}
-	if now-elapsed <= c.heldUp || t.admitted <= c.heldUp { // it waited for this process
+	c.beforeStall = outstanding{math.Min(c.beforeStall.work, c.inFlightWork), math.Min(c.beforeStall.attempts, c.inFlight)}
+	if now-elapsed <= c.stalledAt || t.admitted <= c.stalledAt { // the answer may have waited for this process
 		return false
 	}
-	if now-c.opened > 2*longWindow { // the process stood still, or nothing came: that was no load
-		c.open(now)
+	if now-c.windowStart > 2*maxWindow { // the process stalled, or there was no demand
+		c.openWindow(now)
 		return false
 	}
 	if e == Answered {
-		c.done += t.work
-		u := &c.classes[t.class]
-		u.add(now, elapsed.Seconds()/t.work)
-		c.usual.addWeighted(u.per*t.work, t.work/unknownWork, workMemory)
-		c.aim.addWeighted(aim.Seconds(), t.work/unknownWork, workMemory)
+		c.workDone += t.work
+		class := &c.classes[t.class]
+		class.add(now, elapsed.Seconds()/t.work)
+		c.baseLatency.addWeighted(class.perWork*t.work, t.work/defaultWork, workMemory)
+		c.target.addWeighted(target.Seconds(), t.work/defaultWork, workMemory)
 	}
-	tells := t.admitted > c.waiting // of whether the queue that was seen stands
-	if tells && (e == Answered || e == Declined || e == TimedOut) {
-		c.n++
-		c.waits += c.waited(t, e, elapsed, aim)
+	relevant := t.admitted > c.queuedSince // sent after the queue was first seen: shows whether the queue persists
+	if relevant && (e == Answered || e == Declined || e == TimedOut) {
+		c.samples++
+		c.waitSum += c.waitFraction(t, e, elapsed, target)
 	}
-	if c.complete(now) {
-		return c.judge(now)
+	if c.windowComplete(now) {
+		return c.closeWindow(now)
 	}
 	return false
 }
 
-// complete reports whether the window that is open can be judged.
-func (c *capacity) complete(now time.Duration) bool {
-	span := now - c.opened
-	if span >= c.window() && c.n >= enough {
+// windowComplete reports whether the current window can be judged.
+func (c *capacity) windowComplete(now time.Duration) bool {
+	elapsed := now - c.windowStart
+	if elapsed >= c.minWindow() && c.samples >= minSamples {
 		return true
 	}
-	return span >= longWindow && (c.n > 0 || c.waiting == none)
+	return elapsed >= maxWindow && (c.samples > 0 || c.queuedSince == noTime)
 }
 
-// window is how long a window is at least. While the capacity is a guess, or
-// still sought from one, requests are refused that there may be room for. So it is
-// as short then as answers allow that take their usual time: some of them have to
-// come one behind the other to tell a rate.
-func (c *capacity) window() time.Duration {
-	if (c.guess || c.seeking) && c.usual.weight > 0 {
-		return min(max(seconds(guessAnswers*c.usual.value), window/guessPart), window)
+// minWindow returns the minimum length of a window. While the capacity is provisional or is being
+// raised from a provisional value, requests may be refused for which there is capacity, so the
+// window is as short as answers of the usual latency allow: a rate needs several of them in
+// sequence.
+func (c *capacity) minWindow() time.Duration {
+	if (c.provisional || c.probing) && c.baseLatency.weight > 0 {
+		return min(max(seconds(provisionalLatencies*c.baseLatency.value), defaultWindow/minWindowDivisor), defaultWindow)
 	}
-	return window
+	return defaultWindow
 }
 
-// waited is the part of its wanted time that an attempt has waited, 1 at most.
-func (c *capacity) waited(t *Ticket, e AttemptResult, elapsed, aim time.Duration) float64 {
-	u := &c.classes[t.class]
+// waitFraction returns how long an attempt waited as a fraction of its latency target, at most 1.
+func (c *capacity) waitFraction(t *Ticket, e AttemptResult, elapsed, target time.Duration) float64 {
+	class := &c.classes[t.class]
 	switch {
 	case e != Answered:
 		return 1
-	case aim <= 0:
+	case target <= 0:
 		return 0
 	}
-	return math.Min(math.Max(elapsed.Seconds()-u.per*t.work, 0)/aim.Seconds(), 1)
+	return math.Min(math.Max(elapsed.Seconds()-class.perWork*t.work, 0)/target.Seconds(), 1)
 }
 
-func (c *capacity) open(now time.Duration) {
-	c.opened, c.waits, c.n, c.done, c.refused = now, 0, 0, 0, false
+func (c *capacity) openWindow(now time.Duration) {
+	c.windowStart, c.waitSum, c.samples, c.workDone, c.anyRefused = now, 0, 0, 0, false
 }
 
-// before is what is left at the end of a window of what was known at its beginning.
-func (c *capacity) before(now time.Duration) float64 {
+// decayedEstimate returns the estimate of the start of the window, decayed over the window.
+func (c *capacity) decayedEstimate(now time.Duration) float64 {
 	if math.IsInf(c.estimate, 1) {
 		return 0
 	}
-	return c.estimate * math.Exp(-(now-c.opened).Seconds()/lullMemory.Seconds())
+	return c.estimate * math.Exp(-(now-c.windowStart).Seconds()/estimateDecay.Seconds())
 }
 
-// judge ends a window.
-func (c *capacity) judge(now time.Duration) (empty bool) {
-	c.blind = none
-	served := c.done / (now - c.opened).Seconds()
-	c.served.add(served, windowMemory)
-	waited := 0.0
-	if c.n > 0 {
-		waited = c.waits / c.n
+// closeWindow judges the current window and opens the next.
+func (c *capacity) closeWindow(now time.Duration) (noQueue bool) {
+	c.unjudgedSince = noTime
+	served := c.workDone / (now - c.windowStart).Seconds()
+	c.servedRate.add(served, windowMemory)
+	meanWait := 0.0
+	if c.samples > 0 {
+		meanWait = c.waitSum / c.samples
 	}
-	if c.guess {
-		c.estimate, c.guess = math.Max(served, leastRate), false
+	if c.provisional {
+		c.estimate, c.provisional = math.Max(served, minRate), false
 	}
-	if waited <= much {
-		c.waiting = none
+	if meanWait <= excessiveWait {
+		c.queuedSince = noTime
 	}
-	queued := c.aim.value > 0 && c.queue() > hardly*c.aim.value
+	queued := c.target.value > 0 && c.queueDelay() > negligibleWait*c.target.value
 	switch {
-	case !c.tight && waited > much && c.waiting == none && waited <= farTooMuch: // it may be of a burst: what is sent from now on tells
-		c.waiting = now
-	case !c.tight && waited > much:
-		c.estimate = math.Max(math.Max(served, c.served.value), leastRate)
-		c.tighten(Queued)
-	case !c.tight && waited <= hardly: // at least what is answered, and what was: less may have been asked for since
-		c.estimate, empty = math.Max(math.Max(served, c.served.value), math.Max(c.before(now), leastRate)), true
+	case !c.tight && meanWait > excessiveWait && c.queuedSince == noTime && meanWait <= severeWait: // may be a burst: attempts sent from now on decide
+		c.queuedSince = now
+	case !c.tight && meanWait > excessiveWait:
+		c.estimate = math.Max(math.Max(served, c.servedRate.value), minRate)
+		c.declareShortage(Queued)
+	case !c.tight && meanWait <= negligibleWait: // at least what is answered now or was before, as demand may have fallen
+		c.estimate, noQueue = math.Max(math.Max(served, c.servedRate.value), math.Max(c.decayedEstimate(now), minRate)), true
 	case !c.tight:
 		c.estimate = math.Max(c.estimate, served)
-	case waited <= hardly && !queued:
-		c.estimate, empty = math.Max(c.estimate, served), true
+	case meanWait <= negligibleWait && !queued:
+		c.estimate, noQueue = math.Max(c.estimate, served), true
 		switch {
-		case !c.refused || served <= binding*c.estimate: // it is not what limits
-		case c.seeking:
-			c.estimate *= seek
+		case !c.anyRefused || served <= limitingFraction*c.estimate: // the estimate is not the limit
+		case c.probing:
+			c.estimate *= probeFactor
 		default:
-			c.clean++
-			c.estimate *= 1 + math.Min(raise*float64(c.clean), raiseMost)
+			c.unqueuedWindows++
+			c.estimate *= 1 + math.Min(raiseStep*float64(c.unqueuedWindows), maxRaise)
 		}
-	case queued: // the endpoints are busy all the time: what they answer is what they can
-		c.clean, c.seeking = 0, false
-		c.estimate = math.Max(c.estimate+follow*(served-c.estimate), leastRate)
+	case queued: // the endpoints are busy all the time, so what they answer is their capacity
+		c.unqueuedWindows, c.probing = 0, false
+		c.estimate = math.Max(c.estimate+estimateGain*(served-c.estimate), minRate)
 	default:
-		c.clean, c.seeking = 0, false
+		c.unqueuedWindows, c.probing = 0, false
 	}
-	if c.kept++; c.refused {
-		c.kept = 0
+	if c.unrefusedWindows++; c.anyRefused {
+		c.unrefusedWindows = 0
 	}
-	if c.tight && c.kept >= keptEnough {
+	if c.tight && c.unrefusedWindows >= recoveryWindows {
 		c.tight = false
 	}
-	c.open(now)
-	return empty
+	c.openWindow(now)
+	return noQueue
 }
 
-func (u *usual) add(now time.Duration, per float64) {
-	u.n = math.Min(u.n+1, usualMemory)
-	step := 1 / math.Sqrt(u.n)
+func (b *baseline) add(now time.Duration, perWork float64) {
+	b.samples = math.Min(b.samples+1, baselineSamples)
+	step := 1 / math.Sqrt(b.samples)
 	switch {
-	case u.n == 1:
-		u.per = per
-	case per < u.per:
-		u.per = math.Max(per, u.per*math.Exp(-step*(1-lowQuantile)))
+	case b.samples == 1:
+		b.perWork = perWork
+	case perWork < b.perWork:
+		b.perWork = math.Max(perWork, b.perWork*math.Exp(-step*(1-lowQuantile)))
 	default:
-		step = math.Min(step*lowQuantile, (now-u.at).Seconds()/usualRise.Seconds())
-		u.per = math.Min(per, u.per*math.Exp(step))
+		step = math.Min(step*lowQuantile, (now-b.updatedAt).Seconds()/baselineRise.Seconds())
+		b.perWork = math.Min(perWork, b.perWork*math.Exp(step))
 	}
-	u.at = now
+	b.updatedAt = now
 }
--- a/internal/broker/gcra.go
+++ b/internal/broker/gcra.go
@@ -5,63 +5,62 @@
 	"time"
 )
 
-// gcra is the state of a generic cell rate algorithm (ITU-T I.371, annex A, in
-// its virtual scheduling form): the theoretical arrival time of the next unit.
-// There is no timer and no count to refill: a process that stood still for
-// hours lets out one burst and no more.
-type gcra struct{ next time.Duration }
+// gcra is the state of a generic cell rate algorithm (ITU-T I.371, annex A, in its virtual
+// scheduling form): the theoretical arrival time (TAT) of the next unit. There is no timer and no
+// counter to refill, so a process that was suspended for hours releases one burst and no more.
+type gcra struct{ tat time.Duration }
 
-// limit is a rate and what may come at once.
+// limit is a rate with a burst tolerance.
 type limit struct {
-	per   time.Duration // for one unit; 0: no limit
-	slack time.Duration // how far ahead of its schedule a unit may come
+	interval  time.Duration // per unit; 0: no limit
+	tolerance time.Duration // how far ahead of its schedule a unit may arrive
 }
 
-// newLimit makes the limit of so many units a second, burst of them at once.
+// newLimit returns a limit of rate units per second, with bursts of burst units.
 func newLimit(rate, burst float64) limit {
 	if rate <= 0 {
 		return limit{}
 	}
-	per := 1 / rate
-	return limit{seconds(per), seconds(per * burst)}
+	interval := 1 / rate
+	return limit{seconds(interval), seconds(interval * burst)}
 }
 
-// seconds turns seconds into a time; what is too long for one is the longest.
+// seconds converts seconds to a duration, capped at about 30 years.
 func seconds(s float64) time.Duration {
-	const longest = 1e9 // seconds, some 30 years
+	const longest = 1e9 // seconds, about 30 years
 	return time.Duration(math.Min(s, longest) * float64(time.Second))
 }
 
-// wait is how long n units have to wait to conform; 0: they do. More units than
-// a burst conform when nothing is owed, and are paid off later: a dear request
-// is slowed, not shut out.
+// wait returns how long n units have to wait to conform; 0: they conform. A request of more than a
+// burst conforms if the schedule has no debt, and is paid off afterwards, so that an expensive
+// request is delayed rather than refused for good.
 func (g *gcra) wait(now time.Duration, l limit, n float64) time.Duration {
-	if l.per == 0 || g.next <= now {
+	if l.interval == 0 || g.tat <= now {
 		return 0
 	}
-	over := g.next - now + l.of(n) - l.slack
-	return max(min(over, g.next-now), 0)
+	excess := g.tat - now + l.duration(n) - l.tolerance
+	return max(min(excess, g.tat-now), 0)
 }
 
-// charge moves the schedule by n units; a negative n gives them back.
+// charge advances the schedule by n units; a negative n refunds them.
 func (g *gcra) charge(now time.Duration, l limit, n float64) {
-	if l.per > 0 {
-		g.next = max(g.next, now) + l.of(n)
+	if l.interval > 0 {
+		g.tat = max(g.tat, now) + l.duration(n)
 	}
 }
 
-// rescale takes a schedule from one limit over to another. The units that may come at
-// once stay, as far as the other limit lets so many be saved up, and so does what is owed.
+// rescale converts the schedule from one limit to another. Accumulated units are kept, as far as
+// the new limit lets so many accumulate, and so is debt.
 func (g *gcra) rescale(now time.Duration, from, to limit) {
-	if from.per == 0 || to.per == 0 {
+	if from.interval == 0 || to.interval == 0 {
 		return
 	}
-	ahead := float64(max(g.next-now, 0))
-	saved := (float64(from.slack) - ahead) / float64(from.per) // under 0: owed
-	most := float64(to.slack) / float64(to.per)
-	g.next = now + to.of(most-math.Min(saved, most))
+	ahead := float64(max(g.tat-now, 0))
+	saved := (float64(from.tolerance) - ahead) / float64(from.interval) // negative: debt
+	maxSaved := float64(to.tolerance) / float64(to.interval)
+	g.tat = now + to.duration(maxSaved-math.Min(saved, maxSaved))
 }
 
-func (l limit) of(n float64) time.Duration {
-	return time.Duration(math.Min(n*float64(l.per), float64(math.MaxInt64/8)))
+func (l limit) duration(n float64) time.Duration {
+	return time.Duration(math.Min(n*float64(l.interval), float64(math.MaxInt64/8)))
 }
--- a/internal/broker/shares.go
+++ b/internal/broker/shares.go
@@ -6,208 +6,207 @@
 	"time"
 )
 
-// shares is a fluid model of a server that works for its members by generalized
-// processor sharing (Parekh and Gallager 1993): each that has work left gets
-// its weight's part of the capacity, and what idle ones leave goes to the
-// others by weight. That is weighted max-min fairness by work. The members'
-// queues exist in the model alone: nothing is held, and what would make a queue
-// too long is refused at once. So an idle member's part is lent without a
-// decision, and is back with the first request that it sends.
+// fairQueue is a fluid model of a server that serves flows by generalized processor sharing
+// (Parekh and Gallager 1993): each backlogged flow gets its weight's part of the capacity, and
+// what idle flows leave goes to the others by weight. The result is weighted max-min fairness by
+// work. The queues exist in the model only: no request is delayed, and one that would make a queue
+// too long is refused at once. So the part of an idle flow is lent without a decision, and is back
+// with the first request of the flow.
 //
-// The model goes on while there is enough for all and nothing is refused. So
-// when that ends it knows who has brought about the real queue: they are in
-// debt, and those within their part are not.
+// The model also runs while capacity suffices and nothing is refused. So when a shortage begins it
+// shows which flows caused the real queue: these are in debt, and flows within their share are
+// not.
 //
-// Virtual time is the work done per unit of weight; a member's queue is empty
-// when it reaches the member's finish. A step takes the time of a heap's, not
-// of the number of members.
-type shares struct {
-	last    time.Duration
-	virtual float64
-	weight  float64 // of the busy ones
-	busy    busy    // by finish
+// Virtual time is the work done per unit of weight; a flow's queue is empty when virtual time
+// reaches the flow's finish time. An operation costs O(log n) for the heap, not O(n) in the number
+// of flows.
+type fairQueue struct {
+	lastUpdate       time.Duration
+	virtualTime      float64
+	backloggedWeight float64    // of the backlogged flows
+	backlogged       finishHeap // by finish time
 }
 
-// member is one team's place in the model.
-type member struct {
-	weight float64
-	finish float64 // virtual time at which its queue is empty
-	index  int     // in busy; idle: not there
-	usual  mean    // work of its requests
-	owed   gcra    // of what it asks for, at its weight's part of the capacity
+// flow is the state of one team in the model.
+type flow struct {
+	weight     float64
+	finishTime float64 // virtual time at which its queue is empty
+	index      int     // in backlogged; notQueued: not in it
+	meanWork   mean    // mean work of its requests
+	guaranteed gcra    // limits its demand to its weight's part of the capacity
 }
 
 const (
-	idle = -1
-	// leastWeight is the weight of those that are owed nothing: what is left over.
-	leastWeight = 1e-3
-	// A member may have queued so much: its part of the capacity for a time, or
-	// a number of the requests that it sends, whichever is more. Less of it
-	// refuses teams that are within their share and come unevenly; more lets out
-	// more at once when the capacity falls.
+	notQueued = -1
+	// minWeight is the weight of flows without a guarantee, which get what others leave.
+	minWeight = 1e-3
+	// The backlog allowed to a flow is its part of the capacity over queueTime, or the work of
+	// queueRequests of its requests, whichever is more. A smaller one refuses teams that are
+	// within their share and send unevenly; a larger one admits more at once when the capacity
+	// falls.
 	queueTime     = 0.1 // s
 	queueRequests = 16.0
-	// owedRooms is the burst within what is owed, in rooms.
-	owedRooms = 1.0
-	// owedMemory is how long a member that asked for too much counts as such.
-	owedMemory = 300 * time.Millisecond
-	// The debt is bounded by a time of the whole capacity, or by two rooms where
-	// that is more.
-	longestQueue = 1.0 // s
+	// guaranteeBurst is the burst within the guarantee, in allowed backlogs.
+	guaranteeBurst = 1.0
+	// guaranteeMemory is how long a flow whose demand exceeded its guarantee is treated as such.
+	guaranteeMemory = 300 * time.Millisecond
+	// The debt of a flow is bounded by the whole capacity over maxDebtTime, or by two allowed
+	// backlogs if that is more.
+	maxDebtTime = 1.0 // s
 )
 
-// weigh sets a member's weight; its queue stays as long as it is.
-func (s *shares) weigh(m *member, weight float64) {
-	weight = math.Max(weight, leastWeight)
-	queued := s.queued(m)
-	s.remove(m)
-	m.weight = weight
-	if queued > 0 {
-		m.finish = s.virtual + queued/weight
-		s.insert(m)
+// setWeight sets the weight of a flow and keeps its backlog.
+func (s *fairQueue) setWeight(f *flow, weight float64) {
+	weight = math.Max(weight, minWeight)
+	backlog := s.backlog(f)
+	s.remove(f)
+	f.weight = weight
+	if backlog > 0 {
+		f.finishTime = s.virtualTime + backlog/weight
+		s.insert(f)
 	}
 }
 
-// queued is a member's queue in seconds of work.
-func (s *shares) queued(m *member) float64 {
-	if m.index == idle {
+// backlog returns the backlog of a flow in seconds of work.
+func (s *fairQueue) backlog(f *flow) float64 {
+	if f.index == notQueued {
 		return 0
 	}
-	return math.Max(m.finish-s.virtual, 0) * m.weight
+	return math.Max(f.finishTime-s.virtualTime, 0) * f.weight
 }
 
-func (s *shares) insert(m *member) {
-	heap.Push(&s.busy, m)
-	s.weight += m.weight
+func (s *fairQueue) insert(f *flow) {
+	heap.Push(&s.backlogged, f)
+	s.backloggedWeight += f.weight
 }
 
-func (s *shares) remove(m *member) {
-	if m.index == idle {
+func (s *fairQueue) remove(f *flow) {
+	if f.index == notQueued {
 		return
 	}
-	heap.Remove(&s.busy, m.index)
-	if s.weight -= m.weight; len(s.busy) == 0 {
-		s.weight = 0 // what rounding left
+	heap.Remove(&s.backlogged, f.index)
+	if s.backloggedWeight -= f.weight; len(s.backlogged) == 0 {
+		s.backloggedWeight = 0 // discards rounding errors
 	}
 }
 
-// advance lets the model's server work until now at the rate.
-func (s *shares) advance(now time.Duration, rate float64) {
-	left := (now - s.last).Seconds()
-	s.last = now
-	for len(s.busy) > 0 && (left > 0 || math.IsInf(rate, 1)) {
-		first := s.busy[0]
-		takes := (first.finish - s.virtual) * s.weight / rate
-		if takes > left {
-			s.virtual += left * rate / s.weight
+// advance lets the server of the model work until now at the rate.
+func (s *fairQueue) advance(now time.Duration, rate float64) {
+	remaining := (now - s.lastUpdate).Seconds()
+	s.lastUpdate = now
+	for len(s.backlogged) > 0 && (remaining > 0 || math.IsInf(rate, 1)) {
+		first := s.backlogged[0]
+		needed := (first.finishTime - s.virtualTime) * s.backloggedWeight / rate
+		if needed > remaining {
+			s.virtualTime += remaining * rate / s.backloggedWeight
 			return
 		}
-		s.virtual = math.Max(s.virtual, first.finish)
-		left -= math.Max(takes, 0)
+		s.virtualTime = math.Max(s.virtualTime, first.finishTime)
+		remaining -= math.Max(needed, 0)
 		s.remove(first)
 	}
-	if len(s.busy) == 0 {
-		s.virtual = 0 // rounding errors do not pile up
+	if len(s.backlogged) == 0 {
+		s.virtualTime = 0 // discards rounding errors
 	}
 }
 
-// room is the longest queue that a member may have and still add to it.
-func (m *member) room(rate float64) float64 {
-	return math.Max(queueTime*m.weight*rate, queueRequests*m.usual.value)
+// allowedBacklog returns the longest backlog at which a flow may add to it.
+func (f *flow) allowedBacklog(rate float64) float64 {
+	return math.Max(queueTime*f.weight*rate, queueRequests*f.meanWork.value)
 }
 
-// longest is the longest queue that a member may have.
-func (m *member) longest(rate float64) float64 {
-	return math.Max(longestQueue*rate, 2*m.room(rate))
+// maxBacklog returns the longest backlog that a flow is charged with.
+func (f *flow) maxBacklog(rate float64) float64 {
+	return math.Max(maxDebtTime*rate, 2*f.allowedBacklog(rate))
 }
 
-// wait is how long a member has to wait until its queue has room; 0: it has
-// some. The last request admitted may overfill it, and is paid off before the
-// next.
-func (s *shares) wait(m *member, rate float64) time.Duration {
-	over := s.queued(m) - m.room(rate)
-	if over < 0 || m.index == idle {
+// wait returns how long a flow has to wait until its backlog is below the allowed one; 0: it
+// already is. The last request admitted may exceed the allowed backlog, which is paid off before
+// the next.
+func (s *fairQueue) wait(f *flow, rate float64) time.Duration {
+	excess := s.backlog(f) - f.allowedBacklog(rate)
+	if excess < 0 || f.index == notQueued {
 		return 0
 	}
-	return max(seconds((over+m.usual.value)*s.weight/(m.weight*rate)), time.Millisecond)
+	return max(seconds((excess+f.meanWork.value)*s.backloggedWeight/(f.weight*rate)), time.Millisecond)
 }
 
-// charge adds work to a member's queue.
-func (s *shares) charge(m *member, rate, work float64) {
-	m.usual.add(work, workMemory)
+// charge adds work to the backlog of a flow.
+func (s *fairQueue) charge(f *flow, rate, work float64) {
+	f.meanWork.add(work, workMemory)
 	if math.IsInf(rate, 1) {
 		return
 	}
-	longest := s.virtual + m.longest(rate)/m.weight
-	if m.index == idle {
-		m.finish = math.Min(s.virtual+work/m.weight, longest)
-		s.insert(m)
+	maxFinish := s.virtualTime + f.maxBacklog(rate)/f.weight
+	if f.index == notQueued {
+		f.finishTime = math.Min(s.virtualTime+work/f.weight, maxFinish)
+		s.insert(f)
 		return
 	}
-	m.finish = math.Max(m.finish, math.Min(m.finish+work/m.weight, longest))
-	heap.Fix(&s.busy, m.index)
+	f.finishTime = math.Max(f.finishTime, math.Min(f.finishTime+work/f.weight, maxFinish))
+	heap.Fix(&s.backlogged, f.index)
 }
 
-// asks takes so much work that a member asks for, granted or not. It reports
-// whether the member asks for no more than it is owed of a capacity that is rate.
-func (s *shares) asks(m *member, rate, work float64) (within bool) {
-	l := newLimit(m.weight*rate, owedRooms*m.room(rate))
-	within = m.owed.wait(s.last, l, work) == 0
-	m.owed.charge(s.last, l, work)
-	m.owed.next = min(m.owed.next, s.last+l.slack+owedMemory)
+// withinGuarantee records demand of a flow, granted or not. It reports whether the flow's demand
+// is within its guaranteed part of the capacity rate.
+func (s *fairQueue) withinGuarantee(f *flow, rate, work float64) (within bool) {
+	l := newLimit(f.weight*rate, guaranteeBurst*f.allowedBacklog(rate))
+	within = f.guaranteed.wait(s.lastUpdate, l, work) == 0
+	f.guaranteed.charge(s.lastUpdate, l, work)
+	f.guaranteed.tat = min(f.guaranteed.tat, s.lastUpdate+l.tolerance+guaranteeMemory)
 	return within
 }
 
-// forgive cuts queues to their rooms.
-func (s *shares) forgive(rate float64) {
-	for _, m := range s.busy {
-		m.finish = math.Min(m.finish, s.virtual+m.room(rate)/m.weight)
+// capBacklogs cuts all backlogs to the allowed ones.
+func (s *fairQueue) capBacklogs(rate float64) {
+	for _, f := range s.backlogged {
+		f.finishTime = math.Min(f.finishTime, s.virtualTime+f.allowedBacklog(rate)/f.weight)
 	}
-	heap.Init(&s.busy)
+	heap.Init(&s.backlogged)
 }
 
-// clear empties all queues.
-func (s *shares) clear() {
-	for _, m := range s.busy {
-		m.index = idle
+// reset empties all queues.
+func (s *fairQueue) reset() {
+	for _, f := range s.backlogged {
+		f.index = notQueued
 	}
-	clear(s.busy)
-	s.busy, s.weight, s.virtual = s.busy[:0], 0, 0
+	clear(s.backlogged)
+	s.backlogged, s.backloggedWeight, s.virtualTime = s.backlogged[:0], 0, 0
 }
 
-// refund takes work out of a member's queue, as far as it is still there.
-func (s *shares) refund(m *member, work float64) {
-	if m.index == idle {
+// refund removes work from the backlog of a flow, as far as it is still there.
+func (s *fairQueue) refund(f *flow, work float64) {
+	if f.index == notQueued {
 		return
 	}
-	if m.finish -= work / m.weight; m.finish <= s.virtual {
-		s.remove(m)
+	if f.finishTime -= work / f.weight; f.finishTime <= s.virtualTime {
+		s.remove(f)
 		return
 	}
-	heap.Fix(&s.busy, m.index)
+	heap.Fix(&s.backlogged, f.index)
 }
 
-// busy is a heap of the members that have work left.
-type busy []*member
+// finishHeap is a heap of the backlogged flows by finish time.
+type finishHeap []*flow
 
-func (b busy) Len() int           { return len(b) }
-func (b busy) Less(i, j int) bool { return b[i].finish < b[j].finish }
-func (b busy) Swap(i, j int) {
+func (b finishHeap) Len() int           { return len(b) }
+func (b finishHeap) Less(i, j int) bool { return b[i].finishTime < b[j].finishTime }
+func (b finishHeap) Swap(i, j int) {
 	b[i], b[j] = b[j], b[i]
 	b[i].index, b[j].index = i, j
 }
 
-func (b *busy) Push(x any) {
-	m := x.(*member)
-	m.index = len(*b)
-	*b = append(*b, m)
+func (b *finishHeap) Push(x any) {
+	f := x.(*flow)
+	f.index = len(*b)
+	*b = append(*b, f)
 }
 
-func (b *busy) Pop() any {
+func (b *finishHeap) Pop() any {
 	old := *b
-	m := old[len(old)-1]
+	f := old[len(old)-1]
 	old[len(old)-1] = nil
 	*b = old[:len(old)-1]
-	m.index = idle
-	return m
+	f.index = notQueued
+	return f
 }
