--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,7 +1,7 @@
-// Package budget divides one number of things, such as descriptors or bytes,
-// among services: each has a reserve that no other can use, and what is not
-// reserved is lent to whoever asks first. A service that hangs holds its own
-// reserve and what is lent, never what another needs.
+// Package budget divides a number of units, such as descriptors or bytes, among services. Each
+// service has a reserve that no other can use; the unreserved units are lent to whoever asks
+// first. A service that hangs keeps its reserve and what it borrowed, but never the reserve of
+// another.
 package budget
 
 import (
@@ -9,128 +9,128 @@
 	"sync/atomic"
 )
 
-// ReservedFraction is the part of a budget that is divided into reserves; the rest is
-// lent. With more of it lent, one busy service gets further alone, and a hung
-// one leaves the others less.
+// ReservedFraction is the fraction of a budget that is divided into reserves; the remainder is
+// lent. With a smaller fraction a single busy service gets further, and a hung one leaves less to
+// the others.
 const ReservedFraction = 0.5
 
-// Budget is the whole. It is safe for use by several goroutines.
+// Budget is a number of units divided among partitions. It is safe for concurrent use.
 type Budget struct {
-	mu      sync.Mutex
-	total   int64
-	used    int64 // by all parts, also those that have left
-	claimed int64 // over all parts, the larger of what is used and what is reserved
-	parts   map[*Partition]struct{}
-	freed   chan struct{} // closed when something has been given back; nil: nobody waits
-	waited  atomic.Bool   // freed is not nil
+	mu         sync.Mutex
+	total      int64
+	used       int64 // by all partitions, also those that have left
+	committed  int64 // sum over all partitions of the larger of used and reserve
+	partitions map[*Partition]struct{}
+	freed      chan struct{} // closed when units are released; nil: there are no waiters
+	hasWaiters atomic.Bool   // freed is not nil
 }
 
-// Partition is what one service may use.
+// Partition is the part of a budget that one service uses.
 type Partition struct {
 	budget        *Budget
 	used, reserve int64
 	weight        float64
-	yield         func() bool
+	releaseIdle   func() bool
 }
 
-// New makes a budget of total things.
-func New(total int64) *Budget { return &Budget{total: total, parts: map[*Partition]struct{}{}} }
+// New returns a budget of total units.
+func New(total int64) *Budget { return &Budget{total: total, partitions: map[*Partition]struct{}{}} }
 
-// Join adds a part of a weight over 0. Reserves are divided anew by weight: the
-// only part there is has all. yield, if there is one, is asked to give back
-// something idle where another part needs it, and tells whether it did.
-func (b *Budget) Join(weight float64, yield func() bool) *Partition {
+// Join adds a partition with a positive weight. Reserves are divided again by weight; a single
+// partition reserves the whole budget. releaseIdle, unless nil, is called when another partition
+// needs units; it releases an idle unit and reports whether there was one.
+func (b *Budget) Join(weight float64, releaseIdle func() bool) *Partition {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := &Partition{budget: b, weight: weight, yield: yield}
-	b.parts[p] = struct{}{}
-	b.divide()
+	p := &Partition{budget: b, weight: weight, releaseIdle: releaseIdle}
+	b.partitions[p] = struct{}{}
+	b.divideReserves()
 	return p
 }
 
-// Resize sets how many things there are, from now on. Where more are in use than
-// that, nothing is taken away: they come free as they are released.
+// Resize sets the total from now on. If more units are in use, none is revoked: they become free
+// as they are released.
 func (b *Budget) Resize(total int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.total = total
-	b.divide()
+	b.divideReserves()
 }
 
-// Overcommitted reports whether more is in use than there is.
+// Overcommitted reports whether more units are in use than the total.
 func (b *Budget) Overcommitted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used > b.total
 }
 
-// HasWaiters reports whether anybody may be waiting for something to be given back.
-func (b *Budget) HasWaiters() bool { return b.waited.Load() }
+// HasWaiters reports whether anybody may be waiting for a release.
+func (b *Budget) HasWaiters() bool { return b.hasWaiters.Load() }
 
-// SetWeight gives a part another weight, over 0.
+// SetWeight sets the weight of a partition; it is positive.
 func (p *Partition) SetWeight(weight float64) {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p.weight = weight
-	if _, ok := b.parts[p]; ok {
-		b.divide()
+	if _, ok := b.partitions[p]; ok {
+		b.divideReserves()
 	}
 }
 
-// Leave gives a part's reserve back. What it uses counts until it is released.
+// Leave gives up the reserve of a partition. Its units count as used until they are released.
 func (p *Partition) Leave() {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if _, ok := b.parts[p]; !ok {
+	if _, ok := b.partitions[p]; !ok {
 		return
 	}
-	delete(b.parts, p)
+	delete(b.partitions, p)
 	p.setReserve(0)
-	b.divide()
+	b.divideReserves()
 }
 
-// divide sets the reserves. Where more is in use than is left beside a new
-// reserve, nothing is taken away: it comes free as it is released.
-func (b *Budget) divide() {
+// divideReserves sets the reserves. If more units are in use than a new reserve leaves, none is
+// revoked: they become free as they are released.
+func (b *Budget) divideReserves() {
 	var sum float64
-	for p := range b.parts {
+	for p := range b.partitions {
 		sum += p.weight
 	}
-	part := ReservedFraction
-	if len(b.parts) == 1 {
-		part = 1
+	fraction := ReservedFraction
+	if len(b.partitions) == 1 {
+		fraction = 1
 	}
-	for p := range b.parts {
-		p.setReserve(int64(part * float64(b.total) * p.weight / sum))
+	for p := range b.partitions {
+		p.setReserve(int64(fraction * float64(b.total) * p.weight / sum))
 	}
-	b.wake()
+	b.notifyWaiters()
 }
 
 func (p *Partition) setReserve(n int64) {
-	p.budget.claimed += max(p.used, n) - max(p.used, p.reserve)
+	p.budget.committed += max(p.used, n) - max(p.used, p.reserve)
 	p.reserve = n
 }
 
-// TryAcquire takes n things; it reports false, and takes none, where there is
-// no room. A reserve that has grown may be in use elsewhere still: it is there
-// once that has been released, and no more is ever in use than there is.
+// TryAcquire takes n units. It reports false, and takes none, if there is no capacity. A reserve
+// that has grown may still be in use elsewhere: it becomes available as those units are released,
+// and the total is never exceeded.
 func (p *Partition) TryAcquire(n int64) bool {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	more := max(p.used+n, p.reserve) - max(p.used, p.reserve)
-	if b.used+n > b.total || p.used+n > p.reserve && b.claimed+more > b.total {
+	added := max(p.used+n, p.reserve) - max(p.used, p.reserve)
+	if b.used+n > b.total || p.used+n > p.reserve && b.committed+added > b.total {
 		return false
 	}
 	p.used += n
 	b.used += n
-	b.claimed += more
+	b.committed += added
 	return true
 }
 
-// Release gives n things back.
+// Release returns n units.
 func (p *Partition) Release(n int64) {
 	if n == 0 {
 		return
@@ -138,35 +138,35 @@
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.claimed -= max(p.used, p.reserve) - max(p.used-n, p.reserve)
+	b.committed -= max(p.used, p.reserve) - max(p.used-n, p.reserve)
 	p.used -= n
 	b.used -= n
-	b.wake()
+	b.notifyWaiters()
 }
 
-// Freed returns a channel that is closed when something is given back next, to
-// any part, or has become idle, as NotifyIdle tells.
+// Freed returns a channel that is closed at the next release by any partition, or when units
+// become idle (NotifyIdle).
 func (p *Partition) Freed() <-chan struct{} {
 	b := p.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.freed == nil {
 		b.freed = make(chan struct{})
-		b.waited.Store(true)
+		b.hasWaiters.Store(true)
 	}
 	return b.freed
 }
 
-func (b *Budget) wake() {
+func (b *Budget) notifyWaiters() {
 	if b.freed != nil {
 		close(b.freed)
 		b.freed = nil
-		b.waited.Store(false)
+		b.hasWaiters.Store(false)
 	}
 }
 
-// NotifyIdle tells those who wait, of any part, that this one has something idle now, which it
-// gives back where it is asked to.
+// NotifyIdle notifies waiters of all partitions that this one has an idle unit, which it releases
+// on request.
 func (p *Partition) NotifyIdle() {
 	b := p.budget
 	if !b.HasWaiters() {
@@ -174,40 +174,40 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.wake()
+	b.notifyWaiters()
 }
 
-// Reclaim has another part that uses more than its reserve give back something
-// idle. It reports whether one did.
+// Reclaim makes another partition that uses more than its reserve release an idle unit. It reports
+// whether one did.
 func (p *Partition) Reclaim() bool {
-	for _, other := range p.budget.over(p) {
-		if other.yield() {
+	for _, other := range p.budget.borrowers(p) {
+		if other.releaseIdle() {
 			return true
 		}
 	}
 	return false
 }
 
-// over are the parts but for p that use more than their reserve.
-func (b *Budget) over(p *Partition) (over []*Partition) {
+// borrowers returns the partitions other than p that use more than their reserve.
+func (b *Budget) borrowers(p *Partition) (partitions []*Partition) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for other := range b.parts {
-		if other != p && other.yield != nil && other.used > other.reserve {
-			over = append(over, other)
+	for other := range b.partitions {
+		if other != p && other.releaseIdle != nil && other.used > other.reserve {
+			partitions = append(partitions, other)
 		}
 	}
-	return over
+	return partitions
 }
 
-// Used is how many things the part holds.
+// Used returns the number of units the partition uses.
 func (p *Partition) Used() int64 {
 	p.budget.mu.Lock()
 	defer p.budget.mu.Unlock()
 	return p.used
 }
 
-// Reserve is how many the part may use whatever the others do.
+// Reserve returns the number of units that the partition may use regardless of the others.
 func (p *Partition) Reserve() int64 {
 	p.budget.mu.Lock()
 	defer p.budget.mu.Unlock()
--- a/internal/budget/explore_test.go
+++ b/internal/budget/explore_test.go
@@ -9,85 +9,86 @@
 	"spokegw/internal/explore"
 )
 
-// Three parts that join, are weighed, take, give back and leave, in every order.
-// The real budget is driven: a state is the events that led to it, taken anew.
+// The model drives a real budget: three partitions join, change their weights, acquire, release
+// and leave, in every order. A state is the sequence of events that leads to it, which is
+// replayed.
 type event struct {
-	do   string
-	part int
-	n    int64
+	action    string
+	partition int
+	n         int64
 }
 
-func (e event) String() string { return fmt.Sprintf("part %d: %s %d", e.part, e.do, e.n) }
+func (e event) String() string { return fmt.Sprintf("part %d: %s %d", e.partition, e.action, e.n) }
 
-type history struct{ events []event }
+type trace struct{ events []event }
 
 const (
-	exploredTotal = 8
-	exploredParts = 3
+	exploredTotal      = 8
+	exploredPartitions = 3
 )
 
-type world struct {
-	budget *Budget
-	parts  [exploredParts]*Partition
-	gone   [exploredParts]bool
+type model struct {
+	budget     *Budget
+	partitions [exploredPartitions]*Partition
+	left       [exploredPartitions]bool
 }
 
-// replay takes the events, and checks after each what has to hold.
-func replay(events []event) (*world, error) {
-	w := &world{budget: New(exploredTotal)}
+// replay applies the events, and checks the invariants after each.
+func replay(events []event) (*model, error) {
+	m := &model{budget: New(exploredTotal)}
 	for _, e := range events {
-		if err := w.take(e); err != nil {
-			return w, err
+		if err := m.apply(e); err != nil {
+			return m, err
 		}
 	}
-	return w, nil
+	return m, nil
 }
 
 var (
 	errOver    = errors.New("more is in use than there is")
 	errCounted = errors.New("what is counted is not what is in use")
-	errGone    = errors.New("a part that has left keeps a reserve")
+	errLeft    = errors.New("a part that has left keeps a reserve")
 	errStarved = errors.New("a part is refused within its reserve although there is room")
 )
 
-func (w *world) take(e event) error {
-	p := w.parts[e.part]
-	switch e.do {
+func (m *model) apply(e event) error {
+	p := m.partitions[e.partition]
+	switch e.action {
 	case "joins":
-		w.parts[e.part] = w.budget.Join(float64(e.n), nil)
+		m.partitions[e.partition] = m.budget.Join(float64(e.n), nil)
 	case "weighs":
 		p.SetWeight(float64(e.n))
 	case "leaves":
 		p.Leave()
-		w.gone[e.part] = true
+		m.left[e.partition] = true
 	case "takes":
-		used := w.used()
+		used := m.used()
 		if !p.TryAcquire(e.n) && p.used+e.n <= p.reserve && used+e.n <= exploredTotal {
 			return errStarved
 		}
 	case "gives back":
 		p.Release(e.n)
 	}
-	var claimed int64
-	for i, p := range w.parts {
+	var committed int64
+	for i, p := range m.partitions {
 		if p != nil {
-			claimed += max(p.used, p.reserve)
+			committed += max(p.used, p.reserve)
 		}
-		if w.gone[i] && p.reserve > 0 {
-			return errGone
+		if m.left[i] && p.reserve > 0 {
+			return errLeft
 		}
 	}
 	switch {
-	case w.used() > exploredTotal:
+	case m.used() > exploredTotal:
 		return errOver
-	case claimed != w.budget.claimed:
+	case committed != m.budget.committed:
 		return errCounted
 	}
 	return nil
 }
 
-func (w *world) used() (n int64) {
-	for _, p := range w.parts {
+func (m *model) used() (n int64) {
+	for _, p := range m.partitions {
 		if p != nil {
 			n += p.used
 		}
@@ -95,8 +96,8 @@
 	return n
 }
 
-func (w *world) next() (events []event) {
-	for i, p := range w.parts {
+func (m *model) possibleEvents() (events []event) {
+	for i, p := range m.partitions {
 		if p == nil {
 			events = append(events, event{"joins", i, 1})
 			continue
@@ -104,7 +105,7 @@
 		if p.used > 0 {
 			events = append(events, event{"gives back", i, 1})
 		}
-		if w.gone[i] {
+		if m.left[i] {
 			continue
 		}
 		events = append(events, event{"takes", i, 1}, event{"takes", i, 2}, event{"leaves", i, 0})
@@ -115,34 +116,35 @@
 	return events
 }
 
-// key has what matters of a state; parts are alike, so their order does not.
-func (w *world) key() string {
-	parts := make([]string, len(w.parts))
-	for i, p := range w.parts {
+// key contains what distinguishes states; partitions are interchangeable, so their order is not
+// part of it.
+func (m *model) key() string {
+	partitions := make([]string, len(m.partitions))
+	for i, p := range m.partitions {
 		if p != nil {
-			parts[i] = fmt.Sprint(p.used, p.reserve, p.weight, w.gone[i])
+			partitions[i] = fmt.Sprint(p.used, p.reserve, p.weight, m.left[i])
 		}
 	}
-	sort.Strings(parts)
-	return fmt.Sprint(parts, w.budget.claimed, w.budget.used)
+	sort.Strings(partitions)
+	return fmt.Sprint(partitions, m.budget.committed, m.budget.used)
 }
 
-// In no order is more in use than there is, is anything counted that is not, or
-// is a part refused what is its own while there is room.
+// In no order of events are more units in use than the total, are units counted that are not in
+// use, or is a partition refused free units of its reserve.
 func TestEveryOrder(t *testing.T) {
-	m := &explore.Model[history, event]{
-		Events: func(h history) []event {
-			w, _ := replay(h.events)
-			return w.next()
+	m := &explore.Model[trace, event]{
+		Events: func(tr trace) []event {
+			m, _ := replay(tr.events)
+			return m.possibleEvents()
 		},
-		Step: func(h history, e event) (history, error) {
-			h.events = append(h.events[:len(h.events):len(h.events)], e)
-			_, err := replay(h.events)
-			return h, err
+		Step: func(tr trace, e event) (trace, error) {
+			tr.events = append(tr.events[:len(tr.events):len(tr.events)], e)
+			_, err := replay(tr.events)
+			return tr, err
 		},
-		Key: func(h history) string {
-			w, _ := replay(h.events)
-			return w.key()
+		Key: func(tr trace) string {
+			m, _ := replay(tr.events)
+			return m.key()
 		},
 	}
 	r, err := m.Explore(4)
@@ -151,6 +153,6 @@
 		t.Fatal(err)
 	}
 	if !r.Whole || r.States < 100 {
-		t.Error("this is not all there is:", r)
+		t.Error("the exploration is incomplete:", r)
 	}
 }
--- a/internal/budget/rapid_test.go
+++ b/internal/budget/rapid_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The same verdict every time; another course is tried with -rapid.seed=N.
+// A fixed seed makes the result reproducible; use -rapid.seed=N for other sequences.
 func init() { flag.Set("rapid.seed", "1") }
