--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,12 +1,12 @@
-// Package overload decides what a sidecar takes on when its own processor is what is
-// short. It is pure: the clock comes in with the calls, and it is for one goroutine.
+// Package overload sheds load when the sidecar's own processor is the bottleneck. It is pure:
+// callers pass the time in. It is not safe for concurrent use.
 //
-// What is watched is how long work that is ready waits for the processor. A queue that
-// stands, not one that a burst leaves, is what counts: the least delay of an interval, as
-// CoDel has it (RFC 8289 section 4.2). The part of the requests that is let in then falls
-// by how far the delay is over its target and rises again in steps, and who is let in goes
-// by worth: as DAGOR has it (Zhou et al., Overload Control for Scaling WeChat
-// Microservices, SoCC 2018) a histogram of what came of late is cut where the part ends.
+// The signal is how long runnable work waits for the processor. Only a standing queue counts, not
+// one left by a burst, so the signal is the minimum delay of an interval, as in CoDel (RFC 8289
+// section 4.2). The fraction of requests admitted falls the further the delay exceeds its target,
+// and rises again in steps. Requests are admitted by worth: as in DAGOR (Zhou et al., Overload
+// Control for Scaling WeChat Microservices, SoCC 2018), a histogram of recent requests by rank is
+// cut where the admitted fraction ends.
 package overload
 
 import (
@@ -15,17 +15,17 @@
 	"time"
 )
 
-// Settings are those of a brake.
+// Settings configure a Shedder.
 type Settings struct {
-	Target   time.Duration // that ready work may wait
-	Interval time.Duration // in which a queue has to have been short once
+	Target   time.Duration // acceptable wait of runnable work
+	Interval time.Duration // time within which the wait has to fall to the target once
 }
 
-// DefaultSettings are for answers in 100 ms and more: ready work waits for a few milliseconds at
-// most while there is processor to spare.
+// DefaultSettings suit latencies of 100 ms and more: with spare processor time, runnable work
+// waits for a few milliseconds at most.
 var DefaultSettings = Settings{Target: 5 * time.Millisecond, Interval: 50 * time.Millisecond}
 
-// Validate names the first setting that can't be worked with.
+// Validate returns an error for the first setting that is out of range.
 func (s Settings) Validate() error {
 	switch {
 	case s.Target < time.Millisecond || s.Target > time.Second:
@@ -37,48 +37,52 @@
 }
 
 const (
-	// RankCount are those that requests are told apart by, the worthiest last.
+	// RankCount is the number of ranks that requests are divided into; the highest rank is worth
+	// most.
 	RankCount = 64
-	// least is the part that is let in at least: without any nothing is seen to be over.
-	least = 0.02
-	// cut bounds what one interval takes off, against a pause of the whole process, which
-	// looks like a long queue and is none.
-	cut = 0.4
-	// slope is what each target's length of delay over the target takes off.
-	slope = 0.08
-	// rise is the part of the level, and of a tenth beside it, that an interval adds whose
-	// delay is nothing; less, the nearer it is to the target.
-	rise = 0.1
-	// calm is how many intervals with all let in end a brake, against one that comes and goes.
-	calm = 10
-	// memory is the part of the histogram that is left after an interval.
-	memory = 0.7
-	// longestRetry bounds when those who are refused are asked to come back.
-	longestRetry = 5 * time.Second
+	// minAdmitFraction keeps some requests admitted, as the end of an overload shows only with
+	// load.
+	minAdmitFraction = 0.02
+	// minFactor bounds the decrease of one interval, because a pause of the whole process looks
+	// like a long queue.
+	minFactor = 0.4
+	// decreaseSlope is the relative decrease for each multiple of the target by which the delay
+	// exceeds the target.
+	decreaseSlope = 0.08
+	// increaseRate is the increase for an interval without delay, as a fraction of the admitted
+	// fraction plus 0.1; it is smaller the closer the delay is to the target.
+	increaseRate = 0.1
+	// calmToStop is the number of intervals with everything admitted that end shedding, so that it
+	// does not flap.
+	calmToStop = 10
+	// histogramDecay is the fraction of the histogram kept after an interval.
+	histogramDecay = 0.7
+	// maxRetryAfter bounds the retry delay of refused requests.
+	maxRetryAfter = 5 * time.Second
 )
 
-// Shedder is the state of one sidecar.
+// Shedder is the load shedding state of one sidecar.
 type Shedder struct {
-	set     Settings
-	level   float64 // part of the requests that is let in
-	ends    time.Duration
-	short   time.Duration // the least delay in this interval; <0: none was told
-	came    [RankCount]float64
-	let     [RankCount]float64 // part that is let in, by rank
-	braking bool
-	since   time.Duration
-	usual   int // intervals with all let in
+	settings      Settings
+	admitFraction float64 // fraction of the requests admitted
+	intervalEnd   time.Duration
+	minDelay      time.Duration // minimum in this interval; <0: no sample
+	arrivals      [RankCount]float64
+	rankFraction  [RankCount]float64 // fraction admitted by rank
+	shedding      bool
+	since         time.Duration
+	calmIntervals int // consecutive intervals with everything admitted
 }
 
-// New makes a brake that lets all in.
-func New(now time.Duration, s Settings) *Shedder {
-	b := &Shedder{set: s, level: 1, ends: now + s.Interval, short: -1}
-	b.divide()
-	return b
+// New returns a Shedder that admits everything.
+func New(now time.Duration, settings Settings) *Shedder {
+	s := &Shedder{settings: settings, admitFraction: 1, intervalEnd: now + settings.Interval, minDelay: -1}
+	s.updateRanks()
+	return s
 }
 
-// Rank is that of a worth: higher ones are let in first. Worths within a tenth of each
-// other may have one rank.
+// Rank returns the rank of a worth; higher ranks are admitted first. Worths within about a tenth
+// of each other may share a rank.
 func Rank(worth float64) int {
 	if !(worth > 0) {
 		return 0
@@ -87,87 +91,86 @@
 	return int(math.Min(math.Max(middle+perDouble*math.Log2(worth), 0), RankCount-1))
 }
 
-// ObserveDelay takes how long ready work has waited, and reports whether the brake has come or
-// gone by that.
-func (b *Shedder) ObserveDelay(now, waited time.Duration) (changed bool) {
-	if b.short < 0 || waited < b.short {
-		b.short = max(waited, 0)
+// ObserveDelay records how long runnable work waited, and reports whether shedding started or
+// stopped.
+func (s *Shedder) ObserveDelay(now, waited time.Duration) (changed bool) {
+	if s.minDelay < 0 || waited < s.minDelay {
+		s.minDelay = max(waited, 0)
 	}
-	if now < b.ends {
+	if now < s.intervalEnd {
 		return false
 	}
-	before := b.braking
-	b.judge(now)
-	b.ends, b.short = now+b.set.Interval, -1
-	return b.braking != before
+	before := s.shedding
+	s.endInterval(now)
+	s.intervalEnd, s.minDelay = now+s.settings.Interval, -1
+	return s.shedding != before
 }
 
-// judge ends an interval.
-func (b *Shedder) judge(now time.Duration) {
-	over := float64(b.short)/float64(b.set.Target) - 1
-	if over > 0 {
-		b.level = math.Max(b.level*math.Max(1-slope*over, cut), least)
-		b.usual = 0
-		if !b.braking {
-			b.braking, b.since = true, now
+// endInterval updates the admitted fraction at the end of an interval.
+func (s *Shedder) endInterval(now time.Duration) {
+	excess := float64(s.minDelay)/float64(s.settings.Target) - 1
+	if excess > 0 {
+		s.admitFraction = math.Max(s.admitFraction*math.Max(1-decreaseSlope*excess, minFactor), minAdmitFraction)
+		s.calmIntervals = 0
+		if !s.shedding {
+			s.shedding, s.since = true, now
 		}
 	} else {
-		b.level = math.Min(b.level-rise*(b.level+0.1)*over, 1)
+		s.admitFraction = math.Min(s.admitFraction-increaseRate*(s.admitFraction+0.1)*excess, 1)
 	}
-	if b.level == 1 && over <= 0 {
-		if b.usual++; b.usual >= calm && b.braking {
-			b.braking, b.since = false, now
+	if s.admitFraction == 1 && excess <= 0 {
+		if s.calmIntervals++; s.calmIntervals >= calmToStop && s.shedding {
+			s.shedding, s.since = false, now
 		}
 	}
-	b.divide()
-	for i := range b.came {
-		b.came[i] *= memory
+	s.updateRanks()
+	for i := range s.arrivals {
+		s.arrivals[i] *= histogramDecay
 	}
 }
 
-// divide finds what part of each rank is let in: the worthiest first, until the part of
-// all is reached.
-func (b *Shedder) divide() {
-	all := 0.0
-	for _, n := range b.came {
-		all += n
+// updateRanks sets the admitted fraction of each rank: the highest rank first, until the total
+// fraction is used up.
+func (s *Shedder) updateRanks() {
+	total := 0.0
+	for _, n := range s.arrivals {
+		total += n
 	}
-	room := b.level * all
+	remaining := s.admitFraction * total
 	for i := RankCount - 1; i >= 0; i-- {
-		switch n := b.came[i]; {
-		case b.level == 1 || n == 0 && room > 0:
-			b.let[i] = 1
-		case n == 0: // nobody came of it: a few are tried, and no more than of the rank above
-			b.let[i] = math.Min(least, b.let[min(i+1, RankCount-1)])
+		switch n := s.arrivals[i]; {
+		case s.admitFraction == 1 || n == 0 && remaining > 0:
+			s.rankFraction[i] = 1
+		case n == 0: // no recent requests: admits a few, and no more than of the next higher rank
+			s.rankFraction[i] = math.Min(minAdmitFraction, s.rankFraction[min(i+1, RankCount-1)])
 		default:
-			b.let[i] = math.Max(math.Min(room/n, 1), 0)
+			s.rankFraction[i] = math.Max(math.Min(remaining/n, 1), 0)
 		}
-		room -= b.came[i]
+		remaining -= s.arrivals[i]
 	}
-	if all == 0 {
-		for i := range b.let {
-			b.let[i] = b.level
+	if total == 0 {
+		for i := range s.rankFraction {
+			s.rankFraction[i] = s.admitFraction
 		}
 	}
 }
 
-// Shedding reports whether some may be refused, and since when.
-func (b *Shedder) Shedding() (is bool, since time.Duration) { return b.braking, b.since }
+// Shedding reports whether requests may be refused, and since when that has been so.
+func (s *Shedder) Shedding() (active bool, since time.Duration) { return s.shedding, s.since }
 
-// AdmitFraction is the part of the requests that is let in.
-func (b *Shedder) AdmitFraction() float64 { return b.level }
+// AdmitFraction returns the fraction of the requests that is admitted.
+func (s *Shedder) AdmitFraction() float64 { return s.admitFraction }
 
-// Admit judges a request of a rank while the brake is on; random is in [0,1). One that is not let in is best
-// again after a time that is spread by random, so that those refused together do not come
-// back together.
-func (b *Shedder) Admit(rank int, random float64) (in bool, again time.Duration) {
+// Admit decides on a request of a rank while shedding; random is in [0,1). The retry delay of a
+// refused request is spread by random, so that requests refused together do not return together.
+func (s *Shedder) Admit(rank int, random float64) (admitted bool, retryAfter time.Duration) {
 	rank = min(max(rank, 0), RankCount-1)
-	b.came[rank]++
-	let := b.let[rank]
-	if random < let {
+	s.arrivals[rank]++
+	fraction := s.rankFraction[rank]
+	if random < fraction {
 		return true, 0
 	}
-	intervals := math.Log(1.1/(b.level+0.1)) / rise // until all are let in
-	spread := (random - let) / (1 - let)            // evenly in [0,1) among those refused
-	return false, min(time.Duration((0.5+spread)*intervals*float64(b.set.Interval)), longestRetry)
+	intervals := math.Log(1.1/(s.admitFraction+0.1)) / increaseRate // until everything is admitted
+	spread := (random - fraction) / (1 - fraction)                  // uniform in [0,1) among the refused
+	return false, min(time.Duration((0.5+spread)*intervals*float64(s.settings.Interval)), maxRetryAfter)
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -10,152 +10,153 @@
 
 const ms = time.Millisecond
 
-// processor is a queue before a processor of a fixed speed: what is let in takes 1, what is
-// refused a part of that. Its delay is told every 10 ms.
+// processor is a queue in front of a processor of constant speed: an admitted request takes the
+// full cost, a refused one a fraction of it. The delay is observed every 10 ms.
 type processor struct {
-	b       *Shedder
-	now     time.Duration
-	queue   float64 // seconds of work
-	cost    float64 // seconds for a request that is let in
-	refusal float64 // of that, for one that is not
-	random  func() float64
+	shedder     *Shedder
+	now         time.Duration
+	queue       float64 // seconds of work
+	cost        float64 // seconds for an admitted request
+	refusalCost float64 // fraction of cost for a refused one
+	random      func() float64
 }
 
-// run has requests of two ranks come, so many a second, and returns how many of each came
-// and were let in.
-func (p *processor) run(lasts time.Duration, rates [2]float64) (came, let [2]float64) {
+// run sends requests of two ranks at the given rates per second, and returns how many of each
+// arrived and were admitted.
+func (p *processor) run(duration time.Duration, rates [2]float64) (arrived, admitted [2]float64) {
 	ranks := [2]int{Rank(1), Rank(3)}
 	var due [2]float64
-	for end := p.now + lasts; p.now < end; p.now += 10 * ms {
-		p.b.ObserveDelay(p.now, time.Duration(p.queue*float64(time.Second)))
-		on, _ := p.b.Shedding()
+	for end := p.now + duration; p.now < end; p.now += 10 * ms {
+		p.shedder.ObserveDelay(p.now, time.Duration(p.queue*float64(time.Second)))
+		shedding, _ := p.shedder.Shedding()
 		for i, rate := range rates {
 			for due[i] += rate / 100; due[i] >= 1; due[i]-- {
-				came[i]++
-				in := true
-				if on {
-					in, _ = p.b.Admit(ranks[i], p.random())
+				arrived[i]++
+				admit := true
+				if shedding {
+					admit, _ = p.shedder.Admit(ranks[i], p.random())
 				}
-				if in {
-					let[i]++
+				if admit {
+					admitted[i]++
 					p.queue += p.cost
 				} else {
-					p.queue += p.cost * p.refusal
+					p.queue += p.cost * p.refusalCost
 				}
 			}
 		}
 		p.queue = math.Max(p.queue-0.010, 0)
 	}
-	return came, let
+	return arrived, admitted
 }
 
 func newProcessor() *processor {
 	seed := uint64(1)
-	return &processor{b: New(0, DefaultSettings), cost: 0.0002, refusal: 0.05, random: func() float64 {
+	return &processor{shedder: New(0, DefaultSettings), cost: 0.0002, refusalCost: 0.05, random: func() float64 {
 		seed = seed*6364136223846793005 + 1442695040888963407
 		return float64(seed>>11) / (1 << 53)
 	}}
 }
 
-// At four times what the processor can do the worthiest are let in, the processor is used,
-// and the queue stays short; afterwards all are let in again.
-func TestOverloadAndBack(t *testing.T) {
-	p := newProcessor() // 5,000 a second
-	if came, let := p.run(5*time.Second, [2]float64{3000, 800}); let != came {
-		t.Errorf("with room %v of %v are let in", let, came)
+// At four times the capacity of the processor the requests worth most are admitted, the processor
+// is used, and the queue stays short; afterwards everything is admitted again.
+func TestOverloadAndRecovery(t *testing.T) {
+	p := newProcessor() // 5,000 per second
+	if arrived, admitted := p.run(5*time.Second, [2]float64{3000, 800}); admitted != arrived {
+		t.Errorf("without overload %v of %v are admitted", admitted, arrived)
 	}
 	p.run(3*time.Second, [2]float64{17000, 3000})
-	came, let := p.run(5*time.Second, [2]float64{17000, 3000})
-	if let[1] < 0.95*came[1] {
-		t.Errorf("of what is worth most %v of %v is let in", let[1], came[1])
+	arrived, admitted := p.run(5*time.Second, [2]float64{17000, 3000})
+	if admitted[1] < 0.95*arrived[1] {
+		t.Errorf("of the rank worth most %v of %v are admitted", admitted[1], arrived[1])
 	}
-	if all := let[0] + let[1]; all < 0.75*5*5000 {
-		t.Errorf("%v are let in, and the processor can do %v beside refusals", all, 5*5000)
+	if all := admitted[0] + admitted[1]; all < 0.75*5*5000 {
+		t.Errorf("%v are admitted, the processor can serve %v less the refusals", all, 5*5000)
 	}
 	if p.queue > 0.1 {
-		t.Errorf("the queue is %.3f s long", p.queue)
+		t.Errorf("the queue is %.3f s long, want at most 0.1 s", p.queue)
 	}
 	p.run(10*time.Second, [2]float64{3000, 800})
-	if came, let := p.run(time.Second, [2]float64{3000, 800}); let != came {
-		t.Errorf("afterwards %v of %v are let in", let, came)
+	if arrived, admitted := p.run(time.Second, [2]float64{3000, 800}); admitted != arrived {
+		t.Errorf("after the overload %v of %v are admitted", admitted, arrived)
 	}
-	if on, _ := p.b.Shedding(); on {
-		t.Error("the brake is on still")
+	if shedding, _ := p.shedder.Shedding(); shedding {
+		t.Error("load is still shed after the overload")
 	}
 }
 
-// A burst that is worked off, and a pause of the whole process, refuse next to nothing.
+// Short bursts and a pause of the whole process cause next to no refusals.
 func TestBurstsAndPauses(t *testing.T) {
 	p := newProcessor()
 	for range 20 {
 		p.run(10*ms, [2]float64{15000, 0})
 		p.run(290*ms, [2]float64{1000, 0})
 	}
-	if on, _ := p.b.Shedding(); on {
-		t.Error("bursts of 10 ms that are worked off put the brake on")
+	if shedding, _ := p.shedder.Shedding(); shedding {
+		t.Error("bursts of 10 ms cause load shedding")
 	}
 	p.now += 5 * time.Second
-	p.b.ObserveDelay(p.now, 5*time.Second)
-	if p.b.AdmitFraction() < cut {
-		t.Errorf("a pause left a level of %v", p.b.AdmitFraction())
+	p.shedder.ObserveDelay(p.now, 5*time.Second)
+	if p.shedder.AdmitFraction() < minFactor {
+		t.Errorf("after a pause the fraction admitted is %v", p.shedder.AdmitFraction())
 	}
 	p.run(time.Second, [2]float64{1000, 0})
-	if p.b.AdmitFraction() < 1 {
-		t.Errorf("a second after a pause the level is %v", p.b.AdmitFraction())
+	if p.shedder.AdmitFraction() < 1 {
+		t.Errorf("a second after a pause the fraction admitted is %v", p.shedder.AdmitFraction())
 	}
 }
 
-// A rank that nobody came of is let in no more than one above it that has next to no room:
-// in an overload the first of it would go before the worthier ones.
-func TestRankNobodyCameOfDoesNotPassTheNext(t *testing.T) {
-	b := New(0, DefaultSettings)
-	b.level = least
-	b.came[3], b.came[1] = 1, 100
-	b.came[2] = 90
-	b.divide()
-	if b.let[0] > b.let[1] || b.let[1] > b.let[2] || b.let[2] > b.let[3] {
-		t.Errorf("ranks 0 to 3 are let in for %v", b.let[:4])
-	}
-	b.came[1] = 0
-	b.came[2] = 1000
-	b.divide()
-	if b.let[1] > b.let[2] {
-		t.Errorf("rank 1, of which nobody came, is let in for %v, rank 2 for %v", b.let[1], b.let[2])
+// A rank without recent requests is admitted no more than the next higher one, which may have next
+// to no capacity. Otherwise, in an overload, its first requests would be preferred to those worth
+// more.
+func TestRankWithoutRequests(t *testing.T) {
+	s := New(0, DefaultSettings)
+	s.admitFraction = minAdmitFraction
+	s.arrivals[3], s.arrivals[1] = 1, 100
+	s.arrivals[2] = 90
+	s.updateRanks()
+	if s.rankFraction[0] > s.rankFraction[1] || s.rankFraction[1] > s.rankFraction[2] || s.rankFraction[2] > s.rankFraction[3] {
+		t.Errorf("ranks 0 to 3 have the fractions %v, want them ascending", s.rankFraction[:4])
+	}
+	s.arrivals[1] = 0
+	s.arrivals[2] = 1000
+	s.updateRanks()
+	if s.rankFraction[1] > s.rankFraction[2] {
+		t.Errorf("rank 1, without requests, has the fraction %v, rank 2 has %v", s.rankFraction[1], s.rankFraction[2])
 	}
 }
 
-// Whatever delays come, and whatever ranks: the level stays in its bounds, a worthier rank
-// is let in no less than one that came beside it, a time to come back is told and bounded,
-// and quiet intervals end the brake.
-func TestBrakeLaws(t *testing.T) {
+// With any delays and ranks the admitted fraction stays in its bounds, a higher rank is admitted
+// no less than a lower one, a refusal has a bounded retry delay, and intervals without delay end
+// shedding.
+func TestShedderInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(0, DefaultSettings)
+		s := New(0, DefaultSettings)
 		now := time.Duration(0)
 		delay := rapid.Int64Range(-1, int64(time.Second))
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "gap"))
-			b.ObserveDelay(now, time.Duration(delay.Draw(t, "delay")))
+			s.ObserveDelay(now, time.Duration(delay.Draw(t, "delay")))
 			for range 5 {
-				in, again := b.Admit(rapid.IntRange(-2, RankCount+2).Draw(t, "rank"), rapid.Float64Range(0, 0.999999).Draw(t, "random"))
-				if !in && !(again >= 0 && again <= longestRetry) {
-					t.Fatalf("come back after %v", again)
+				admitted, retryAfter := s.Admit(rapid.IntRange(-2, RankCount+2).Draw(t, "rank"), rapid.Float64Range(0, 0.999999).Draw(t, "random"))
+				if !admitted && !(retryAfter >= 0 && retryAfter <= maxRetryAfter) {
+					t.Fatalf("retry delay %v, want 0 to the maximum", retryAfter)
 				}
 			}
-			if !(b.level >= least && b.level <= 1) {
-				t.Fatalf("level %v", b.level)
+			if !(s.admitFraction >= minAdmitFraction && s.admitFraction <= 1) {
+				t.Fatalf("admitted fraction %v", s.admitFraction)
 			}
 			for i := range RankCount - 1 {
-				if !(b.let[i] >= 0 && b.let[i] <= 1) || b.let[i] > b.let[i+1] {
-					t.Fatalf("rank %d is let in for %v, the next for %v", i, b.let[i], b.let[i+1])
+				if !(s.rankFraction[i] >= 0 && s.rankFraction[i] <= 1) || s.rankFraction[i] > s.rankFraction[i+1] {
+					t.Fatalf("rank %d has the fraction %v, the next has %v", i, s.rankFraction[i], s.rankFraction[i+1])
 				}
 			}
 		}
-		for range 10 * int(1/rise) {
+		for range 10 * int(1/increaseRate) {
 			now += DefaultSettings.Interval
-			b.ObserveDelay(now, 0)
+			s.ObserveDelay(now, 0)
 		}
-		if on, _ := b.Shedding(); on || b.level != 1 {
-			t.Fatalf("the brake is on %v, level %v", on, b.level)
+		if shedding, _ := s.Shedding(); shedding || s.admitFraction != 1 {
+			t.Fatalf("shedding %v, admitted fraction %v", shedding, s.admitFraction)
 		}
 	})
 }
@@ -163,7 +164,7 @@
 func TestSettings(t *testing.T) {
 	for _, s := range []Settings{{}, {Target: ms}, {Target: 2 * time.Second, Interval: 5 * time.Second}, {Target: 100 * ms, Interval: 150 * ms}, {Target: ms, Interval: time.Minute}} {
 		if s.Validate() == nil {
-			t.Errorf("%+v is taken", s)
+			t.Errorf("%+v is valid, want an error", s)
 		}
 	}
 	if err := DefaultSettings.Validate(); err != nil {
@@ -171,10 +172,10 @@
 	}
 }
 
-func BenchmarkLet(b *testing.B) {
-	brake := New(0, DefaultSettings)
-	brake.ObserveDelay(time.Second, time.Second)
+func BenchmarkAdmit(b *testing.B) {
+	shedder := New(0, DefaultSettings)
+	shedder.ObserveDelay(time.Second, time.Second)
 	for i := 0; b.Loop(); i++ {
-		brake.Admit(i%RankCount, 0.5)
+		shedder.Admit(i%RankCount, 0.5)
 	}
 }
