--- a/internal/learnt/learnt_test.go
+++ b/internal/learnt/learnt_test.go
@@ -33,9 +33,9 @@
 
 var list = []policy.Endpoint{{ID: 1, Kind: 0}, {ID: 2, Kind: 1}}
 
-// taught is an instance that has served some requests of both classes, of which
-// those at endpoint 2 failed.
-func taught(t *testing.T) (b *policy.Balancer, now time.Duration) {
+// trainedInstance returns an instance that has served requests of both classes, of which those at
+// endpoint 2 failed.
+func trainedInstance(t *testing.T) (b *policy.Balancer, now time.Duration) {
 	b = instance(t, 1)
 	b.Endpoints(0, list, true)
 	for i := range 80 {
@@ -54,7 +54,7 @@
 	return b, now
 }
 
-// rows are those of one kind.
+// rows returns the rows of one type.
 func rows(r Record, what string) (of []Row) {
 	for _, row := range r {
 		if row.What == what {
@@ -64,10 +64,10 @@
 	return of
 }
 
-// What one instance has learnt the next knows, also over the form in which it is
-// passed between processes.
-func TestCarriedOver(t *testing.T) {
-	old, now := taught(t)
+// The learnt state of one instance can be applied to another, also after encoding as between
+// processes.
+func TestSnapshotApply(t *testing.T) {
+	old, now := trainedInstance(t)
 	text, err := json.Marshal(Snapshot(now, old))
 	if err != nil {
 		t.Fatal(err)
@@ -80,35 +80,35 @@
 	next.Endpoints(now, list, true)
 	r.Apply(now, next, []int{0, 1})
 	if got, want := Snapshot(now, next), Snapshot(now, old); !reflect.DeepEqual(got, want) {
-		t.Errorf("it knows\n%v\nand\n%v was learnt", got, want)
+		t.Errorf("the applied state is\n%v\nwant\n%v", got, want)
 	}
 	if s := EndpointStatuses(now, next); s[2].Health > 0.9 || s[1].Health != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("endpoint statuses %+v, want endpoint 2 unhealthy and endpoint 1 without failures", s)
 	}
 }
 
-// Each class learns from its heir, and one without an heir from nobody, whatever
-// its place knew before.
-func TestHeirs(t *testing.T) {
-	old, now := taught(t)
+// Each class takes over the state of its predecessor; one without a predecessor starts without
+// any, whatever its slot held before.
+func TestPredecessors(t *testing.T) {
+	old, now := trainedInstance(t)
 	r := Snapshot(now, old)
-	r.Apply(now, old, []int{1}) // class 1 has none
-	got, was := rows(Snapshot(now, old), "class"), rows(r, "class")
-	if !reflect.DeepEqual(got[0].X, was[1].X) || !reflect.DeepEqual(got[1].X, []float64{0, 0, 0, 0}) || was[1].X[0] == 0 {
-		t.Errorf("%v of %v", got, was)
+	r.Apply(now, old, []int{1}) // class 1 has no predecessor
+	got, before := rows(Snapshot(now, old), "class"), rows(r, "class")
+	if !reflect.DeepEqual(got[0].X, before[1].X) || !reflect.DeepEqual(got[1].X, []float64{0, 0, 0, 0}) || before[1].X[0] == 0 {
+		t.Errorf("class rows %v from %v", got, before)
 	}
 	for _, fit := range rows(Snapshot(now, old), "fit") {
 		if fit.Class == 1 && (fit.X[0] != 0 || fit.X[1] != 0) {
-			t.Errorf("a kind fits a class that nobody knows: %v", fit)
+			t.Errorf("a class without a predecessor has a fit: %v", fit)
 		}
 	}
 }
 
-// Rows that can't be meant are left out, and the rest is taken.
-func TestNonsense(t *testing.T) {
-	old, now := taught(t)
+// Invalid rows are ignored, and the others are applied.
+func TestInvalidRows(t *testing.T) {
+	old, now := trainedInstance(t)
 	good := Snapshot(now, old)
-	for name, spoil := range map[string]func(*Row){
+	for name, corrupt := range map[string]func(*Row){
 		"no number":  func(r *Row) { r.X[0] = math.NaN() },
 		"infinite":   func(r *Row) { r.X[len(r.X)-1] = math.Inf(1) },
 		"below":      func(r *Row) { r.X[len(r.X)-1] = -1 },
@@ -121,59 +121,59 @@
 		for i := range good {
 			r := append(Record(nil), good...)
 			r[i].X = append([]float64(nil), good[i].X...)
-			spoil(&r[i])
+			corrupt(&r[i])
 			b := instance(t, 3)
 			b.Endpoints(now, list, true)
 			before := Snapshot(now, b)
 			r.Apply(now, b, []int{0, 1})
 			after := Snapshot(now, b)
 			if !reflect.DeepEqual(after[i], before[i]) {
-				t.Errorf("%s: %v was taken as %v", name, r[i], after[i])
+				t.Errorf("%s: invalid row %v was applied as %v", name, r[i], after[i])
 			}
 			if j := (i + 1) % len(good); !reflect.DeepEqual(after[j], good[j]) {
-				t.Errorf("%s: beside it %v became %v", name, good[j], after[j])
+				t.Errorf("%s: valid row %v became %v", name, good[j], after[j])
 			}
 		}
 	}
 }
 
-// Being read takes nothing from an instance: its first event still plans the
-// first call to discovery.
-func TestReadTakesNothing(t *testing.T) {
+// A snapshot does not change the instance: its first event still schedules the first call to
+// discovery.
+func TestSnapshotHasNoSideEffects(t *testing.T) {
 	b := instance(t, 1)
 	Snapshot(second, b)
-	planned := false
+	scheduled := false
 	for _, a := range b.Endpoints(second, list, true) {
 		_, timer := a.(policy.SetTimer)
-		planned = planned || timer
+		scheduled = scheduled || timer
 	}
-	if !planned {
-		t.Error("the first call to discovery is not planned")
+	if !scheduled {
+		t.Error("the first call to discovery is not scheduled")
 	}
 }
 
-// What a fleet has measured stands in place of what the instance has learnt itself, and
-// what is not measured keeps the list's size and the instance's own speed.
-func TestResize(t *testing.T) {
-	b, now := taught(t)
+// Sizes measured by the fleet replace the learnt speed; endpoints without a measurement keep the
+// listed size and the learnt speed.
+func TestApplyMeasuredSizes(t *testing.T) {
+	b, now := trainedInstance(t)
 	kinds := map[policy.EndpointID]int{1: 0, 2: 1}
-	resize := func(sizes map[policy.EndpointID]float64) map[policy.EndpointID]EndpointStatus {
+	applySizes := func(sizes map[policy.EndpointID]float64) map[policy.EndpointID]EndpointStatus {
 		ApplyMeasuredSizes(now, b, func(id policy.EndpointID) (int, float64) { return kinds[id], 1 }, func(id policy.EndpointID) (float64, bool) {
 			x, ok := sizes[id]
 			return x, ok
 		})
-		b.Request(now, policy.Request{ID: 1000 + policy.RequestID(len(sizes)), TimeLeft: second}) // which draws
+		b.Request(now, policy.Request{ID: 1000 + policy.RequestID(len(sizes)), TimeLeft: second}) // draws an endpoint, which updates the speeds
 		return EndpointStatuses(now, b)
 	}
-	own := resize(nil)
-	got := resize(map[policy.EndpointID]float64{1: 3})
+	learnt := applySizes(nil)
+	got := applySizes(map[policy.EndpointID]float64{1: 3})
 	if s := got[1].Speed; math.Abs(s-3) > 1e-9 {
-		t.Errorf("measured 3, and %v is the speed", s)
+		t.Errorf("the speed is %v, want the measured 3", s)
 	}
-	if got[2].Speed != own[2].Speed {
-		t.Errorf("nothing was measured, and the speed went from %v to %v", own[2].Speed, got[2].Speed)
+	if got[2].Speed != learnt[2].Speed {
+		t.Errorf("the speed changed from %v to %v without a measurement", learnt[2].Speed, got[2].Speed)
 	}
-	if back := resize(nil); back[1].Speed != own[1].Speed {
-		t.Errorf("the speed is %v again, and was %v", back[1].Speed, own[1].Speed)
+	if reset := applySizes(nil); reset[1].Speed != learnt[1].Speed {
+		t.Errorf("the speed is %v without the measurement, want %v as before", reset[1].Speed, learnt[1].Speed)
 	}
 }
--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -1,10 +1,9 @@
-// Package retune decides where the classes of new settings stand in the decision
-// module, which knows classes by their places. It is pure.
+// Package retune assigns the classes of new settings to slots of the decision module, which
+// identifies classes by slot. It is pure.
 //
-// Requests that are open keep the rules that they came under, so a place never
-// changes its rules while one of it is open: a class that changes moves to
-// another place, and one that is dropped stays in its own until the last of its
-// requests has ended.
+// An open request keeps the rules it arrived under, so the rules of a slot never change while it
+// has open requests: a changed class moves to another slot, and a removed one keeps its slot until
+// its last request has ended.
 package retune
 
 import (
@@ -13,12 +12,12 @@
 	"spokegw/policy"
 )
 
-// Slot is a place of the module's table.
+// Slot is an entry of the module's class table.
 type Slot struct {
 	Name         string
 	Rules        policy.Class
-	Active       bool  // new requests come to it
-	OpenRequests int64 // requests of it that have not ended
+	Active       bool  // new requests use it
+	OpenRequests int64 // requests that have not ended
 }
 
 // Class is a class of the new settings.
@@ -27,19 +26,19 @@
 	Rules policy.Class
 }
 
-// Plan is where the classes stand.
+// Plan is the assignment of classes to slots.
 type Plan struct {
-	Slots        []int  // of each new class, by position in the settings
-	Table        []Slot // as it will be; Open is that of the old one
-	Predecessors []int  // by new place: the old place that knows the class best, -1: none
+	Slots        []int  // slot of each new class, by position in the settings
+	Table        []Slot // the new table; OpenRequests are those of the old one
+	Predecessors []int  // by new slot: the old slot to take the learnt state from, -1: none
 }
 
 // MaxSlots bounds the table.
 const MaxSlots = 64
 
-// NewPlan places the classes of new settings. A class that is the same keeps its
-// place. Places are taken anew only if nothing comes to them and nothing of them
-// is open. It is an error if there are not enough.
+// NewPlan assigns slots to the classes of new settings. An unchanged class keeps its slot. A slot
+// is reused only if it is not active and has no open requests. NewPlan fails if there are not
+// enough slots.
 func NewPlan(old []Slot, classes []Class) (Plan, error) {
 	p := Plan{Slots: make([]int, len(classes)), Table: make([]Slot, len(old)), Predecessors: make([]int, len(old))}
 	byName := map[string]int{}
@@ -50,38 +49,38 @@
 			byName[o.Name] = i
 		}
 	}
-	var moved []int
+	var changed []int
 	seen := map[string]bool{}
 	for i, c := range classes {
 		if seen[c.Name] {
-			return Plan{}, fmt.Errorf("the class %.60q is there twice", c.Name)
+			return Plan{}, fmt.Errorf("class %.60q is defined twice", c.Name)
 		}
 		seen[c.Name] = true
-		if at, ok := byName[c.Name]; ok && old[at].Rules == c.Rules {
-			p.Slots[i], p.Table[at].Active = at, true
+		if slot, ok := byName[c.Name]; ok && old[slot].Rules == c.Rules {
+			p.Slots[i], p.Table[slot].Active = slot, true
 			continue
 		}
-		moved = append(moved, i)
+		changed = append(changed, i)
 	}
 	free := 0
-	for _, i := range moved {
+	for _, i := range changed {
 		for free < len(old) && (old[free].Active || old[free].OpenRequests > 0) {
 			free++
 		}
-		at := free
-		if free++; at >= len(p.Table) {
-			at = len(p.Table)
+		slot := free
+		if free++; slot >= len(p.Table) {
+			slot = len(p.Table)
 			p.Table, p.Predecessors = append(p.Table, Slot{}), append(p.Predecessors, -1)
 		}
-		if at >= MaxSlots {
-			return Plan{}, fmt.Errorf("no place is left for the class %.60q: %d are in use by classes that have requests open still", classes[i].Name, MaxSlots)
+		if slot >= MaxSlots {
+			return Plan{}, fmt.Errorf("no free slot for class %.60q: all %d are active or have open requests", classes[i].Name, MaxSlots)
 		}
-		heir := -1
+		predecessor := -1
 		if from, ok := byName[classes[i].Name]; ok {
-			heir = from
+			predecessor = from
 		}
-		p.Slots[i], p.Predecessors[at] = at, heir
-		p.Table[at] = Slot{Name: classes[i].Name, Rules: classes[i].Rules, Active: true}
+		p.Slots[i], p.Predecessors[slot] = slot, predecessor
+		p.Table[slot] = Slot{Name: classes[i].Name, Rules: classes[i].Rules, Active: true}
 	}
 	return p, nil
 }
--- a/internal/retune/retune_test.go
+++ b/internal/retune/retune_test.go
@@ -11,16 +11,16 @@
 	"spokegw/policy"
 )
 
-// The same verdict every time; another course is tried with -rapid.seed=N.
+// A fixed seed makes the result reproducible; use -rapid.seed=N for other sequences.
 func init() { flag.Set("rapid.seed", "1") }
 
-// Settings change at random while requests come and end: a place never changes
-// its rules while one of it is open, each class has one place with its rules, and
-// the table does not grow beyond what is in force, was before, or is open.
-func TestPlaces(t *testing.T) {
+// Settings change at random while requests begin and end: the rules of a slot never change while
+// it has open requests, each class has one slot with its rules, and the table grows no further
+// than active, previous and open classes need.
+func TestSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table []Slot
-		most := 0
+		maxLen := 0
 		class := rapid.Custom(func(t *rapid.T) Class {
 			return Class{
 				Name:  fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "name")),
@@ -36,28 +36,28 @@
 				}
 				for i, old := range table {
 					if (old.OpenRequests > 0 || old.Active) && p.Table[i].Rules != old.Rules {
-						t.Fatalf("place %d changes from %+v to %+v", i, old, p.Table[i])
+						t.Fatalf("slot %d changes from %+v to %+v", i, old, p.Table[i])
 					}
 				}
-				inForce := 0
-				for i, at := range p.Slots {
-					if got := p.Table[at]; got.Name != classes[i].Name || got.Rules != classes[i].Rules || !got.Active {
-						t.Fatalf("%+v is at %+v", classes[i], got)
+				active := 0
+				for i, slot := range p.Slots {
+					if got := p.Table[slot]; got.Name != classes[i].Name || got.Rules != classes[i].Rules || !got.Active {
+						t.Fatalf("class %+v is assigned to slot %+v", classes[i], got)
 					}
 				}
 				for i, q := range p.Table {
 					if q.Active {
-						inForce++
+						active++
 					}
 					if h := p.Predecessors[i]; h >= len(table) || h >= 0 && table[h].Name != q.Name {
-						t.Fatalf("place %d of %q learns from %d", i, q.Name, h)
+						t.Fatalf("slot %d of class %q has predecessor %d", i, q.Name, h)
 					}
 				}
-				if inForce != len(classes) {
-					t.Fatalf("%d classes are in force, %d are expected", inForce, len(classes))
+				if active != len(classes) {
+					t.Fatalf("%d classes are active, want %d", active, len(classes))
 				}
 				table = p.Table
-				most = max(most, len(table))
+				maxLen = max(maxLen, len(table))
 			},
 			"open": func(t *rapid.T) {
 				for i := range table {
@@ -73,16 +73,16 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if most > MaxSlots {
-					t.Fatal(most)
+				if maxLen > MaxSlots {
+					t.Fatal(maxLen)
 				}
 			},
 		})
 	})
 }
 
-// With nothing open, changes without end take two places for each class.
-func TestNoGrowth(t *testing.T) {
+// Without open requests, repeated changes use two slots per class.
+func TestBoundedTable(t *testing.T) {
 	var table []Slot
 	for i := range 200 {
 		p, err := NewPlan(table, []Class{{"a", policy.Class{Deadline: time.Duration(i + 1)}}, {"b", policy.Class{Deadline: 1}}})
@@ -92,19 +92,19 @@
 		table = p.Table
 	}
 	if len(table) > 4 {
-		t.Errorf("%d places", len(table))
+		t.Errorf("the table has %d slots, want at most 4", len(table))
 	}
 }
 
-func TestNoPlaceLeft(t *testing.T) {
+func TestNoFreeSlot(t *testing.T) {
 	var table []Slot
 	for i := range MaxSlots {
 		table = append(table, Slot{Name: fmt.Sprint(i), OpenRequests: 1})
 	}
 	if _, err := NewPlan(table, []Class{{Name: "one more"}}); err == nil {
-		t.Error("a place is found where all are in use")
+		t.Error("a slot is found although all are in use")
 	}
 	if _, err := NewPlan(nil, []Class{{Name: "a"}, {Name: "a"}}); err == nil {
-		t.Error("a class may be there twice")
+		t.Error("a class may be defined twice")
 	}
 }
--- a/internal/stall/record.go
+++ b/internal/stall/record.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// kept is how many stalls a record keeps.
-const kept = 32
+// maxStalls is the number of stalls that a Record keeps.
+const maxStalls = 32
 
-// Record keeps the latest stalls of a process, by something that is done over and over. Its methods
-// may be called at the same time.
+// Record keeps the latest stalls of a process, detected by a recurring action that is late. It is
+// safe for concurrent use.
 type Record struct {
 	mu     sync.Mutex
-	due    time.Time  // when it is done next; zero: nobody does it
-	stalls [kept]span // the last that was noted stands before next
+	due    time.Time           // of the next action; zero: none is expected
+	stalls [maxStalls]interval // a ring buffer; next is the oldest entry
 	next   int
 }
 
-// span is a stall, from when something was due until it was done.
-type span struct{ from, to time.Time }
+// interval is a stall, from when an action was due until it was done.
+type interval struct{ from, to time.Time }
 
-// Expect takes when it is to be done next.
+// Expect sets when the next action is due.
 func (r *Record) Expect(due time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.due = due
 }
 
-// Done takes that it is done.
+// Done records that the action was done.
 func (r *Record) Done(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s, stalled := r.lasting(now); stalled {
+	if s, stalled := r.ongoing(now); stalled {
 		r.stalls[r.next] = s
-		r.next = (r.next + 1) % kept
+		r.next = (r.next + 1) % maxStalls
 	}
 	r.due = time.Time{}
 }
 
-// lasting is the stall that lasts until now, if one does.
-func (r *Record) lasting(now time.Time) (s span, stalled bool) {
-	return span{r.due, now}, !r.due.IsZero() && Detected(now.Sub(r.due))
+// ongoing returns the stall that lasts until now, if there is one.
+func (r *Record) ongoing(now time.Time) (s interval, stalled bool) {
+	return interval{r.due, now}, !r.due.IsZero() && Detected(now.Sub(r.due))
 }
 
-// StalledBetween is for how long the process stalled between a time and now, by the stalls that are kept.
+// StalledBetween returns how long the process stalled between from and now, by the stalls kept.
 func (r *Record) StalledBetween(from, now time.Time) (sum time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s, stalled := r.lasting(now); stalled {
-		sum = s.since(from)
+	if s, stalled := r.ongoing(now); stalled {
+		sum = s.after(from)
 	}
 	for _, s := range r.stalls {
-		sum += s.since(from)
+		sum += s.after(from)
 	}
 	return sum
 }
 
-// since is the part of a stall that is after a time.
-func (s span) since(from time.Time) time.Duration {
+// after returns the part of a stall after a time.
+func (s interval) after(from time.Time) time.Duration {
 	if from.Before(s.from) {
 		from = s.from
 	}
--- a/internal/stall/record_test.go
+++ b/internal/stall/record_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestRecordWithin(t *testing.T) {
+func TestStalledBetween(t *testing.T) {
 	const ms = time.Millisecond
 	begun := time.Now()
 	at := func(after time.Duration) time.Time { return begun.Add(after) }
 	var r Record
 	if got := r.StalledBetween(at(0), at(time.Hour)); got != 0 {
-		t.Errorf("stalled for %v before anything is done", got)
+		t.Errorf("stalled for %v before the first action", got)
 	}
 	for _, c := range []struct{ due, done time.Duration }{{100 * ms, 400 * ms}, {410 * ms, 415 * ms}, {500 * ms, 600 * ms}} {
 		r.Expect(at(c.due))
@@ -27,14 +27,14 @@
 		{950 * ms, 1000 * ms, 50 * ms},
 	} {
 		if got := r.StalledBetween(at(c.from), at(c.now)); got != c.want {
-			t.Errorf("stalled for %v between %v and %v, %v is expected", got, c.from, c.now, c.want)
+			t.Errorf("stalled for %v between %v and %v, want %v", got, c.from, c.now, c.want)
 		}
 	}
-	for i := range kept { // the oldest are forgotten
+	for i := range maxStalls { // the oldest are dropped
 		r.Expect(at(time.Duration(i) * time.Second))
 		r.Done(at(time.Duration(i)*time.Second + 100*ms))
 	}
-	if got := r.StalledBetween(at(0), at(time.Hour)); got != kept*100*ms {
-		t.Errorf("%d stalls of 100 ms are %v", kept, got)
+	if got := r.StalledBetween(at(0), at(time.Hour)); got != maxStalls*100*ms {
+		t.Errorf("%d stalls of 100 ms add up to %v", maxStalls, got)
 	}
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,16 +1,16 @@
-// Package stall tells a timer that went off late from one that went off in time.
+// Package stall distinguishes a timer that fired late from one that fired in time.
 //
-// A process stalls where it gets no processor for a while: its machine is short of them, is
-// suspended, or gives them to others. When it goes on, its timers have run out and what
-// came meanwhile waits to be read, and the timers are often first. Whoever judges by a
-// timer that nothing came has to read once more after a stall.
+// A process stalls if it gets no processor time for a while: its machine is overloaded or
+// suspended, or gives the processor to others. When it resumes, its timers have expired and the
+// input of the meantime is still unread, and the timers often fire first. Code that concludes from
+// a timer that nothing arrived has to read once more after a stall.
 package stall
 
 import "time"
 
-// Threshold is how late a timer goes off, at least, for the process to have stalled. Timers
-// of a process that runs go off within a few milliseconds.
+// Threshold is the minimum lateness of a timer that counts as a stall. Timers of a running process
+// fire within a few milliseconds.
 const Threshold = 50 * time.Millisecond
 
-// Detected reports whether a timer that goes off so long after it was due tells of a stall.
-func Detected(late time.Duration) bool { return late >= Threshold }
+// Detected reports whether a timer that fired this late indicates a stall.
+func Detected(lateness time.Duration) bool { return lateness >= Threshold }
