--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,60 +1,60 @@
-// Package permit is the one place that decides whether something that was decided before may
-// still begin: an attempt on an endpoint, the close of a client's connection, a call to
-// discovery. What was true at the decision need not be true at the effect: a place, a dial or a
-// disk may have been waited for since. It is asked immediately before the effect, with what is
-// known then. It is pure: it has no clock, no I/O and no state.
+// Package permit is the one place that decides whether an action that was decided earlier may still
+// begin: an attempt on an endpoint, closing a client's connection, a call to discovery. What held at
+// the decision need not hold at the effect: the action may have waited for a free slot, a dial or a
+// disk since. It is checked immediately before the effect, with what is known then. The package is
+// pure: it has no clock, no I/O and no state.
 package permit
 
 import "time"
 
-// MaxStall is how long a process may be held up between reading its clock and writing. What has
-// to be over by a time is not begun later than this before it.
+// MaxStall is how long a process may stall between reading its clock and writing. An action that must
+// be over by some time is not begun later than this before it.
 const MaxStall = 150 * time.Millisecond
 
-// Reason is why something may not begin; Allowed: it may.
+// Reason is why an action may not begin; Allowed: it may.
 type Reason uint8
 
-// The reasons, in the order in which they are looked for.
+// The reasons, in the order in which they are checked.
 const (
 	Allowed            Reason = iota
-	Cancelled                 // its result is not wanted any more
+	Cancelled                 // its result is no longer needed
 	ClientDisconnected        // nobody waits for the answer
-	DeadlineExceeded          // the client has given up, or will have
-	DedupWindowExpired        // the endpoint would not know the repeat for one
-	EffectUncertain           // an earlier attempt may have run, and must not run twice
-	EndpointDraining          // it wants nothing new
-	EndpointRemoved           // it is not listed any more
-	EndpointReplaced          // another process stands under its id, or it has another address
-	AnswerPending             // a close: a request was read, and its answer is not written
-	UnreadData                // a close: a request may wait that nobody has read
-	CallInFlight              // a call to discovery: one is out that may be answered in time
-	TooManyCalls              // a call to discovery: there is no room for one more
-	NumReasons                // how many there are
+	DeadlineExceeded          // the client has abandoned the request, or will have
+	DedupWindowExpired        // the endpoint would not recognise the repeat
+	EffectUncertain           // an earlier attempt may have run, and the effect must not happen twice
+	EndpointDraining          // it accepts no new requests
+	EndpointRemoved           // it is no longer listed
+	EndpointReplaced          // another process has its id, or its address has changed
+	AnswerPending             // close: a request was read, and its answer is not written
+	UnreadData                // close: an unread request may be waiting
+	CallInFlight              // call to discovery: one is in flight that may be answered in time
+	TooManyCalls              // call to discovery: the limit of calls in flight is reached
+	NumReasons
 )
 
-var names = [NumReasons]string{
+var reasonNames = [NumReasons]string{
 	"allowed", "called off", "client left", "deadline over", "repeat window over", "effect in doubt", "endpoint drains", "endpoint gone",
 	"endpoint replaced", "answering", "unread", "call out", "too many calls",
 }
 
-// String names a reason, as logs and metrics have it.
+// String returns the name of a reason, as used in logs and metrics.
 func (r Reason) String() string {
 	if r < NumReasons {
-		return names[r]
+		return reasonNames[r]
 	}
 	return "unknown"
 }
 
-// EndpointSpecific reports whether the reason is where the endpoint stands: elsewhere the attempt may
-// be made.
+// EndpointSpecific reports whether the reason is the status of the endpoint: on another one the
+// attempt may be made.
 func (r Reason) EndpointSpecific() bool {
 	return r == EndpointDraining || r == EndpointRemoved || r == EndpointReplaced
 }
 
-// EndpointStatus is how an endpoint stands in the list that is known.
+// EndpointStatus is the status of an endpoint in the latest known list.
 type EndpointStatus uint8
 
-// The listings. An endpoint is replaced where another process has its id, or it another address.
+// The statuses. An endpoint is replaced if another process has its id or its address has changed.
 const (
 	Active EndpointStatus = iota
 	Draining
@@ -62,16 +62,16 @@
 	Replaced
 )
 
-// Attempt is what is known of an attempt as its first byte is to be written. Times are of one
+// Attempt is what is known of an attempt when its first byte is about to be written. Times are of one
 // monotonic clock.
 type Attempt struct {
 	Now                time.Duration
 	Cancelled          bool
 	ClientDisconnected bool
 	Deadline           time.Duration // nothing is written from then on
-	DedupUntil         time.Duration // the window in which its endpoint drops a repeat ends then; 0: it is none
-	Unsafe             bool          // its effect must not happen twice,
-	MayHaveRun         bool          // and an earlier attempt may have run
+	DedupUntil         time.Duration // end of the window in which its endpoint discards a repeat; 0: it is no repeat
+	Unsafe             bool          // its effect must not happen twice
+	MayHaveRun         bool          // an earlier attempt may have run
 	Endpoint           EndpointStatus
 }
 
@@ -92,14 +92,14 @@
 	return a.Endpoint.reason()
 }
 
-func (l EndpointStatus) reason() Reason {
-	return [...]Reason{Allowed, EndpointDraining, EndpointRemoved, EndpointReplaced}[min(l, Replaced)]
+func (s EndpointStatus) reason() Reason {
+	return [...]Reason{Allowed, EndpointDraining, EndpointRemoved, EndpointReplaced}[min(s, Replaced)]
 }
 
-// Close is what is known of a client's connection as it is to be closed.
+// Close is what is known of a client's connection when it is about to be closed.
 type Close struct {
-	AnswerPending bool // a request was read whole, and its answer is not written yet
-	UnreadData    bool // bytes wait to be read
+	AnswerPending bool // a request was read completely, and its answer is not written yet
+	UnreadData    bool // bytes are waiting to be read
 }
 
 // Check decides whether the connection may be closed.
@@ -113,11 +113,11 @@
 	return Allowed
 }
 
-// Call is what is known as a call to discovery is to begin.
+// Call is what is known when a call to discovery is about to begin.
 type Call struct {
-	InFlight    int  // calls that are out
-	AnyTimely   bool // one of them is not late
-	MaxInFlight int  // that may be out
+	InFlight    int
+	AnyTimely   bool // one of them is not overdue
+	MaxInFlight int
 }
 
 // Check decides whether the call may begin.
