--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,8 +7,8 @@
 	"spokegw/policy"
 )
 
-// A sidecar makes one Balancer, feeds it what happens and carries out the
-// actions that come back.
+// A sidecar creates one Balancer, reports events to it and carries out the
+// actions that it returns.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Classes:       []policy.Class{{Aim: 100 * time.Millisecond, Deadline: time.Second, Effect: policy.Idempotent, Worth: 1}},
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// EndpointID names an endpoint. It tells nothing of kind, zone or age.
+// EndpointID identifies an endpoint. It does not encode kind, zone or age.
 type EndpointID uint32
 
-// Readiness is what discovery says of an endpoint.
+// Readiness is the state of an endpoint as reported by discovery.
 type Readiness uint8
 
 const (
@@ -18,86 +18,86 @@
 	Removed
 )
 
-// Endpoint is one entry of a listing.
+// Endpoint is one entry of a list from discovery.
 type Endpoint struct {
 	ID               EndpointID
 	Kind, Zone, Cell int
 	Readiness        Readiness
 	Started          time.Duration // clock time of the latest start; 0: long ago
-	NominalSize      float64       // size against other endpoints; 0: not told
+	NominalSize      float64       // relative to other endpoints; 0: unknown
 }
 
 const (
-	solvePeriod    = time.Second           // mean time between solutions of Eq. (4): short against a cold ramp
-	failureKeeps   = 0.1                   // of health after one failure: a sparse client can't wait for a second
-	declineKeeps   = 0.2                   // after a request turned away: a full queue passes sooner than health returns
-	known          = 0.5                   // class health up to which a failure of the class tells nothing of the others
-	successHeals   = 0.3                   // part of the lost health an answer gives back
-	dense          = 0.3                   // seconds between outcomes up to which one late answer tells little
-	healthRecovery = 20 * time.Second      // time constant with which an ejected endpoint comes back
-	maxKind        = 63                    // bounds the kinds told apart, against a listing gone wrong
-	reportFresh    = 50 * time.Millisecond // a load report speaks for its server about a service time
-	zoneSlack      = 1.5                   // times as busy a near endpoint may be as the far one drawn with it
-	keptFavour     = 9.0                   // of a tie, for whom a connection is kept
-	cheapCrossing  = 0.015                 // price of a crossing up to which the less busy endpoint is worth more than a near one
+	splitPeriod         = time.Second           // mean time between solutions of Eq. (4): short against a cold ramp
+	healthAfterFailure  = 0.1                   // factor on health: a client with little traffic can't wait for a second failure
+	healthAfterDecline  = 0.2                   // factor on health after a declined request: a full queue drains sooner than health recovers
+	classFaultThreshold = 0.5                   // class health up to which a failure of the class says nothing about the other classes
+	successRecovery     = 0.3                   // fraction of the lost health that an answer restores
+	denseInterval       = 0.3                   // seconds between outcomes up to which one late answer says little
+	healthRecovery      = 20 * time.Second      // time constant with which an ejected endpoint recovers
+	maxKind             = 63                    // bounds the number of kinds, against an invalid list
+	reportLifetime      = 50 * time.Millisecond // a load report describes its server for about one service time
+	zoneSlack           = 1.5                   // a near endpoint may be this many times as busy as the far one drawn with it
+	keptConnectionBias  = 9.0                   // additional weight in a tie of an endpoint with a kept connection
+	cheapZoneCrossing   = 0.015                 // price of a crossing up to which the less busy endpoint is worth more than a near one
 )
 
 // server is what this client knows of one endpoint.
 type server struct {
 	Endpoint
-	inFlight              int
-	listed, probing       bool          // probing: a probe is out
-	standing                            // of all classes
-	classes               []standing    // of each: what fails may be one class's alone
-	weight, chance, rank  float64       // w in [0,1] by readiness, cold ramp and health; of one draw: w * p_i*/k_i; scratch of chooseByKey
-	load                  float64       // requests held, as reported
-	bucket                tokenBucket   // while it is cold
-	loadAt, kept, through time.Duration // kept: until then a connection to it may rest; through: the latest start of what it answered
+	inFlight                                     int
+	listed, probing                              bool          // probing: a probe is in flight
+	health                                                     // over all classes
+	classHealth                                  []health      // by class: a failure may concern one class only
+	weight, chance, rank                         float64       // by readiness, cold ramp, health and size; of one draw: weight * p_i*/k_i; scratch space of drawPairByKey
+	reportedLoad                                 float64       // number of requests in it, as reported
+	bucket                                       tokenBucket   // used while it is cold
+	reportedAt, connectionUntil, lastServedStart time.Duration // connectionUntil: a connection to it may be idle until then; lastServedStart: the latest start of an attempt that it served
 }
 
-// standing is what the outcomes so far tell against an endpoint.
-type standing struct {
-	lost   float64 // of health, right after the latest outcome; recovers with time
-	judged time.Duration
+// health is what the outcomes of an endpoint so far have cost it.
+type health struct {
+	deficit   float64 // right after the latest outcome; recovers with time
+	updatedAt time.Duration
 }
 
-// fleet is the membership with its weights, kind split and draw table.
+// fleet is the set of endpoints with their weights, the split over kinds and the draw table.
 type fleet struct {
-	byID           map[EndpointID]*server
-	servers        []*server // by ID, so that equal events give equal draws
-	kinds          []kindSpeed
-	share          []float64 // p_i*, the solution of Eq. (4)
-	table, ranked  []*server // servers with a chance, in order; scratch of chooseByKey
-	stale          bool      // membership or health changed since the table was built
-	solveAt        time.Duration
-	crossing       bool // crossing zones has a price
-	zone           int  // of the client
-	classes, class int  // how many; that of share and table
-	served         mean // part of the attempts that were served
-	slowStart      slowStart
-	cells          [maxKind + 1]mean // log of answer times over those of their kinds
+	byID                   map[EndpointID]*server
+	servers                []*server // by ID, so that equal events give equal draws
+	kinds                  []kindSpeed
+	kindShares             []float64 // p_i*, the solution of Eq. (4)
+	drawTable, ranked      []*server // servers with a chance above 0, in order; scratch space of drawPairByKey
+	stale                  bool      // membership or health has changed since the table was built
+	nextSplit              time.Duration
+	crossingPriced         bool // crossing zones has a price that counts
+	zone                   int  // of the client
+	numClasses, tableClass int  // number of classes; the class that kindShares and drawTable are for
+	servedRatio            mean // fraction of the attempts that were served
+	slowStart              slowStart
+	cellSlowness           [maxKind + 1]mean // log of answer times over those of their kinds
 }
 
-func newFleet(set *Settings) fleet {
-	return fleet{byID: map[EndpointID]*server{}, stale: true, served: mean{1, 1}, zone: set.Zone, classes: len(set.Classes), crossing: set.Prices.CrossZone > cheapCrossing}
+func newFleet(settings *Settings) fleet {
+	return fleet{byID: map[EndpointID]*server{}, stale: true, servedRatio: mean{1, 1}, zone: settings.Zone, numClasses: len(settings.Classes), crossingPriced: settings.Prices.CrossZone > cheapZoneCrossing}
 }
 
-// update applies a listing; the gone are forgotten once nothing is in flight.
-func (f *fleet) update(now time.Duration, list []Endpoint, whole bool, random func() float64) {
+// update applies a list from discovery. Removed endpoints are dropped once no attempt is in flight.
+func (f *fleet) update(now time.Duration, list []Endpoint, full bool, random func() float64) {
 	for _, s := range f.servers {
-		s.listed = s.listed && !whole
+		s.listed = s.listed && !full
 	}
 	for _, e := range list {
 		e.Kind = min(max(e.Kind, 0), maxKind)
-		if !usable(e.NominalSize) {
+		if !positiveFinite(e.NominalSize) {
 			e.NominalSize = 1
 		}
 		s := f.byID[e.ID]
 		if s == nil {
-			s = &server{loadAt: -reportFresh - 1, bucket: f.slowStart.newBucket(now, random)}
+			s = &server{reportedAt: -reportLifetime - 1, bucket: f.slowStart.newBucket(now, random)}
 			f.byID[e.ID], f.servers = s, append(f.servers, s)
 		} else if e.Started != s.Started {
-			s.standing, s.classes = standing{}, nil // a new process owes nothing for the old one's faults
+			s.health, s.classHealth = health{}, nil // a new process doesn't inherit the failures of the old one
 			s.bucket = f.slowStart.newBucket(now, random)
 		}
 		s.Endpoint, s.listed = e, e.Readiness != Removed
@@ -111,168 +111,170 @@
 		return true
 	})
 	slices.SortFunc(f.servers, func(a, b *server) int { return int(int64(a.ID) - int64(b.ID)) })
-	f.growKinds()
+	f.updateKinds()
 	f.stale = true
 }
 
-// growKinds makes room for the kinds listed, with mean nominal sizes as priors.
-func (f *fleet) growKinds() {
+// updateKinds extends the kinds to those listed, with mean nominal sizes as priors.
+func (f *fleet) updateKinds() {
 	sizes := make([]mean, maxKind+1)
 	for _, s := range f.servers {
 		for len(f.kinds) <= s.Kind {
-			f.kinds = append(f.kinds, kindSpeed{prior: 1, fit: make([]mean, f.classes)})
+			f.kinds = append(f.kinds, kindSpeed{prior: 1, classFit: make([]mean, f.numClasses)})
 		}
 		sizes[s.Kind].add(s.NominalSize, math.Inf(1))
 		f.kinds[s.Kind].prior = sizes[s.Kind].value
 	}
 }
 
-// observe takes the outcome of an attempt into the endpoint's health, of which keeps is left; 1: it
-// was served. Failure answered: half of the endpoints may be silent to one class and serve the others.
-func (f *fleet) observe(s *server, class int, now time.Duration, keeps float64) {
-	s.classes = grown(s.classes, class+1)
-	told := s.classes[class].at(now) <= known
-	f.stale = f.stale || keeps < 1 || s.healthAt(now, class) < 1
-	s.classes[class].observe(now, keeps)
-	if keeps == 1 || !told {
-		s.observe(now, keeps)
+// recordOutcome updates the endpoint's health with the outcome of an attempt, after which retained of it is left;
+// 1: it was served. A failure of a class that is already known to fail there counts for that class only, since
+// endpoints may be silent to one class and serve the others.
+func (f *fleet) recordOutcome(s *server, class int, now time.Duration, retained float64) {
+	s.classHealth = growTo(s.classHealth, class+1)
+	knownFault := s.classHealth[class].healthLevel(now) <= classFaultThreshold
+	f.stale = f.stale || retained < 1 || s.healthFor(now, class) < 1
+	s.classHealth[class].record(now, retained)
+	if retained == 1 || !knownFault {
+		s.record(now, retained)
 	}
 }
 
-func (t *standing) observe(now time.Duration, keeps float64) {
-	lost := 1 - t.at(now)*keeps
-	*t = standing{lost * (1 - successHeals*indicator(keeps == 1)), now}
+func (h *health) record(now time.Duration, retained float64) {
+	deficit := 1 - h.healthLevel(now)*retained
+	*h = health{deficit * (1 - successRecovery*indicator(retained == 1)), now}
 }
 
-// lateKeeps is what a late attempt leaves of health. Failure answered: near capacity some are late
-// everywhere; nine tenths each pushed the others over in turn. Harm: bursts at one that fell silent.
-func (s *server) lateKeeps(now time.Duration, class int) float64 {
-	last := grown(s.classes, class+1)[class].judged
-	return math.Max(failureKeeps, (1-successHeals)*math.Exp((last-now).Seconds()/dense)*indicator(last > 0))
+// healthAfterLate is the factor on health for a late attempt. It is mild soon after another outcome: near capacity
+// some answers are late everywhere, and with a loss of nine tenths for each, ejected endpoints overloaded the others
+// in turn. The cost: bursts to an endpoint that has become silent.
+func (s *server) healthAfterLate(now time.Duration, class int) float64 {
+	lastUpdate := growTo(s.classHealth, class+1)[class].updatedAt
+	return math.Max(healthAfterFailure, (1-successRecovery)*math.Exp((lastUpdate-now).Seconds()/denseInterval)*indicator(lastUpdate > 0))
 }
 
-// at is the health now: what the latest outcome left, recovering.
-func (t *standing) at(now time.Duration) float64 {
-	if t.lost <= 0.01 {
+// healthLevel is the current health: what the latest outcome left, recovering.
+func (h *health) healthLevel(now time.Duration) float64 {
+	if h.deficit <= 0.01 {
 		return 1
 	}
-	return 1 - t.lost*math.Exp(-(now-t.judged).Seconds()/healthRecovery.Seconds())
+	return 1 - h.deficit*math.Exp(-(now-h.updatedAt).Seconds()/healthRecovery.Seconds())
 }
 
-// healthAt is the health for requests of a class.
-func (s *server) healthAt(now time.Duration, class int) float64 {
-	if class >= len(s.classes) {
-		return s.at(now)
+// healthFor is the health for requests of a class.
+func (s *server) healthFor(now time.Duration, class int) float64 {
+	if class >= len(s.classHealth) {
+		return s.healthLevel(now)
 	}
-	return math.Min(s.at(now), s.classes[class].at(now))
+	return math.Min(s.healthLevel(now), s.classHealth[class].healthLevel(now))
 }
 
-// proven reports whether a request of the class was served of late.
-func (s *server) proven(now time.Duration, class int) bool {
-	return class < len(s.classes) && now-s.classes[class].judged < healthRecovery && s.healthAt(now, class) > known
+// servedRecently reports whether a request of the class was served recently.
+func (s *server) servedRecently(now time.Duration, class int) bool {
+	return class < len(s.classHealth) && now-s.classHealth[class].updatedAt < healthRecovery && s.healthFor(now, class) > classFaultThreshold
 }
 
-// warmth is the share of its capacity an endpoint is sure to have by now.
-func (s *server) warmth(now time.Duration, set *Settings) float64 {
+// warmth is the fraction of its capacity that an endpoint is certain to have by now.
+func (s *server) warmth(now time.Duration, settings *Settings) float64 {
 	age := now - s.Started
-	if s.Started <= 0 || age >= set.WarmupTime {
+	if s.Started <= 0 || age >= settings.WarmupTime {
 		return 1
 	}
-	return set.StartCapacity + (1-set.StartCapacity)*math.Max(0, age.Seconds()/set.WarmupTime.Seconds())
+	return settings.StartCapacity + (1-settings.StartCapacity)*math.Max(0, age.Seconds()/settings.WarmupTime.Seconds())
 }
 
 // refresh rebuilds weights, split and draw table for a class where due, and reports whether it did.
-func (f *fleet) refresh(now time.Duration, set *Settings, class int, rate float64, jitter func() float64) bool {
-	if now < f.solveAt && !f.stale && class == f.class {
+func (f *fleet) refresh(now time.Duration, settings *Settings, class int, rate float64, random func() float64) bool {
+	if now < f.nextSplit && !f.stale && class == f.tableClass {
 		return false
 	}
-	k := f.weigh(now, set, class)
+	k := f.computeWeights(now, settings, class)
 	mu := make([]float64, len(f.kinds))
 	for i := range mu {
-		mu[i] = f.kinds[i].at(class)
+		mu[i] = f.kinds[i].forClass(class)
 	}
-	f.solveAt = now + time.Duration(float64(solvePeriod)*(0.5+jitter()))
-	f.class, f.stale, f.share = class, false, splitKinds(k, mu, rate)
-	f.tabulate(k)
+	f.nextSplit = now + time.Duration(float64(splitPeriod)*(0.5+random()))
+	f.tableClass, f.stale, f.kindShares = class, false, splitKinds(k, mu, rate)
+	f.buildDrawTable(k)
 	return true
 }
 
-// weigh sets every endpoint's weight, by its size beside its kind's, and returns k_i, their sum by kind.
-func (f *fleet) weigh(now time.Duration, set *Settings, class int) []float64 {
-	f.growKinds()
+// computeWeights sets every endpoint's weight, by its size relative to its kind's, and returns k_i, their sum by kind.
+func (f *fleet) computeWeights(now time.Duration, settings *Settings, class int) []float64 {
+	f.updateKinds()
 	k := make([]float64, len(f.kinds))
 	for _, s := range f.servers {
 		s.weight = 0
-		if s.usable() {
-			cell := math.Min(math.Exp(-f.cells[s.Cell&maxKind].shrunk()), 1) // what it shares may run short for all of it
-			s.weight = s.healthAt(now, class) * s.warmth(now, set) * cell * s.NominalSize / f.kinds[s.Kind].prior
+		if s.acceptsRequests() {
+			cell := math.Min(math.Exp(-f.cellSlowness[s.Cell&maxKind].shrunk()), 1) // a resource that the cell shares may run short for all of it
+			s.weight = s.healthFor(now, class) * s.warmth(now, settings) * cell * s.NominalSize / f.kinds[s.Kind].prior
 			k[s.Kind] += s.weight
 		}
 	}
 	return k
 }
 
-// usable reports whether new requests may go to the server.
-func (s *server) usable() bool { return s.listed && s.Readiness == Ready }
+// acceptsRequests reports whether new requests may go to the server.
+func (s *server) acceptsRequests() bool { return s.listed && s.Readiness == Ready }
 
-// tabulate lays out the chances w * p_i*/k_i for drawing.
-func (f *fleet) tabulate(k []float64) {
-	f.table = f.table[:0]
+// buildDrawTable sets the chances w * p_i*/k_i for drawing.
+func (f *fleet) buildDrawTable(k []float64) {
+	f.drawTable = f.drawTable[:0]
 	for _, s := range f.servers {
-		s.chance = s.weight * f.share[s.Kind] / math.Max(k[s.Kind], math.SmallestNonzeroFloat64)
+		s.chance = s.weight * f.kindShares[s.Kind] / math.Max(k[s.Kind], math.SmallestNonzeroFloat64)
 		if s.chance > 0 {
-			f.table = append(f.table, s)
+			f.drawTable = append(f.drawTable, s)
 		}
 	}
 }
 
-// choose is the two-choice draw among the servers that ok admits; b, or both,
-// are nil where there are not so many. near confines the first to the own zone.
-func (f *fleet) choose(random func() float64, near bool, ok func(*server) bool) (a, b *server) {
-	if near && f.crossing {
-		a = f.scan(random, func(s *server) bool { return s.Zone == f.zone && ok(s) })
+// drawPair draws two of the eligible servers; b, or both, are nil if there are not enough.
+// preferNear draws the first from the client's own zone where possible.
+func (f *fleet) drawPair(random func() float64, preferNear bool, eligible func(*server) bool) (a, b *server) {
+	if preferNear && f.crossingPriced {
+		a = f.drawOne(random, func(s *server) bool { return s.Zone == f.zone && eligible(s) })
 	}
 	if a == nil {
-		a = f.scan(random, ok)
+		a = f.drawOne(random, eligible)
 	}
-	return a, f.scan(random, func(s *server) bool { return s != a && ok(s) })
+	return a, f.drawOne(random, func(s *server) bool { return s != a && eligible(s) })
 }
 
-// better takes the server with fewer in flight, ties by group probability. Fresh reports of both count instead, per speed.
-func (f *fleet) better(a, b *server, now time.Duration, random func() float64) *server {
-	la, lb := float64(a.inFlight), float64(b.inFlight)
-	if a.reported(now) && b.reported(now) {
-		la, lb = (a.load+1)/f.kinds[a.Kind].value(), (b.load+1)/f.kinds[b.Kind].value()
+// preferred returns the server with fewer requests in flight, ties by chance. If both have fresh reports, these count instead, over speed.
+func (f *fleet) preferred(a, b *server, now time.Duration, random func() float64) *server {
+	loadA, loadB := float64(a.inFlight), float64(b.inFlight)
+	if a.hasFreshReport(now) && b.hasFreshReport(now) {
+		loadA, loadB = (a.reportedLoad+1)/f.kinds[a.Kind].value(), (b.reportedLoad+1)/f.kinds[b.Kind].value()
 	}
-	// Failure answered: queues that held the probes too were joined unseen.
+	// A queue that delays a probe as well must not be taken for an empty one.
 	switch {
-	case b.probing && !a.probing, a.reported(now) && !a.busy(now) && !b.reported(now):
-		return a // the other's probe is still out, or this one was idle
+	case b.probing && !a.probing, a.hasFreshReport(now) && !a.reportsLoad(now) && !b.hasFreshReport(now):
+		return a // the other's probe is still in flight, or this one was idle
 	case a.probing && !b.probing:
 		return b
 	}
-	if f.crossing && a.Zone != f.zone && b.Zone == f.zone {
-		a, b, la, lb = b, a, lb, la
+	if f.crossingPriced && a.Zone != f.zone && b.Zone == f.zone {
+		a, b, loadA, loadB = b, a, loadB, loadA
 	}
-	if f.crossing && a.Zone == f.zone && b.Zone != f.zone { // near ones win ties and small leads
-		lb = lb*zoneSlack + math.SmallestNonzeroFloat32
+	if f.crossingPriced && a.Zone == f.zone && b.Zone != f.zone { // the near server wins ties and small leads
+		loadB = loadB*zoneSlack + math.SmallestNonzeroFloat32
 	}
-	// Failure answered: 80 clients each with little traffic opened a connection for one request in three.
-	pa, pb := a.chance*(1+keptFavour*indicator(a.kept > now)), b.chance*(1+keptFavour*indicator(b.kept > now))
-	if la < lb || la == lb && random()*(pa+pb) < pa {
+	// Without this bias 80 clients with little traffic opened a connection for one request in three.
+	weightA, weightB := a.chance*(1+keptConnectionBias*indicator(a.connectionUntil > now)), b.chance*(1+keptConnectionBias*indicator(b.connectionUntil > now))
+	if loadA < loadB || loadA == loadB && random()*(weightA+weightB) < weightA {
 		return a
 	}
 	return b
 }
 
-func (s *server) reported(now time.Duration) bool { return now-s.loadAt <= reportFresh }
+func (s *server) hasFreshReport(now time.Duration) bool { return now-s.reportedAt <= reportLifetime }
 
-// scan draws one of the fitting servers.
-func (f *fleet) scan(random func() float64, ok func(*server) bool) *server {
+// drawOne draws one of the eligible servers.
+func (f *fleet) drawOne(random func() float64, eligible func(*server) bool) *server {
 	var pick *server
 	sum := 0.0
-	for _, s := range f.table {
-		if ok(s) {
+	for _, s := range f.drawTable {
+		if eligible(s) {
 			sum += s.chance
 			if random()*sum < s.chance {
 				pick = s
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// settings gives a fleet's usual settings for tests to change.
-func settings() Settings {
+// testSettings returns a fleet's usual settings for tests to change.
+func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
 			{Aim: 100 * ms, Deadline: 400 * ms, Effect: Idempotent, Worth: 1, LateWorth: 0.5},
@@ -27,181 +27,181 @@
 	}
 }
 
-func start(t *testing.T, set Settings) *Balancer {
+func newBalancer(t *testing.T, settings Settings) *Balancer {
 	t.Helper()
-	b, err := New(set, 1)
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-// ledger checks actions against the rules as the protocol words them,
-// independently of the module's own bookkeeping.
-type ledger struct {
+// ruleChecker checks actions against the rules of the protocol, independently of the
+// module's own bookkeeping.
+type ruleChecker struct {
 	t         *testing.T
-	set       Settings
+	settings  Settings
 	now       time.Duration
 	endpoints map[EndpointID]Endpoint
-	open      map[RequestID]*entry
-	timers    []timer
+	open      map[RequestID]*checkedRequest
+	timers    []pendingTimer
 	probes    []EndpointID
 	sent      int
 	refused   int
 }
 
-type entry struct {
+type checkedRequest struct {
 	Request
-	due      time.Duration
-	done     bool
-	attempts []entryAttempt
+	deadline time.Duration
+	answered bool
+	attempts []checkedAttempt
 }
 
-type entryAttempt struct {
-	to   Endpoint
-	at   time.Duration
-	open bool
-	ran  bool
+type checkedAttempt struct {
+	to         Endpoint
+	at         time.Duration
+	open       bool
+	mayHaveRun bool
 }
 
-type timer struct {
-	at    time.Duration
+type pendingTimer struct {
+	due   time.Duration
 	token Token
 }
 
-func (l *ledger) take(actions []Action) {
-	l.t.Helper()
+func (checker *ruleChecker) check(actions []Action) {
+	checker.t.Helper()
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			l.send(a)
+			checker.checkSend(a)
 		case Refuse:
-			l.refused++
-			r := l.end(a.Request)
-			c := l.set.Classes[r.Class]
-			if r.mayRun() && !(c.Effect == Idempotent || c.Effect == Keyed && c.Scope == ScopeAll) {
-				l.t.Fatalf("refused %d, which may have run", a.Request)
+			checker.refused++
+			r := checker.endRequest(a.Request)
+			c := checker.settings.Classes[r.Class]
+			if r.mayHaveRun() && !(c.Effect == Idempotent || c.Effect == Keyed && c.Scope == ScopeAll) {
+				checker.t.Fatalf("refused %d, which may have run", a.Request)
 			}
 		case Fail:
-			l.end(a.Request)
+			checker.endRequest(a.Request)
 		case Cancel:
-			if !l.set.Cancel || a.Attempt >= len(l.open[a.Request].attempts) {
-				l.t.Fatalf("illegal %+v", a)
+			if !checker.settings.Cancel || a.Attempt >= len(checker.open[a.Request].attempts) {
+				checker.t.Fatalf("invalid action %+v", a)
 			}
 		case Probe:
-			if !l.set.MayProbe {
-				l.t.Fatal("probed where that is not allowed")
+			if !checker.settings.MayProbe {
+				checker.t.Fatal("sent a probe though probes are not allowed")
 			}
-			l.probes = append(l.probes, a.Endpoint)
+			checker.probes = append(checker.probes, a.Endpoint)
 		case SetTimer:
-			l.timers = append(l.timers, timer{l.now + a.Delay, a.Token})
+			checker.timers = append(checker.timers, pendingTimer{checker.now + a.Delay, a.Token})
 		}
 	}
 }
 
-func (e *entry) mayRun() bool {
-	return slices.ContainsFunc(e.attempts, func(a entryAttempt) bool { return a.open || a.ran })
+func (e *checkedRequest) mayHaveRun() bool {
+	return slices.ContainsFunc(e.attempts, func(a checkedAttempt) bool { return a.open || a.mayHaveRun })
 }
 
-func (l *ledger) end(id RequestID) *entry {
-	l.t.Helper()
-	r := l.open[id]
-	if r == nil || r.done {
-		l.t.Fatalf("second final answer to %d", id)
+func (checker *ruleChecker) endRequest(id RequestID) *checkedRequest {
+	checker.t.Helper()
+	r := checker.open[id]
+	if r == nil || r.answered {
+		checker.t.Fatalf("second final answer to %d", id)
 	}
-	r.done = true
+	r.answered = true
 	return r
 }
 
-func (l *ledger) send(a Send) {
-	l.t.Helper()
-	r, to := l.open[a.Request], l.endpoints[a.Endpoint]
-	c := l.set.Classes[r.Class]
+func (checker *ruleChecker) checkSend(a Send) {
+	checker.t.Helper()
+	r, to := checker.open[a.Request], checker.endpoints[a.Endpoint]
+	c := checker.settings.Classes[r.Class]
 	switch {
-	case r.done:
-		l.t.Fatalf("sent %d after its answer", a.Request)
+	case r.answered:
+		checker.t.Fatalf("sent request %d after its answer", a.Request)
 	case to.ID != a.Endpoint || to.Readiness != Ready:
-		l.t.Fatalf("sent to %d, which is not ready", a.Endpoint)
-	case len(r.attempts) >= l.set.MaxAttempts:
-		l.t.Fatal("attempt past the cap")
-	case c.Effect == Unsafe && r.mayRun():
-		l.t.Fatal("unsafe request sent again though it may have run")
+		checker.t.Fatalf("sent to endpoint %d, which is not ready", a.Endpoint)
+	case len(r.attempts) >= checker.settings.MaxAttempts:
+		checker.t.Fatal("more attempts than MaxAttempts")
+	case c.Effect == Unsafe && r.mayHaveRun():
+		checker.t.Fatal("unsafe request retried though it may have run")
 	}
 	for _, b := range r.attempts {
 		shared := c.Scope == ScopeAll || c.Scope == ScopeZone && b.to.Zone == to.Zone || c.Scope == ScopeCell && b.to.Cell == to.Cell
-		if b.open && !l.set.HedgedAttempts {
-			l.t.Fatal("two attempts out")
+		if b.open && !checker.settings.HedgedAttempts {
+			checker.t.Fatal("two attempts are open")
 		}
-		if c.Effect == Keyed && (b.open || b.ran) && (!shared || l.now > b.at+c.DedupWindow) {
-			l.t.Fatal("keyed request sent where its repeat may run")
+		if c.Effect == Keyed && (b.open || b.mayHaveRun) && (!shared || checker.now > b.at+c.DedupWindow) {
+			checker.t.Fatal("keyed request retried where the repeat may run")
 		}
 	}
-	r.attempts = append(r.attempts, entryAttempt{to: to, at: l.now, open: true})
-	l.sent++
+	r.attempts = append(r.attempts, checkedAttempt{to: to, at: checker.now, open: true})
+	checker.sent++
 }
 
-// TestRulesHoldOnRandomEvents plays seeded random sequences of legal events
+// TestRulesHoldOnRandomEvents runs seeded random sequences of legal events
 // and checks every action.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandom(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomEvents(t, seed) })
 	}
 }
 
-func playRandom(t *testing.T, seed uint64) *ledger {
+func runRandomEvents(t *testing.T, seed uint64) *ruleChecker {
 	rng := rand.New(rand.NewPCG(seed, 99))
-	set := settings()
-	set.DiscoveryOnRequest, set.Cancel, set.HedgedAttempts = seed%2 == 0, seed%3 > 0, seed%5 == 0
-	set.WarmKeys = seed%4 == 0
+	settings := testSettings()
+	settings.DiscoveryOnRequest, settings.Cancel, settings.HedgedAttempts = seed%2 == 0, seed%3 > 0, seed%5 == 0
+	settings.WarmKeys = seed%4 == 0
 	if seed%3 == 0 {
-		set.Tenants = nil
+		settings.Tenants = nil
 	}
 	if seed%2 == 1 {
-		set.MayProbe, set.ReportFields = true, []ReportField{FieldRate, FieldInFlight}
-		set.Prices = Prices{CrossZone: 0.01 * float64(seed%4), Probe: 0.01 * float64(seed%3)}
+		settings.MayProbe, settings.ReportFields = true, []ReportField{FieldRate, FieldInFlight}
+		settings.Prices = Prices{CrossZone: 0.01 * float64(seed%4), Probe: 0.01 * float64(seed%3)}
 	}
-	b := start(t, set)
-	l := &ledger{t: t, set: set, now: 1000 * ms, endpoints: map[EndpointID]Endpoint{}, open: map[RequestID]*entry{}}
-	var order []*entry
-	relist := func(whole bool) {
+	b := newBalancer(t, settings)
+	checker := &ruleChecker{t: t, settings: settings, now: 1000 * ms, endpoints: map[EndpointID]Endpoint{}, open: map[RequestID]*checkedRequest{}}
+	var order []*checkedRequest
+	relist := func(full bool) {
 		var list []Endpoint
 		for id := EndpointID(1); id <= 12; id++ {
-			if !whole && rng.IntN(3) > 0 || whole && rng.IntN(8) == 0 {
+			if !full && rng.IntN(3) > 0 || full && rng.IntN(8) == 0 {
 				continue
 			}
 			list = append(list, Endpoint{ID: id, Kind: int(id) % 3, Zone: int(id) % 2, Cell: int(id) % 4,
 				Readiness: []Readiness{Ready, Ready, Ready, Draining, Removed}[rng.IntN(5)],
-				Started:   time.Duration(rng.IntN(3)) * l.now / 2})
+				Started:   time.Duration(rng.IntN(3)) * checker.now / 2})
 		}
-		if whole {
-			l.endpoints = map[EndpointID]Endpoint{}
+		if full {
+			checker.endpoints = map[EndpointID]Endpoint{}
 		}
 		for _, e := range list {
-			l.endpoints[e.ID] = e
+			checker.endpoints[e.ID] = e
 		}
-		l.take(b.Endpoints(l.now, list, whole))
+		checker.check(b.Endpoints(checker.now, list, full))
 	}
 	relist(true)
-	finish := func(e *entry, i int, res Result) {
+	finish := func(e *checkedRequest, i int, res Result) {
 		a := &e.attempts[i]
-		a.open, a.ran = false, !res.NeverRan()
-		complete := e.done || res == Served
-		e.done = complete
-		l.take(b.Outcome(l.now, Outcome{Request: e.ID, Attempt: i, Endpoint: a.to.ID, Result: res, Complete: complete, Elapsed: l.now - a.at}))
+		a.open, a.mayHaveRun = false, !res.NeverRan()
+		complete := e.answered || res == Served
+		e.answered = complete
+		checker.check(b.Outcome(checker.now, Outcome{Request: e.ID, Attempt: i, Endpoint: a.to.ID, Result: res, Complete: complete, Elapsed: checker.now - a.at}))
 	}
 	for id := RequestID(1); id < 800; id++ {
-		l.now += time.Duration(rng.IntN(8000)) * time.Microsecond
-		for i := 0; i < len(l.timers); i++ {
-			if tm := l.timers[i]; tm.at <= l.now {
-				l.timers = slices.Delete(l.timers, i, i+1)
+		checker.now += time.Duration(rng.IntN(8000)) * time.Microsecond
+		for i := 0; i < len(checker.timers); i++ {
+			if tm := checker.timers[i]; tm.due <= checker.now {
+				checker.timers = slices.Delete(checker.timers, i, i+1)
 				i--
-				l.take(b.Timer(l.now, tm.token))
+				checker.check(b.Timer(checker.now, tm.token))
 			}
 		}
-		for len(l.probes) > 0 && rng.IntN(4) > 0 {
-			p := ProbeResult{Endpoint: l.probes[0], Result: Result(rng.IntN(3)), Report: []float64{rng.Float64() * 50, rng.Float64() * 10}}
-			l.probes = l.probes[1:]
-			l.take(b.Probed(l.now, p))
+		for len(checker.probes) > 0 && rng.IntN(4) > 0 {
+			p := ProbeResult{Endpoint: checker.probes[0], Result: Result(rng.IntN(3)), Report: []float64{rng.Float64() * 50, rng.Float64() * 10}}
+			checker.probes = checker.probes[1:]
+			checker.check(b.Probed(checker.now, p))
 		}
 		for _, e := range order {
 			for i := range e.attempts {
@@ -209,18 +209,18 @@
 					continue
 				}
 				switch {
-				case l.now >= e.due:
+				case checker.now >= e.deadline:
 					finish(e, i, NoAnswer)
 				case rng.IntN(6) == 0:
 					finish(e, i, Result(rng.IntN(int(NotSent)+1)))
 				}
 			}
-			if !e.done && l.now > e.due+5*ms {
+			if !e.answered && checker.now > e.deadline+5*ms {
 				t.Fatalf("request %d has no answer at its deadline", e.ID)
 			}
 		}
-		order = slices.DeleteFunc(order, func(e *entry) bool {
-			return e.done && !slices.ContainsFunc(e.attempts, func(a entryAttempt) bool { return a.open })
+		order = slices.DeleteFunc(order, func(e *checkedRequest) bool {
+			return e.answered && !slices.ContainsFunc(e.attempts, func(a checkedAttempt) bool { return a.open })
 		})
 		switch rng.IntN(40) {
 		case 0:
@@ -228,32 +228,32 @@
 		case 1:
 			relist(false)
 		case 2:
-			l.take(b.DiscoveryFailed(l.now))
+			checker.check(b.DiscoveryFailed(checker.now))
 		case 3:
-			if len(order) > 0 && !order[0].done {
-				order[0].done = true
-				l.take(b.ClientDisconnected(l.now, order[0].ID))
+			if len(order) > 0 && !order[0].answered {
+				order[0].answered = true
+				checker.check(b.ClientDisconnected(checker.now, order[0].ID))
 			}
 		}
 		q := Request{ID: id, Class: rng.IntN(5), Tenant: rng.IntN(2), TimeLeft: time.Duration(20+rng.IntN(300)) * ms, Key: fmt.Sprint("k", rng.IntN(9))}
-		e := &entry{Request: q, due: l.now + q.TimeLeft}
-		l.open[id] = e
+		e := &checkedRequest{Request: q, deadline: checker.now + q.TimeLeft}
+		checker.open[id] = e
 		order = append(order, e)
-		l.take(b.Request(l.now, q))
+		checker.check(b.Request(checker.now, q))
 	}
-	if l.sent < 20 {
-		t.Fatalf("only %d attempts were sent: the sequence shows nothing", l.sent)
+	if checker.sent < 20 {
+		t.Fatalf("only %d attempts were sent, too few for the test", checker.sent)
 	}
 	if n := len(b.requests); n > 120 {
-		t.Fatalf("%d requests are still remembered", n)
+		t.Fatalf("%d requests are still open", n)
 	}
-	return l
+	return checker
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	run := func() (all [][]Action) {
-		b := start(t, settings())
-		all = append(all, slices.Clone(b.Endpoints(ms, fleetOf(9), true)))
+		b := newBalancer(t, testSettings())
+		all = append(all, slices.Clone(b.Endpoints(ms, endpointList(9), true)))
 		for i := range 200 {
 			now := time.Duration(i) * 10 * ms
 			all = append(all, slices.Clone(b.Request(now, Request{ID: RequestID(i), Class: i % 5, TimeLeft: 300 * ms})))
@@ -265,15 +265,15 @@
 	}
 }
 
-// fleetOf lists n ready endpoints of two kinds.
-func fleetOf(n int) (list []Endpoint) {
+// endpointList lists n ready endpoints of two kinds.
+func endpointList(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{ID: EndpointID(i + 1), Kind: i % 2, Cell: i / 3})
 	}
 	return list
 }
 
-func TestBadSettingsAreNamed(t *testing.T) {
+func TestInvalidSettingsAreNamed(t *testing.T) {
 	cases := map[string]func(*Settings){
 		"classes":        func(s *Settings) { s.Classes = nil },
 		"fleet_size":     func(s *Settings) { s.FleetSize = 0 },
@@ -284,10 +284,10 @@
 		"fall_multiple":  func(s *Settings) { s.OverloadMultiple = -1 },
 		"fall_ms":        func(s *Settings) { s.OverloadTime = -1 },
 	}
-	for name, spoil := range cases {
-		set := settings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil || !contains(err.Error(), name) {
+	for name, invalidate := range cases {
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := New(settings, 1); err == nil || !contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
@@ -302,8 +302,8 @@
 	return false
 }
 
-func TestOddRequestsAreAnsweredAtOnce(t *testing.T) {
-	b := start(t, settings())
+func TestEdgeCaseRequestsAreAnsweredAtOnce(t *testing.T) {
+	b := newBalancer(t, testSettings())
 	good := Request{TimeLeft: 100 * ms}
 	answer := func(name string, q Request) {
 		t.Helper()
@@ -313,26 +313,26 @@
 		}
 	}
 	answer("no endpoints", good)
-	draining := fleetOf(3)
+	draining := endpointList(3)
 	for i := range draining {
 		draining[i].Readiness = Draining
 	}
 	b.Endpoints(ms, draining, true)
 	answer("all draining", good)
-	b.Endpoints(ms, fleetOf(3), true)
+	b.Endpoints(ms, endpointList(3), true)
 	answer("class out of range", Request{Class: 9, TimeLeft: 100 * ms})
 	answer("negative class", Request{Class: -1, TimeLeft: 100 * ms})
 	answer("no time left", Request{TimeLeft: 0})
 	answer("negative time", Request{TimeLeft: -ms})
-	if got := b.Request(ms, Request{ID: 7, Tenant: 99, TimeLeft: 100 * ms}); !reflect.DeepEqual(typeOf(got), "policy.Send") {
+	if got := b.Request(ms, Request{ID: 7, Tenant: 99, TimeLeft: 100 * ms}); !reflect.DeepEqual(soleActionType(got), "policy.Send") {
 		t.Errorf("tenant out of range: %v", got)
 	}
 }
 
-func typeOf(actions []Action) string {
+func soleActionType(actions []Action) string {
 	actions = slices.DeleteFunc(slices.Clone(actions), func(a Action) bool {
 		s, ok := a.(SetTimer)
-		return ok && s.Token.Purpose == timerLate
+		return ok && s.Token.Purpose == timerOverdue
 	})
 	if len(actions) != 1 {
 		return fmt.Sprint(actions)
@@ -341,24 +341,24 @@
 }
 
 func TestLateResultAndStaleTimerAreIgnored(t *testing.T) {
-	b := start(t, settings())
-	b.Endpoints(ms, fleetOf(4), true)
+	b := newBalancer(t, testSettings())
+	b.Endpoints(ms, endpointList(4), true)
 	to := b.Request(ms, Request{ID: 1, TimeLeft: 100 * ms})[0].(Send).Endpoint
 	b.ClientDisconnected(2*ms, 1)
 	if got := b.Outcome(3*ms, Outcome{Request: 1, Endpoint: to, Result: Served, Complete: true, Elapsed: 2 * ms}); len(got) != 0 {
 		t.Errorf("late result led to %v", got)
 	}
-	if got := b.Timer(4*ms, Token{timerHold, 1}); len(got) != 0 {
+	if got := b.Timer(4*ms, Token{timerProbeWait, 1}); len(got) != 0 {
 		t.Errorf("stale timer led to %v", got)
 	}
 	if len(b.requests) != 0 {
-		t.Error("the request is not forgotten")
+		t.Error("the request was not dropped")
 	}
 }
 
-func TestStreamedRequestIsNeverSentAgain(t *testing.T) {
-	b := start(t, settings())
-	b.Endpoints(ms, fleetOf(4), true)
+func TestStreamingRequestIsNotRetried(t *testing.T) {
+	b := newBalancer(t, testSettings())
+	b.Endpoints(ms, endpointList(4), true)
 	to := b.Request(ms, Request{ID: 1, TimeLeft: 100 * ms})[0].(Send).Endpoint
 	b.StreamStarted(2*ms, 1, 0)
 	if got := b.Outcome(3*ms, Outcome{Request: 1, Endpoint: to, Result: ConnectionLost, Complete: true}); len(got) != 0 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Effect says what repeating a request of a class may do.
+// Effect is what repeating a request of a class may do.
 type Effect uint8
 
 const (
@@ -15,7 +15,7 @@
 	Unsafe                   // must never run twice
 )
 
-// Scope says which endpoints discard repeats of a Keyed request.
+// Scope is the set of endpoints that discard repeats of a Keyed request.
 type Scope uint8
 
 const (
@@ -26,57 +26,57 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Aim         time.Duration // an answer up to here has its full worth
-	Deadline    time.Duration // the client's patience over all its tries
+	Aim         time.Duration // latency target: an answer up to here has its full worth
+	Deadline    time.Duration // the client's timeout over all its tries
 	Effect      Effect
 	Scope       Scope
 	DedupWindow time.Duration
 	Worth       float64
-	LateWorth   float64 // part of Worth that an answer after the aim has
+	LateWorth   float64 // fraction of Worth that an answer after the latency target has
 }
 
-// Tenant describes a party with an agreed fraction of the service.
+// Tenant describes a party with an agreed share of the service.
 type Tenant struct{ Share float64 }
 
-// ReportField names one value of a load report.
+// ReportField is the meaning of one value of a load report.
 type ReportField uint8
 
 const (
 	FieldOther    ReportField = iota // skipped
-	FieldInFlight                    // requests held
+	FieldInFlight                    // requests in the server
 	FieldQueue                       // requests waiting
 	FieldRate                        // requests served per second
 )
 
-// Prices are points of the operator's result per first try; of 100 connections.
+// Prices are in points of the operator's score per first try; those of connections are for 100 of them.
 type Prices struct{ CrossZone, Probe, Connection, Handshake float64 }
 
-// Settings is what an instance is told before its first event.
+// Settings configure an instance.
 type Settings struct {
 	Classes            []Class
 	Tenants            []Tenant
 	FleetSize          int // sidecars that send to the same endpoints
 	Zone               int
-	DiscoveryOnRequest bool          // discovery speaks only when asked
-	PollWithin         time.Duration // unsubscribed and silent for longer counts as told
-	DrainGrace         time.Duration // in which sends to an endpoint cease that drains or is gone; the host counts those after it
-	WarmupTime         time.Duration // a started endpoint is warm after this
-	StartCapacity      float64       // share of its capacity it starts with at least
-	OverloadMultiple   float64       // a cold endpoint falls that all sidecars send this many times what it can do; 0: not told
-	OverloadTime       time.Duration // if they do so for so long; 0: not told
+	DiscoveryOnRequest bool          // discovery sends changes only to a watch that was requested
+	PollWithin         time.Duration // after this time without a watch or a message, a change counts as notified
+	DrainGrace         time.Duration // sends to a draining or removed endpoint must stop within it; the host counts those after it
+	WarmupTime         time.Duration // time after its start from which an endpoint is warm
+	StartCapacity      float64       // minimum fraction of its capacity that an endpoint starts with
+	OverloadMultiple   float64       // a cold endpoint fails if all sidecars together send it this multiple of its capacity; 0: unknown
+	OverloadTime       time.Duration // if they do so for this long; 0: unknown
 	MaxAttempts        int
-	HostRetryBudget    bool // the host holds the retry budgets: what it has no room for ends as NotSent
-	HedgedAttempts     bool // two attempts of a request may be out together
-	Cancel             bool // attempts may be called off
+	HostRetryBudget    bool // the host keeps the retry budgets: what exceeds them ends as NotSent
+	HedgedAttempts     bool // two attempts of a request may be open at once
+	Cancel             bool // attempts may be cancelled
 	MayProbe           bool
 	ReportFields       []ReportField // order of the values in a load report
 	Prices             Prices
-	ConnIdleTimeout    time.Duration // a connection closes after so long without use
+	ConnIdleTimeout    time.Duration // a connection is closed after this long without use
 	WorthByWork        bool          // worth counts per unit of work
-	WarmKeys           bool          // an endpoint that met a key lately serves it with less work
+	WarmKeys           bool          // an endpoint that served a key recently serves it again with less work
 }
 
-// validate names the first field that can't be worked with.
+// validate returns an error that names the first invalid field.
 func (s *Settings) validate() error {
 	for i, c := range s.Classes {
 		if c.Effect > Unsafe || c.Scope > ScopeCell || min(c.Aim, c.Deadline, c.DedupWindow) < 0 {
@@ -85,14 +85,14 @@
 	}
 	for i, n := range [...]int{len(s.Classes), s.FleetSize, s.MaxAttempts} {
 		if n < 1 {
-			return fmt.Errorf("settings: %s: %d, at least 1 is needed", [...]string{"classes", "fleet_size", "send_cap"}[i], n)
+			return fmt.Errorf("settings: %s: %d, want at least 1", [...]string{"classes", "fleet_size", "send_cap"}[i], n)
 		}
 	}
 	if !(s.StartCapacity >= 0 && s.StartCapacity <= 1) {
 		return fmt.Errorf("settings: start_capacity %v is outside 0 to 1", s.StartCapacity)
 	}
 	if !(s.OverloadMultiple >= 0) || math.IsInf(s.OverloadMultiple, 0) || s.OverloadTime < 0 {
-		return fmt.Errorf("settings: fall_multiple %v or fall_ms %v is below 0", s.OverloadMultiple, s.OverloadTime)
+		return fmt.Errorf("settings: fall_multiple %v or fall_ms %v is negative or not finite", s.OverloadMultiple, s.OverloadTime)
 	}
 	return nil
 }
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// mostLines bounds the lines of a file that are not blank: a longer one has more than one job.
-const mostLines = 350
+// maxLines bounds the lines of a file that are not blank: a longer one has more than one purpose.
+const maxLines = 350
 
-// TestModuleSize holds each file of the module to a length, and the policy list to the files
-// that are there.
+// TestModuleSize checks the length of each file of the module, and that the policy list has
+// the files that exist.
 func TestModuleSize(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -38,8 +38,8 @@
 			}
 		}
 		f.Close()
-		if lines == 0 || lines > mostLines {
-			t.Errorf("%s has %d lines that are not blank, 1 to %d are expected", name, lines, mostLines)
+		if lines == 0 || lines > maxLines {
+			t.Errorf("%s has %d lines that are not blank, 1 to %d are expected", name, lines, maxLines)
 		}
 	}
 	files, err := filepath.Glob("*.go")
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,207 +7,210 @@
 )
 
 const (
-	// budgetUsed is the part of what the settings let a cold endpoint be sent that is meant to be
-	// used, and provenUsed that of it for what the endpoint answers itself. The rest of it is for its
-	// part of what others answer; the rest of the whole is for chance, and for what is measured late.
-	budgetUsed, provenUsed = 0.8, 0.4
-	// mostProven is the most of a request that a cold endpoint earns by one that it answers. Near 1
-	// it would be sent all that it can do, however little there is to do.
-	mostProven = 0.8
-	// emptier is how much of its chance an endpoint with next to nothing in flight gets of two that
-	// are drawn, over one that has as little.
-	emptier = 2.0
-	// defaultFallMultiple stands for a multiple that the settings don't tell.
-	defaultFallMultiple = 1.5
-	// baseRatePart is the part of a cold endpoint's ability, as told by the usual answer time, that it is
-	// sent where there are next to no others, and so nothing to learn from.
-	baseRatePart = 0.5
-	// growth is how much more than was answered cold endpoints are sent where there are next to no
-	// others: all of it being answered, they can do more.
-	growth = 0.35
-	// coldShareOrder is the power of the part of the draws that falls to cold endpoints, for coldShare.
-	coldShareOrder = 4.0
-	// mostlyCold is the coldShare from which cold endpoints tell for all: two thirds of the draws are theirs.
-	mostlyCold = 0.2
-	// fewWarm is the part of the latest warmMemory answers below which warm endpoints are taken to hang.
-	fewWarm, warmMemory = 0.1, 16.0
-	// someTardy is the part of answers that come late from which the others have little room.
-	someTardy = tardyFree / 2
-	// promptPart is the part of a class's aim in which a request is answered where nothing is known.
-	promptPart = 0.25
-	// endpointBurst bounds what is saved up for cold endpoints, in requests of mean work. All sidecars
-	// may spend theirs in the same moment.
+	// budgetUtilization is the fraction of what the settings let a cold endpoint be sent that is meant to be used,
+	// and provenUtilization the fraction for what the endpoint answers itself. The remaining part of the former is
+	// for its part of what others answer; what is left of the whole is for chance, and for late measurements.
+	budgetUtilization, provenUtilization = 0.8, 0.4
+	// maxProvenShare bounds what part of a request a cold endpoint earns by one that it answers. Near 1 it
+	// would be sent all that it can do, however little load there is.
+	maxProvenShare = 0.8
+	// idleDrawFactor is how many times its chance an endpoint with almost nothing in flight gets when two
+	// are drawn, relative to one that is as idle.
+	idleDrawFactor = 2.0
+	// defaultOverloadMultiple stands for a multiple that the settings don't state.
+	defaultOverloadMultiple = 1.5
+	// baseRateRatio is the fraction of a cold endpoint's capacity, estimated from the usual answer time, that
+	// it is sent where there are almost no other endpoints, and so nothing to learn from.
+	baseRateRatio = 0.5
+	// coldGrowth is how much more than was answered cold endpoints are sent where there are almost no
+	// others: if all of it is answered, they can do more.
+	coldGrowth = 0.35
+	// coldShareExponent is the exponent of the part of the draws that falls to cold endpoints, for coldShare.
+	coldShareExponent = 4.0
+	// coldShareThreshold is the coldShare from which cold endpoints count for the fleet: two thirds of the draws are theirs.
+	coldShareThreshold = 0.2
+	// minWarmRatio is the fraction of the latest warmWindow answers below which warm endpoints are assumed to hang.
+	minWarmRatio, warmWindow = 0.1, 16.0
+	// lowCapacityLateRatio is the ratio of late answers from which the warm endpoints have little capacity left.
+	lowCapacityLateRatio = lateRatioThreshold / 2
+	// promptRatio is the fraction of a class's latency target that an answer is assumed to take while nothing is known.
+	promptRatio = 0.25
+	// endpointBurst bounds the tokens saved up for cold endpoints, in requests of mean work. All sidecars
+	// may spend theirs at the same moment.
 	endpointBurst = 0.5
-	// endpointDebt is how much more than one endpoint is due it may be sent, in requests of mean work,
-	// while all of them together are due more: keys don't fall evenly.
-	endpointDebt = 3.0
-	// fleetBurst bounds what all sidecars together have saved up for a cold endpoint, and fleetUnused
-	// what of that waits to be drawn for, in requests of mean work.
+	// maxEndpointDebt is how far one endpoint may be overdrawn, in requests of mean work, while all cold
+	// endpoints together have tokens left: keys are not evenly distributed.
+	maxEndpointDebt = 3.0
+	// fleetBurst bounds the tokens that all sidecars together have saved up for a cold endpoint, and fleetUnused
+	// the part of them that is left for draws to use, in requests of mean work.
 	fleetBurst, fleetUnused = 12.0, 2.0
-	// leastBurst is what each sidecar may save up all the same, in requests of mean work.
-	leastBurst = 0.1
-	// mostWork and leastWork bound what one request counts, in requests of mean work.
-	mostWork, leastWork = 4.0, 0.1
+	// minBurst is what each sidecar may save up in any case, in requests of mean work.
+	minBurst = 0.1
+	// maxWork and minWork bound what one request counts, in requests of mean work.
+	maxWork, minWork = 4.0, 0.1
 )
 
-// slowStart shares out what endpoints that have started not long ago are sent, so that all
-// sidecars together keep within the budget of each, though none knows of the others. What is
-// answered is never more than what the endpoints can do, at any load, and the answers of all
-// sidecars add up to it. So each answer earns each cold endpoint its part of one request, and the
-// endpoint that gave it some more: the sum over all sidecars is then its part of what the others
-// can do, and a part of what it can do itself. Nothing else earns: bursts, retries and second
-// copies do not, unless they are answered.
+// slowStart limits what recently started endpoints are sent, so that all sidecars together keep within
+// the budget of each, though none knows of the others. The answers are never more than what the endpoints
+// can do, at any load, and the answers of all sidecars add up to them. So each answer earns each cold
+// endpoint its part of one request, and the endpoint that gave it some more: the sum over all sidecars is
+// then its part of what the others can do, and a part of what it can do itself. Nothing else earns tokens:
+// bursts, retries and hedged attempts do not, unless they are answered.
 type slowStart struct {
-	answered  float64 // requests of mean work, so far
-	coldShare float64 // how far draws are left to cold ones: near 1, next to all of them
-	cold      []*server
-	all       tokenBucket // of all cold endpoints together; its rate is the sum of theirs
-	warmth    float64     // the sum of theirs
-	warmPart  mean        // of the answers, by warm ones
+	answeredWork    float64 // requests of mean work, so far
+	coldShare       float64 // how far draws are left to cold endpoints: near 1, almost all of them are
+	cold            []*server
+	total           tokenBucket // of all cold endpoints together; its rate is the sum of theirs
+	totalWarmth     float64     // sum over the cold endpoints
+	warmAnswerRatio mean        // fraction of the answers that came from warm endpoints
 }
 
-// tokenBucket holds what one cold endpoint may be sent.
+// tokenBucket limits what one cold endpoint is sent.
 type tokenBucket struct {
-	rate    float64 // tokens for each request that is answered
-	tokens  float64 // requests of mean work; from 0 on it may be sent one
-	counted float64 // slowStart.answered, as it was refilled last
-	at      time.Duration
+	rate        float64 // tokens for each request that is answered
+	tokens      float64 // requests of mean work; from 0 on it may be sent one
+	countedWork float64 // slowStart.answeredWork at the latest refill
+	refilledAt  time.Duration
 }
 
-// newBucket begins anywhere between two requests: sidecars that begin together don't send together.
-func (f *slowStart) newBucket(now time.Duration, random func() float64) tokenBucket {
-	return tokenBucket{tokens: -random(), counted: f.answered, at: now}
+// newBucket returns a bucket at a random level between two requests: sidecars that start together don't send together.
+func (s *slowStart) newBucket(now time.Duration, random func() float64) tokenBucket {
+	return tokenBucket{tokens: -random(), countedWork: s.answeredWork, refilledAt: now}
 }
 
 // available is the part of a request that the endpoint may be sent.
 func (b *tokenBucket) available() float64 { return math.Min(math.Max(1+b.tokens, 0), 1) }
 
-// restore takes what another process knew to be available. What it had saved up beyond one request is
-// not taken: it may have been spent there.
+// restore sets what another process knew to be available. What that process had saved up beyond one
+// request is not restored: it may have been spent there.
 func (b *tokenBucket) restore(available float64) {
 	if available != b.available() {
 		b.tokens = available - 1
 	}
 }
 
-// isCold reports whether an endpoint may not be able to do all of its work yet.
-func (s *server) isCold(now time.Duration, set *Settings) bool { return s.warmth(now, set) < 1 }
+// isCold reports whether an endpoint may not have all of its capacity yet.
+func (s *server) isCold(now time.Duration, settings *Settings) bool {
+	return s.warmth(now, settings) < 1
+}
 
-// fallMultiple is how many times what it can do a cold endpoint may be sent before it falls.
-func (set *Settings) fallMultiple() float64 { return cmp.Or(set.OverloadMultiple, defaultFallMultiple) }
+// overloadMultiple is the multiple of its capacity that a cold endpoint may be sent before it fails.
+func (s *Settings) overloadMultiple() float64 {
+	return cmp.Or(s.OverloadMultiple, defaultOverloadMultiple)
+}
 
-// gain is how much more than its part of the requests, by its lowest possible warmth, a cold
-// endpoint may be sent at most. Where the others have room that is its part, and more as more of
-// their answers come late.
-func (b *Balancer) gain() float64 {
-	used := b.set.fallMultiple() * budgetUsed
-	if !b.othersHaveRoom() {
-		return used - b.provenPart()
+// coldGain is the maximum of what a cold endpoint may be sent, relative to its part of the requests by its
+// lowest possible warmth. It is 1 while the warm endpoints have capacity left, and grows as more of their
+// answers are late.
+func (b *Balancer) coldGain() float64 {
+	maxGain := b.settings.overloadMultiple() * budgetUtilization
+	if !b.warmHaveCapacity() {
+		return maxGain - b.provenShare()
 	}
-	return math.Min(used, 1+(used-1)*math.Min(b.adm.tardy/someTardy, 1))
+	return math.Min(maxGain, 1+(maxGain-1)*math.Min(b.admission.lateRatio/lowCapacityLateRatio, 1))
 }
 
-// provenPart is the part of a request that a cold endpoint earns by one that it answers: it may be
-// warmer than it has to be. Where the others have room nothing more is wanted of it.
-func (b *Balancer) provenPart() float64 {
-	if b.othersHaveRoom() {
+// provenShare is the part of a request that a cold endpoint earns by one that it answers: it may be
+// warmer than its lower bound. While the warm endpoints have capacity left, nothing more is needed from it.
+func (b *Balancer) provenShare() float64 {
+	if b.warmHaveCapacity() {
 		return 0
 	}
-	return math.Min(b.set.fallMultiple()*provenUsed, mostProven)
+	return math.Min(b.settings.overloadMultiple()*provenUtilization, maxProvenShare)
 }
 
-// shareOut sets the parts of the cold endpoints, by their chances and by their sizes among those
-// that own admits, whichever is less. Chances go by health, too: where most others are unhealthy
+// setColdRates sets the rates of the cold endpoints, by their chances and by their sizes among the endpoints
+// of the subset, whichever is less. Chances depend on health, too: where most others are unhealthy
 // they are no measure of what a cold endpoint can do.
-func (f *fleet) shareOut(now time.Duration, set *Settings, gain float64, own func(*server) bool) {
+func (f *fleet) setColdRates(now time.Duration, settings *Settings, gain float64, inSubset func(*server) bool) {
 	var chances, coldChances, sizes float64
 	f.slowStart.cold = f.slowStart.cold[:0]
 	for _, s := range f.servers {
-		if !s.usable() || !own(s) {
+		if !s.acceptsRequests() || !inSubset(s) {
 			continue
 		}
 		chances += s.chance
-		sizes += s.NominalSize * s.warmth(now, set)
-		if s.isCold(now, set) {
+		sizes += s.NominalSize * s.warmth(now, settings)
+		if s.isCold(now, settings) {
 			coldChances += s.chance
 			f.slowStart.cold = append(f.slowStart.cold, s)
 		}
 	}
 	start := &f.slowStart
-	start.coldShare = math.Pow(coldChances/math.Max(chances, math.SmallestNonzeroFloat64), coldShareOrder)
-	start.refill(&start.all, start.burst(set.FleetSize), now, start.warmth, 0)
-	start.all.rate, start.warmth = 0, 0
+	start.coldShare = math.Pow(coldChances/math.Max(chances, math.SmallestNonzeroFloat64), coldShareExponent)
+	start.refill(&start.total, start.burstLimit(settings.FleetSize), now, start.totalWarmth, 0)
+	start.total.rate, start.totalWarmth = 0, 0
 	for _, s := range start.cold {
-		warm := s.warmth(now, set)
+		warm := s.warmth(now, settings)
 		start.refill(&s.bucket, endpointBurst, now, warm, 0)
-		byChance := emptier / (1 + warm) * s.chance / math.Max(chances, math.SmallestNonzeroFloat64)
+		byChance := idleDrawFactor / (1 + warm) * s.chance / math.Max(chances, math.SmallestNonzeroFloat64)
 		bySize := gain * s.NominalSize * warm / sizes
-		s.bucket.rate = math.Min(byChance, bySize) * (1 + growth*start.coldShare)
-		start.all.rate += s.bucket.rate
-		start.warmth += warm
+		s.bucket.rate = math.Min(byChance, bySize) * (1 + coldGrowth*start.coldShare)
+		start.total.rate += s.bucket.rate
+		start.totalWarmth += warm
 	}
 }
 
-// refill adds what was earned since the last time, up to burst. baseRate is how many requests a second a warm endpoint may be
-// sent by this sidecar where there is nothing to learn from; 0: it is not known.
-func (f *slowStart) refill(b *tokenBucket, burst float64, now time.Duration, warmth, baseRate float64) {
-	earned := (f.answered - b.counted) * b.rate
+// refill adds what was earned since the last refill, up to burst. baseRate is how many requests per second a warm endpoint
+// may be sent by this sidecar where there is nothing to learn from; 0: unknown.
+func (s *slowStart) refill(b *tokenBucket, burst float64, now time.Duration, warmth, baseRate float64) {
+	earned := (s.answeredWork - b.countedWork) * b.rate
 	if baseRate > 0 {
-		earned += (now - b.at).Seconds() * baseRate * warmth * f.coldShare
-		b.at = now
+		earned += (now - b.refilledAt).Seconds() * baseRate * warmth * s.coldShare
+		b.refilledAt = now
 	}
 	b.tokens = math.Min(b.tokens+earned, burst)
-	b.counted = f.answered
+	b.countedWork = s.answeredWork
 }
 
-// burst bounds what this sidecar saves up for all cold endpoints, one of size.
-func (f *slowStart) burst(size int) float64 {
-	cold := float64(len(f.cold))
-	return math.Max(leastBurst, cold*math.Min(endpointBurst, fleetBurst/float64(size)))
+// burstLimit bounds what this sidecar, one of size, saves up for all cold endpoints.
+func (s *slowStart) burstLimit(size int) float64 {
+	cold := float64(len(s.cold))
+	return math.Max(minBurst, cold*math.Min(endpointBurst, fleetBurst/float64(size)))
 }
 
-// baseRate is the requests a second that a warm endpoint surely can do, for this sidecar alone:
-// one that works on one request at a time takes the usual time, or what such a request is told to
-// cost, for each.
+// baseRate is the requests per second that a warm endpoint is certain to handle, for this sidecar alone:
+// one that works on one request at a time takes the usual answer time for each, or the stated cost of such
+// a request.
 func (b *Balancer) baseRate(r *request) float64 {
-	usual := b.meanTime()
-	if usual <= 0 {
-		usual = cmp.Or(r.Cost, b.set.Classes[r.Class].Aim.Seconds()*promptPart)
+	answerTime := b.meanAnswerTime()
+	if answerTime <= 0 {
+		answerTime = cmp.Or(r.Cost, b.settings.Classes[r.Class].Aim.Seconds()*promptRatio)
 	}
-	return baseRatePart * math.Min(1, b.set.fallMultiple()/2) / math.Max(usual*float64(b.set.FleetSize), math.SmallestNonzeroFloat32)
+	return baseRateRatio * math.Min(1, b.settings.overloadMultiple()/2) / math.Max(answerTime*float64(b.settings.FleetSize), math.SmallestNonzeroFloat32)
 }
 
-// refillCold refills the buckets of cold endpoints, for a request that comes.
+// refillCold refills the buckets of cold endpoints when a request arrives.
 func (b *Balancer) refillCold(r *request) {
 	start := &b.fleet.slowStart
 	if len(start.cold) == 0 {
 		return
 	}
 	rate := b.baseRate(r)
-	start.refill(&start.all, start.burst(b.set.FleetSize), b.now, start.warmth, rate)
+	start.refill(&start.total, start.burstLimit(b.settings.FleetSize), b.now, start.totalWarmth, rate)
 	for _, s := range start.cold {
-		start.refill(&s.bucket, endpointBurst, b.now, s.warmth(b.now, &b.set), rate)
+		start.refill(&s.bucket, endpointBurst, b.now, s.warmth(b.now, &b.settings), rate)
 	}
 }
 
-// withinBudget reports whether an attempt on an endpoint may begin now, as far as its start goes.
+// withinBudget reports whether slow start permits an attempt on an endpoint now.
 func (b *Balancer) withinBudget(r *request, s *server) bool {
-	if !s.isCold(b.now, &b.set) {
+	if !s.isCold(b.now, &b.settings) {
 		return true
 	}
-	return b.fleet.slowStart.all.tokens >= 0 && s.bucket.tokens >= -endpointDebt && (r.ran() == 0 || s.proven(b.now, r.Class))
+	return b.fleet.slowStart.total.tokens >= 0 && s.bucket.tokens >= -maxEndpointDebt && (r.numMayHaveRun() == 0 || s.servedRecently(b.now, r.Class))
 }
 
-// preferredCold is the cold endpoint that a request had best be sent to, where more is available for all
+// preferredCold is the cold endpoint that a request should be sent to, where more is available for all
 // of them than draws have used; nil: there is none.
-func (b *Balancer) preferredCold(r *request, ok func(*server) bool) (pick *server) {
+func (b *Balancer) preferredCold(r *request, eligible func(*server) bool) (pick *server) {
 	start := &b.fleet.slowStart
-	waiting := fleetUnused * float64(len(start.cold)) / float64(b.set.FleetSize)
-	if start.all.tokens < math.Min(waiting, leastBurst) {
+	unused := fleetUnused * float64(len(start.cold)) / float64(b.settings.FleetSize)
+	if start.total.tokens < math.Min(unused, minBurst) {
 		return nil
 	}
 	for _, s := range start.cold {
-		if s.chance <= 0 || s.bucket.tokens < -1 || !s.isCold(b.now, &b.set) || !ok(s) {
+		if s.chance <= 0 || s.bucket.tokens < -1 || !s.isCold(b.now, &b.settings) || !eligible(s) {
 			continue
 		}
 		if pick == nil || b.prefersCold(r, s, pick) {
@@ -217,66 +220,66 @@
 	return pick
 }
 
-// prefersCold reports whether a request had better go to one cold endpoint than to another: to the one
-// with more tokens, but where both have some to the one that ranks first for its key. What
-// it guards against: all sidecars sent what had a popular key to the first of all cold endpoints.
-func (b *Balancer) prefersCold(r *request, s, than *server) bool {
-	if b.set.WarmKeys && r.Key != "" && s.bucket.tokens >= 0 && than.bucket.tokens >= 0 {
-		return keyRank(r.key, s) > keyRank(r.key, than)
+// prefersCold reports whether a request should go to one cold endpoint rather than to another: to the one
+// with more tokens, but if both have some to the one that ranks first for its key. Otherwise all sidecars
+// send the requests of a popular key to the first of all cold endpoints.
+func (b *Balancer) prefersCold(r *request, s, other *server) bool {
+	if b.settings.WarmKeys && r.Key != "" && s.bucket.tokens >= 0 && other.bucket.tokens >= 0 {
+		return keyRank(r.key, s) > keyRank(r.key, other)
 	}
-	return s.bucket.tokens > than.bucket.tokens
+	return s.bucket.tokens > other.bucket.tokens
 }
 
 // charge takes the tokens of an attempt.
 func (b *Balancer) charge(r *request, s *server) {
-	if s.isCold(b.now, &b.set) {
+	if s.isCold(b.now, &b.settings) {
 		work := b.relativeWork(r)
 		s.bucket.tokens -= work
-		b.fleet.slowStart.all.tokens -= work
+		b.fleet.slowStart.total.tokens -= work
 	}
 }
 
-// refillByAnswer adds what an answer earns.
-func (b *Balancer) refillByAnswer(r *request, by *server) {
+// refillOnAnswer adds the tokens that an answer earns.
+func (b *Balancer) refillOnAnswer(r *request, s *server) {
 	work := b.provenWork(r)
-	b.fleet.slowStart.answered += work
-	b.fleet.slowStart.warmPart.add(indicator(!by.isCold(b.now, &b.set)), warmMemory)
-	if by.isCold(b.now, &b.set) {
-		all := &b.fleet.slowStart.all
-		earned := math.Min(b.provenPart(), math.Max(1+growth-all.rate, 0)) * work
-		by.bucket.tokens = math.Min(by.bucket.tokens+earned, endpointBurst)
-		all.tokens = math.Min(all.tokens+earned, b.fleet.slowStart.burst(b.set.FleetSize))
+	b.fleet.slowStart.answeredWork += work
+	b.fleet.slowStart.warmAnswerRatio.add(indicator(!s.isCold(b.now, &b.settings)), warmWindow)
+	if s.isCold(b.now, &b.settings) {
+		total := &b.fleet.slowStart.total
+		earned := math.Min(b.provenShare(), math.Max(1+coldGrowth-total.rate, 0)) * work
+		s.bucket.tokens = math.Min(s.bucket.tokens+earned, endpointBurst)
+		total.tokens = math.Min(total.tokens+earned, b.fleet.slowStart.burstLimit(b.settings.FleetSize))
 	}
 }
 
-// othersHaveRoom reports whether endpoints that are warm answer, and next to all of them in time.
-func (b *Balancer) othersHaveRoom() bool {
-	return b.calm() && b.fleet.slowStart.warmPart.value >= fewWarm
+// warmHaveCapacity reports whether warm endpoints answer, and almost all of them in time.
+func (b *Balancer) warmHaveCapacity() bool {
+	return b.lowPressure() && b.fleet.slowStart.warmAnswerRatio.value >= minWarmRatio
 }
 
-// tellsOfRoom reports whether an answer of an endpoint tells that the fleet has room for more requests, or that it has
-// none. A cold one that is held back answers in time, and what is admitted more goes to the others: it counts where
-// there are next to no others, or none of them answers.
-func (b *Balancer) tellsOfRoom(s *server) bool {
+// indicatesCapacity reports whether an answer of an endpoint indicates that the fleet has capacity for more requests, or
+// has none. A cold endpoint that is limited answers in time, while additional requests go to the others: it counts only
+// where there are almost no others, or none of them answers.
+func (b *Balancer) indicatesCapacity(s *server) bool {
 	start := &b.fleet.slowStart
-	return !s.isCold(b.now, &b.set) || start.coldShare > mostlyCold || start.warmPart.value < fewWarm
+	return !s.isCold(b.now, &b.settings) || start.coldShare > coldShareThreshold || start.warmAnswerRatio.value < minWarmRatio
 }
 
-// relativeWork is a request's work over the mean, as it is charged: by the costs that requests tell. Where it tells none its
-// class's usual answer time stands for the work, which in an overload is short for a class that is answered soon or never:
-// it counts as one at least.
+// relativeWork is the work that a request is charged, relative to the mean: by stated costs. Without a stated cost its
+// class's usual answer time stands for the work, which under overload is short for a class that is answered soon or
+// never: it counts as 1 at least.
 func (b *Balancer) relativeWork(r *request) float64 {
 	if r.Cost > 0 {
-		return math.Min(math.Max(r.Cost/b.cost.value, leastWork), mostWork)
+		return math.Min(math.Max(r.Cost/b.meanCost.value, minWork), maxWork)
 	}
-	mean, its := b.meanTime(), b.expected(r)
-	if mean <= 0 || its <= 0 {
+	meanTime, ownTime := b.meanAnswerTime(), b.expectedTime(r)
+	if meanTime <= 0 || ownTime <= 0 {
 		return 1
 	}
-	return math.Min(math.Max(its/mean, 1), mostWork)
+	return math.Min(math.Max(ownTime/meanTime, 1), maxWork)
 }
 
-// provenWork is the work over the mean that an answer proves to have been done.
+// provenWork is the work relative to the mean that an answer proves to have been done.
 func (b *Balancer) provenWork(r *request) float64 {
 	if r.Cost <= 0 {
 		return 1
--- a/policy/soak_test.go
+++ b/policy/soak_test.go
@@ -7,70 +7,70 @@
 	"time"
 )
 
-// Four hours at ten requests a second in virtual time: an endpoint is replaced every two
+// Four hours at ten requests per second in virtual time: an endpoint is replaced every two
 // seconds, under a new id and in a cell of its own; every request has a new id, and most a
-// key that was never seen. Lists come late, answers get lost, clients leave. What an
-// instance holds stays under the bounds that are stated here, and at the end nothing of it
-// is left but the endpoints that are listed and the keys met last.
-func TestSoakHoldsItsBounds(t *testing.T) {
+// new key. Lists are delayed, answers are lost, clients disconnect. The state of an instance
+// stays within the bounds that are stated here, and at the end only the listed endpoints
+// and the latest keys are left of it.
+func TestSoakStateIsBounded(t *testing.T) {
 	t.Parallel()
 	const (
-		lasts, rate, listed = 4 * time.Hour, 10, 60
-		open                = 4 * rate // of requests: deadlines are 1.2 s at most, answers that are lost are given up with them
-		timers              = 6 * open // three attempts a request with a timer each, kept until due; the call to discovery
+		duration, rate, listed = 4 * time.Hour, 10, 60
+		open                   = 4 * rate // requests: deadlines are 1.2 s at most, and lost answers expire with them
+		timers                 = 6 * open // three attempts a request with a timer each, kept until due; the call to discovery
 	)
 	rng := rand.New(rand.NewPCG(5, 5))
 	b, err := New(Settings{
-		Classes: manyClasses, Tenants: []Tenant{{0.6}, {0.4}}, FleetSize: 300, DiscoveryOnRequest: true, PollWithin: 10 * time.Second, MaxAttempts: 3,
+		Classes: simClasses, Tenants: []Tenant{{0.6}, {0.4}}, FleetSize: 300, DiscoveryOnRequest: true, PollWithin: 10 * time.Second, MaxAttempts: 3,
 		HedgedAttempts: true, Cancel: true, WorthByWork: true, WarmKeys: true, WarmupTime: 20 * time.Second, StartCapacity: 0.13,
 		ConnIdleTimeout: 10 * time.Second, Prices: Prices{Handshake: 0.06},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &many{}
-	pending, members, oldest, most := 0, 0, 0, map[string]int{}
+	m := &fleetSim{}
+	pending, members, oldest, maxSeen := 0, 0, 0, map[string]int{}
 	attempts := map[RequestID]int{}
-	var carryOut func([]Action)
-	carryOut = func(actions []Action) {
+	var apply func([]Action)
+	apply = func(actions []Action) {
 		for _, a := range append([]Action(nil), actions...) {
 			switch a := a.(type) {
 			case SetTimer:
 				pending++
-				m.after(a.Delay, func() { pending--; carryOut(b.Timer(m.now, a.Token)) })
+				m.schedule(a.Delay, func() { pending--; apply(b.Timer(m.now, a.Token)) })
 			case Refuse:
 				delete(attempts, a.Request)
 			case Fail:
 				delete(attempts, a.Request)
 			case Subscribe:
-				m.after(time.Duration(rng.Int64N(int64(3*time.Second))), func() {
+				m.schedule(time.Duration(rng.Int64N(int64(3*time.Second))), func() {
 					if rng.IntN(3) == 0 {
-						carryOut(b.DiscoveryFailed(m.now))
+						apply(b.DiscoveryFailed(m.now))
 					} else {
-						carryOut(b.Endpoints(m.now, nil, false))
+						apply(b.Endpoints(m.now, nil, false))
 					}
 				})
 			case Send:
 				n := attempts[a.Request]
 				attempts[a.Request]++
-				ends, result := time.Duration(rng.ExpFloat64()*float64(40*time.Millisecond)), Served
+				elapsed, result := time.Duration(rng.ExpFloat64()*float64(40*time.Millisecond)), Served
 				switch rng.IntN(20) {
 				case 0:
-					ends, result = a.Timeout, NoAnswer
+					elapsed, result = a.Timeout, NoAnswer
 				case 1:
 					result = ConnectionLost
 				case 2:
 					result = Declined
 				}
-				if ends >= a.Timeout {
-					ends, result = a.Timeout, NoAnswer
+				if elapsed >= a.Timeout {
+					elapsed, result = a.Timeout, NoAnswer
 				}
-				m.after(ends, func() {
+				m.schedule(elapsed, func() {
 					_, open := attempts[a.Request]
 					if result == Served {
 						delete(attempts, a.Request)
 					}
-					carryOut(b.Outcome(m.now, Outcome{Request: a.Request, Attempt: n, Endpoint: a.Endpoint, Result: result, Complete: result == Served || !open, Elapsed: ends}))
+					apply(b.Outcome(m.now, Outcome{Request: a.Request, Attempt: n, Endpoint: a.Endpoint, Result: result, Complete: result == Served || !open, Elapsed: elapsed}))
 				})
 			}
 		}
@@ -80,62 +80,62 @@
 		for i := oldest; i < members; i++ {
 			l = append(l, Endpoint{ID: EndpointID(i), Cell: i, Kind: i % 200, Started: m.now})
 		}
-		if !full { // what is gone is told, not left out
+		if !full { // removed endpoints are reported, not left out
 			l = []Endpoint{{ID: EndpointID(oldest - 1), Readiness: Removed}, l[len(l)-1]}
 		}
-		carryOut(b.Endpoints(m.now, l, full))
+		apply(b.Endpoints(m.now, l, full))
 	}
 	members = listed
 	list(true)
-	id, end := RequestID(0), lasts
+	id, end := RequestID(0), duration
 	var arrive, replace func()
 	arrive = func() {
 		if id++; m.now >= end {
 			return
 		}
-		q := Request{ID: id, Class: int(id) % 2, Tenant: rng.IntN(3) - 1, TimeLeft: manyClasses[id%2].Deadline, Key: fmt.Sprint("new ", id)}
+		q := Request{ID: id, Class: int(id) % 2, Tenant: rng.IntN(3) - 1, TimeLeft: simClasses[id%2].Deadline, Key: fmt.Sprint("new ", id)}
 		if id%5 == 0 {
 			q.Key = "popular"
 		}
 		attempts[id] = 0
-		carryOut(b.Request(m.now, q))
-		if of := id; id%17 == 0 {
-			m.after(5*time.Millisecond, func() { delete(attempts, of); carryOut(b.ClientDisconnected(m.now, of)) })
+		apply(b.Request(m.now, q))
+		if disconnected := id; id%17 == 0 {
+			m.schedule(5*time.Millisecond, func() { delete(attempts, disconnected); apply(b.ClientDisconnected(m.now, disconnected)) })
 		}
-		m.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), arrive)
+		m.schedule(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	replace = func() {
 		oldest, members = oldest+1, members+1
 		list(members%10 == 0)
 		for what, n := range map[string]int{
-			"open requests": len(b.requests), "held": len(b.waiting), "timers": pending, "endpoints": len(b.fleet.byID),
-			"servers": len(b.fleet.servers), "kinds": len(b.fleet.kinds), "table": cap(b.fleet.table), "ranked": cap(b.fleet.ranked),
-			"keys": len(b.keys.counts), "classes": len(b.times), "actions": cap(b.actions),
+			"open requests": len(b.requests), "paused requests": len(b.awaitingProbes), "timers": pending, "endpoints": len(b.fleet.byID),
+			"servers": len(b.fleet.servers), "kinds": len(b.fleet.kinds), "table": cap(b.fleet.drawTable), "ranked": cap(b.fleet.ranked),
+			"keys": len(b.keys.counts), "classes": len(b.classTimes), "actions": cap(b.actions),
 		} {
-			most[what] = max(most[what], n)
+			maxSeen[what] = max(maxSeen[what], n)
 		}
 		if m.now < end {
-			m.after(2*time.Second, replace)
+			m.schedule(2*time.Second, replace)
 		}
 	}
-	m.after(0, arrive)
-	m.after(0, replace)
+	m.schedule(0, arrive)
+	m.schedule(0, replace)
 	for len(m.queue) > 0 && m.now < end+time.Minute {
 		m.step()
 	}
 	for what, bound := range map[string]int{
-		"open requests": open, "held": 0, "timers": timers, "endpoints": listed + open, "servers": listed + open, "kinds": maxKind + 1,
-		"table": 2 * (listed + open), "ranked": 2 * (listed + open), "keys": keyWindow, "classes": len(manyClasses), "actions": 64,
+		"open requests": open, "paused requests": 0, "timers": timers, "endpoints": listed + open, "servers": listed + open, "kinds": maxKind + 1,
+		"table": 2 * (listed + open), "ranked": 2 * (listed + open), "keys": keyWindow, "classes": len(simClasses), "actions": 64,
 	} {
-		if most[what] > bound {
-			t.Errorf("%s: %d at the most, the bound is %d", what, most[what], bound)
+		if maxSeen[what] > bound {
+			t.Errorf("%s: maximum %d, the bound is %d", what, maxSeen[what], bound)
 		}
 	}
 	if members < 7000 || id < 100000 {
-		t.Errorf("only %d endpoints and %d requests came", members, id)
+		t.Errorf("only %d endpoints and %d requests were simulated", members, id)
 	}
 	if len(b.requests) != 0 || len(b.fleet.byID) != listed || len(b.fleet.servers) != listed {
 		t.Errorf("%d requests, %d and %d endpoints are left", len(b.requests), len(b.fleet.byID), len(b.fleet.servers))
 	}
-	t.Log(most)
+	t.Log(maxSeen)
 }
--- a/policy/split.go
+++ b/policy/split.go
@@ -13,7 +13,7 @@
 	for dropped := true; dropped; {
 		var sumRoot, capacity, total, fastest float64
 		for i := range k {
-			if !usable(k[i]) || !usable(mu[i]) {
+			if !positiveFinite(k[i]) || !positiveFinite(mu[i]) {
 				k[i], mu[i] = 0, 1
 			}
 			sumRoot += k[i] * math.Sqrt(mu[i])
@@ -23,8 +23,8 @@
 		if sumRoot == 0 {
 			return make([]float64, len(k))
 		}
-		rate := lambda // at capacity the split is proportional, beyond it has no meaning
-		if !usable(rate) || rate > capacity {
+		rate := lambda // at capacity the split is proportional, beyond it the equation has no meaning
+		if !positiveFinite(rate) || rate > capacity {
 			rate = capacity
 		}
 		dropped = false
@@ -32,7 +32,7 @@
 			root := math.Sqrt(mu[i])
 			shares[i] = k[i] * (mu[i]*sumRoot - root*capacity + rate*root) / (rate * sumRoot)
 			if k[i] > 0 && mu[i] == fastest {
-				shares[i] = max(shares[i], math.SmallestNonzeroFloat32) // rounding must not drop all
+				shares[i] = max(shares[i], math.SmallestNonzeroFloat32) // rounding must not drop all kinds
 			} else if shares[i] < 0 {
 				k[i], dropped = 0, true
 			}
@@ -45,5 +45,5 @@
 	return shares
 }
 
-// usable reports whether x is a finite number above 0.
-func usable(x float64) bool { return x > 0 && !math.IsInf(x, 0) }
+// positiveFinite reports whether x is a finite number above 0.
+func positiveFinite(x float64) bool { return x > 0 && !math.IsInf(x, 0) }
--- a/policy/split_test.go
+++ b/policy/split_test.go
@@ -24,7 +24,7 @@
 		{"kind without servers", []float64{0, 2}, []float64{9, 1}, 1, []float64{0, 1}},
 		{"no servers at all", []float64{0, 0}, []float64{2, 1}, 1, []float64{0, 0}},
 		// Three kinds at rate 1: the slowest comes out negative (0.1-speed
-		// against 4) and is dropped, then 4 and 3.9 share alone.
+		// against 4) and is dropped, then the other two share alone.
 		{"negative dropped, rest solved again", []float64{1, 1, 1}, []float64{4, 4, 0.1}, 1, []float64{0.5, 0.5, 0}},
 		{"effective servers scale out (corollary 2)", []float64{0.5, 0.5}, []float64{2, 1}, 0.5, []float64{2 / (1 + root2), 1 - 2/(1+root2)}},
 	}
@@ -55,7 +55,7 @@
 		servers := false
 		for i := range n {
 			k[i], mu[i] = value(), value()
-			servers = servers || usable(k[i]) && usable(mu[i])
+			servers = servers || positiveFinite(k[i]) && positiveFinite(mu[i])
 		}
 		sum := 0.0
 		got := splitKinds(k, mu, value())
