--- a/bench/durable/main.go
+++ b/bench/durable/main.go
@@ -226,7 +226,7 @@
 		}
 		loaded, began := time.Now(), ""
 		if len(keys) == 0 && c.now.Boot == then.Boot {
-			if err := store.Begin(hash, nil); err != nil {
+			if err := store.Replace(hash, nil); err != nil {
 				return err
 			}
 			began = time.Since(loaded).Round(100 * time.Microsecond).String()
@@ -260,7 +260,7 @@
 	if err != nil {
 		return err
 	}
-	if err := store.Begin(1, nil); err != nil {
+	if err := store.Replace(1, nil); err != nil {
 		return err
 	}
 	failed := make(chan error, fillers)
@@ -270,7 +270,7 @@
 			for i := first; i < records; i += fillers {
 				age := window * time.Duration(i) / time.Duration(records)
 				note := keyed.Note{Key: keyOf(i, records), Cell: i % 50, Age: age, Window: window, Left: window - age}
-				if err := store.Keep(context.Background(), handover.Key{Of: handover.Of{Platform: true}, Note: note}); err != nil {
+				if err := store.Persist(context.Background(), handover.Key{ServiceRef: handover.ServiceRef{Platform: true}, Note: note}); err != nil {
 					failed <- err
 					return
 				}
--- a/bench/moves/rivals.go
+++ b/bench/moves/rivals.go
@@ -14,20 +14,20 @@
 
 // ours are the tracks of a move as it runs them: one kind of fault of one class,
 // at the level of eight of them.
-type ours struct{ track *judge.Track }
+type ours struct{ track *judge.SequentialTest }
 
 const level = 1600
 
 func newOurs() watcher {
-	return &ours{judge.NewTrack(judge.Guard{Bound: 0.005, Margin: 1.5})}
+	return &ours{judge.NewSequentialTest(judge.Guard{Bound: 0.005, Margin: 1.5})}
 }
 
 func (o *ours) see(_ int, b judge.Block) bool {
 	o.track.Add(b)
 	if b.Old == 0 {
-		return o.track.Alone() >= level
+		return o.track.WorseThanBound() >= level
 	}
-	return o.track.Worse() >= level
+	return o.track.WorseEvidence() >= level
 }
 func (o *ours) step() {}
 
--- a/bench/moves/whole.go
+++ b/bench/moves/whole.go
@@ -20,12 +20,12 @@
 	course pools.Course
 }
 
-func onNew(_ *pools.Play, s *moves.Seen) bool { return s.New }
-func always(*pools.Play, *moves.Seen) bool    { return true }
+func onNew(_ *pools.Play, s *moves.AttemptResult) bool { return s.New }
+func always(*pools.Play, *moves.AttemptResult) bool    { return true }
 
 func wholeMoves() []whole {
-	times := func(x float64) func(*pools.Play, *moves.Seen) float64 {
-		return func(_ *pools.Play, s *moves.Seen) float64 {
+	times := func(x float64) func(*pools.Play, *moves.AttemptResult) float64 {
+		return func(_ *pools.Play, s *moves.AttemptResult) float64 {
 			if s.New {
 				return x
 			}
@@ -42,21 +42,21 @@
 		{"good: both 0.1%", pools.Course{Bad: pools.Failing(0.001, always)}},
 		{"good: both 0.4%", pools.Course{Bad: pools.Failing(0.004, always)}},
 		{"good: both 2%", pools.Course{Bad: pools.Failing(0.02, always)}},
-		{"good: a surge that slows both 2.2 times", pools.Course{Load: surge, Slower: func(p *pools.Play, _ *moves.Seen) float64 { return surge(p.Second) * surge(p.Second) }}},
-		{"good: 4 times as slow at first, for 10 s", pools.Course{Slower: func(p *pools.Play, s *moves.Seen) float64 {
+		{"good: a surge that slows both 2.2 times", pools.Course{Load: surge, Slower: func(p *pools.Play, _ *moves.AttemptResult) float64 { return surge(p.Second) * surge(p.Second) }}},
+		{"good: 4 times as slow at first, for 10 s", pools.Course{Slower: func(p *pools.Play, s *moves.AttemptResult) float64 {
 			if s.New {
 				return 1 + 3*math.Exp(-(p.Now-p.Met).Seconds()/10)
 			}
 			return 1
 		}}},
-		{"good: one endpoint of five fails 30%", pools.Course{Bad: pools.Failing(0.3, func(_ *pools.Play, s *moves.Seen) bool { return s.Endpoint == pools.Size+2 })}},
+		{"good: one endpoint of five fails 30%", pools.Course{Bad: pools.Failing(0.3, func(_ *pools.Play, s *moves.AttemptResult) bool { return s.Endpoint == pools.Size+2 })}},
 		{"good: within the margin, 1.1 times as slow", pools.Course{Slower: times(1.1)}},
 		{"bad: errors, 20%", pools.Course{Bad: pools.Failing(0.2, onNew)}},
 		{"bad: errors, 5%", pools.Course{Bad: pools.Failing(0.05, onNew)}},
-		{"bad: errors, 2% of one class in ten", pools.Course{Bad: pools.Failing(0.02, func(_ *pools.Play, s *moves.Seen) bool { return s.New && s.Class == 1 })}},
-		{"bad: errors above 40% of the load, 10%", pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.Seen) bool { return s.New && p.Share() > 0.4 })}},
-		{"bad: errors in the watch, 10%", pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.Seen) bool { return s.New && p.Course().Phase == moves.Watching })}},
-		{"bad: errors 10 s in 20, 10%", pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.Seen) bool { return s.New && p.Second/10%2 == 1 })}},
+		{"bad: errors, 2% of one class in ten", pools.Course{Bad: pools.Failing(0.02, func(_ *pools.Play, s *moves.AttemptResult) bool { return s.New && s.Class == 1 })}},
+		{"bad: errors above 40% of the load, 10%", pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && p.Share() > 0.4 })}},
+		{"bad: errors in the watch, 10%", pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && p.Progress().Phase == moves.Watching })}},
+		{"bad: errors 10 s in 20, 10%", pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && p.Second/10%2 == 1 })}},
 		{"bad: 1.3 times as slow", pools.Course{Slower: times(1.3)}},
 		{"bad: 1.6 times as slow", pools.Course{Slower: times(1.6)}},
 	}
--- a/cmd/spokegw/cli.go
+++ b/cmd/spokegw/cli.go
@@ -150,7 +150,7 @@
 }
 
 func (c *cli) logFlag(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&c.log, "log", cmp.Or(os.Getenv("SPOKEGW_LOG"), logging.Forms[0]), "the log's `form`: "+strings.Join(logging.Forms, ", "))
+	cmd.Flags().StringVar(&c.log, "log", cmp.Or(os.Getenv("SPOKEGW_LOG"), logging.Formats[0]), "the log's `form`: "+strings.Join(logging.Formats, ", "))
 	cmd.Flags().StringVar(&c.level, "log-level", os.Getenv("SPOKEGW_LOG_LEVEL"), "the log's `levels` at the start: one, or PART=LEVEL, several with commas")
 }
 
--- a/cmd/spokegw/console.go
+++ b/cmd/spokegw/console.go
@@ -95,7 +95,7 @@
 	if c.json {
 		return c.print(raw)
 	}
-	var r sidecar.Reloaded
+	var r sidecar.ReloadResult
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 				header[name] = value
 			}
 		}
-		a := sidecar.Explain{Method: args[0], Target: args[1], Header: header, Length: length}
+		a := sidecar.ExplainRequest{Method: args[0], Target: args[1], Header: header, Length: length}
 		return c.ask(cmd.Context(), c.timeout, "explain", a, c.explained)
 	})
 	cmd.Flags().StringVar(&team, "team", "", "Req-Owner: the `team` that asks")
@@ -195,7 +195,7 @@
 }
 
 func (c *cli) traceCommand() *cobra.Command {
-	var t sidecar.Trace
+	var t sidecar.TraceRequest
 	cmd := c.command(&cobra.Command{
 		Use: "trace", Short: "the next requests, with every decision on each",
 		Long:    "The next requests that fit, as they end, with every decision on each. Who serves waits for nobody: what is not read in time is left out, and counted at the end.",
@@ -217,7 +217,7 @@
 	if c.json {
 		return c.print(raw)
 	}
-	var missed sidecar.Missed
+	var missed sidecar.DroppedTraces
 	if json.Unmarshal(raw, &missed) == nil && missed.Missed > 0 {
 		fmt.Fprintf(c.out, "%d more fitted and were not read in time\n", missed.Missed)
 		return nil
--- a/cmd/spokegw/main.go
+++ b/cmd/spokegw/main.go
@@ -109,17 +109,17 @@
 	if path != "" {
 		file = func() (*operator.File, error) { return operator.Load(path) }
 	}
-	read := func() sidecar.Reloaded {
+	read := func() sidecar.ReloadResult {
 		return s.ReloadFiles(func() (sidecar.Config, error) { return sidecar.LoadConfig(os.Getenv) }, file)
 	}
 	s.OnReload(read)
-	s.UseLog(log)
+	s.SetLog(log)
 	go reload(ctx, hangup, read)
 	return s.Run(ctx)
 }
 
 // reload reads the files anew at every SIGHUP until ctx ends.
-func reload(ctx context.Context, hangup <-chan os.Signal, read func() sidecar.Reloaded) {
+func reload(ctx context.Context, hangup <-chan os.Signal, read func() sidecar.ReloadResult) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/cmd/spokegw/moves.go
+++ b/cmd/spokegw/moves.go
@@ -147,7 +147,7 @@
 	} else {
 		var from, to, both, neither []string
 		for _, e := range config.Known.Servers {
-			switch isFrom, isTo := m.From.Picks(&e), m.To.Picks(&e); {
+			switch isFrom, isTo := m.From.Matches(&e), m.To.Matches(&e); {
 			case isFrom && isTo:
 				both = append(both, e.ID)
 			case isFrom:
@@ -181,8 +181,8 @@
 				continue
 			}
 			for k, g := range m.GuardsOf(c) {
-				if t := moves.Foretell(g, moves.Kind(k), rate); t > need {
-					need, slowest = t, fmt.Sprintf("%s, to tell that not too many are %s", c, moves.Kind(k))
+				if t := moves.TimeToEvidence(g, moves.FaultKind(k), rate); t > need {
+					need, slowest = t, fmt.Sprintf("%s, to tell that not too many are %s", c, moves.FaultKind(k))
 				}
 			}
 		}
--- a/cmd/spokegw/state.go
+++ b/cmd/spokegw/state.go
@@ -86,7 +86,7 @@
 		f.Bytes = len(b)
 		var found journal.Found
 		found, err = journal.Scan(b)
-		f.last, f.tail, f.Whole, f.Damaged = found.Last, found.Tail, found.Whole, found.Damaged
+		f.last, f.tail, f.Whole, f.Damaged = found.Last, found.Tail, found.ValidSize, found.Damaged
 	}
 	if err != nil {
 		f.Error = err.Error()
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -282,7 +282,7 @@
 		return fmt.Errorf("console: %w", err)
 	}
 	var c net.Conn
-	err = unixsocket.Short(path, func(name string) error {
+	err = unixsocket.WithShortPath(path, func(name string) error {
 		var d net.Dialer
 		var err error
 		c, err = d.DialContext(ctx, "unix", name)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -73,7 +73,7 @@
 func (a *Answer) outcome() figures.Outcome {
 	switch {
 	case a.stream == nil || a.stream.Complete():
-		return figures.OfStatus(a.Status)
+		return figures.OutcomeForStatus(a.Status)
 	case a.stream.Failed():
 		return figures.Failed
 	}
@@ -185,7 +185,7 @@
 
 // countRequest counts a request that ends with this answer.
 func (x *Exchange) countRequest(a *Answer) {
-	x.slot.counters.Take()
+	x.slot.counters.Begin()
 	a.counters = x.slot.counters
 }
 
@@ -207,7 +207,7 @@
 	x.release()
 	x.service.withdraw(x)
 	x.trace.endWith(a)
-	if a != nil && figures.OfStatus(a.Status) == figures.Rejected {
+	if a != nil && figures.OutcomeForStatus(a.Status) == figures.Rejected {
 		x.countRequest(a)
 	}
 }
@@ -252,7 +252,7 @@
 	if x.slot.rules.Effect == policy.Keyed {
 		x.keyed, x.key = true, x.core.ids.hash(x.head.Header.Get("Req-Owner"), x.head.Header.Get("Idempotency-Key"))
 	}
-	x.slot.counters.Take()
+	x.slot.counters.Begin()
 	if x.received.IsZero() {
 		x.SetReceived(0)
 	}
--- a/internal/core/keyed.go
+++ b/internal/core/keyed.go
@@ -79,7 +79,7 @@
 		return nil, dedupUntil
 	}
 	now := s.now()
-	s.keys.RecordSent(now, c.key, &s.settings.slots[c.class].rules, to.Endpoint, c.mask.Met(to.pools))
+	s.keys.RecordSent(now, c.key, &s.settings.slots[c.class].rules, to.Endpoint, c.mask.WithEndpoint(to.pools))
 	if end, repeat := s.keys.DedupUntil(c.key); repeat {
 		dedupUntil = s.at(end)
 	}
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -100,8 +100,8 @@
 	p := &s.pools
 	p.active = false
 	for i, m := range p.moves {
-		if m != nil && m.Over() {
-			if m.Course().Phase == moves.Done {
+		if m != nil && m.Removable() {
+			if m.Progress().Phase == moves.Done {
 				s.log.Warn("a move that was done is out of the operator's file: endpoints of its old pool that are in the list get requests again", "move", m.Name)
 			}
 			p.moves[i] = nil
@@ -144,7 +144,7 @@
 			if m == nil {
 				continue
 			}
-			from, to := m.From.Picks(&e.entry), m.To.Picks(&e.entry)
+			from, to := m.From.Matches(&e.entry), m.To.Matches(&e.entry)
 			if from && !to {
 				e.pools.From |= 1 << i
 			}
@@ -169,7 +169,7 @@
 		hash = func() uint64 { return sum }
 	}
 	for i, m := range p.moves {
-		if m != nil && m.Meets(hash()) {
+		if m != nil && m.RoutesToNew(hash()) {
 			mask |= 1 << i
 		}
 	}
@@ -196,12 +196,12 @@
 		return
 	}
 	p := &s.settings.slots[c.class].rules
-	o := moves.Seen{Class: c.class, Endpoint: uint32(a.endpoint)}
+	o := moves.AttemptResult{Class: c.class, Endpoint: uint32(a.endpoint)}
 	switch result.Result {
 	case policy.Served:
 		o.Took, o.Late = result.Elapsed, p.Aim > 0 && result.Elapsed > p.Aim
 	case policy.Declined:
-		o.Turned = true
+		o.Declined = true
 	case policy.Cancelled: // another attempt was faster, or the client has disconnected
 		if o.Late = p.Aim > 0 && result.Elapsed > p.Aim; !o.Late {
 			return
@@ -219,7 +219,7 @@
 		}
 		o.New = e.pools.To&bit != 0
 		o.Cold = age < max(m.Warming, s.settings.policy.WarmupTime)
-		m.See(&o)
+		m.Observe(&o)
 	}
 }
 
@@ -242,7 +242,7 @@
 		for _, e := range m.Tick(now, names) {
 			s.logMove(m, e)
 		}
-		reassign = reassign || m.Over()
+		reassign = reassign || m.Removable()
 	}
 	if reassign {
 		s.assignBits()
@@ -277,7 +277,7 @@
 type MoveState struct {
 	Name, Service       string
 	From, To            string
-	Course              moves.Course
+	Progress            moves.Progress
 	Plan                moves.Plan
 	PhaseAge, Remaining time.Duration // PhaseAge: time in this phase or step; Remaining: minimum time until it is done
 	NewShare            float64       // fraction of recent requests that were routed to the new pool
@@ -295,10 +295,10 @@
 			continue
 		}
 		st := MoveState{
-			Name: m.Name, Service: s.name, From: m.From.String(), To: m.To.String(), Course: m.Course(), Plan: m.Plan,
-			PhaseAge: now - m.Course().Since, NewShare: m.Got(), Evidence: m.Evidence(names),
+			Name: m.Name, Service: s.name, From: m.From.String(), To: m.To.String(), Progress: m.Progress(), Plan: m.Plan,
+			PhaseAge: now - m.Progress().Since, NewShare: m.NewShare(), Evidence: m.Evidence(names),
 		}
-		st.Remaining = st.Course.Left(now, &m.Plan)
+		st.Remaining = st.Progress.Remaining(now, &m.Plan)
 		for _, e := range s.poolMembers(i, nil) {
 			if e.Ready && e.From {
 				st.Ready[0]++
@@ -331,7 +331,7 @@
 	case "hold":
 		err = m.Hold(now, "by an operator")
 	case "go-on":
-		err = m.GoOn(now)
+		err = m.Resume(now)
 	case "undo":
 		err = m.Undo(now, "by an operator")
 	default:
@@ -350,14 +350,14 @@
 }
 
 // AddMoveEvidence adds observations of the two pools of a move by other processes.
-func (s *Service) AddMoveEvidence(name, class string, k moves.Kind, b judge.Block) error {
+func (s *Service) AddMoveEvidence(name, class string, k moves.FaultKind, b judge.Block) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i := s.pools.byName(name)
 	if i < 0 {
 		return ErrNoMove
 	}
-	return s.pools.moves[i].Told(slices.Index(s.settings.classNames(), class), k, b)
+	return s.pools.moves[i].AddEvidence(slices.Index(s.settings.classNames(), class), k, b)
 }
 
 // MoveRecords are the states of the moves for another process.
@@ -386,7 +386,7 @@
 func (s *Service) adoptMoves(all []moves.Record) {
 	for _, r := range all {
 		for _, m := range s.pools.moves {
-			if m != nil && m.Adopt(s.now(), r) {
+			if m != nil && m.Restore(s.now(), r) {
 				s.log.Info("move taken over", "move", m.Name, "phase", string(r.Phase), "share", r.Share)
 			}
 		}
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -39,8 +39,8 @@
 // Lines are the lines of a file's keys.
 type Lines map[string]int
 
-// Of is the line of a key, or of the nearest table that holds it; 0: of none.
-func (l Lines) Of(key string) int {
+// Lookup is the line of a key, or of the nearest table that holds it; 0: of none.
+func (l Lines) Lookup(key string) int {
 	for k := key; k != ""; k = parent(k) {
 		if line := l[k]; line > 0 {
 			return line
--- a/internal/fields/fields.go
+++ b/internal/fields/fields.go
@@ -17,10 +17,10 @@
 // Rule says which fields of one message go on.
 type Rule struct{ named []string }
 
-// Of is the rule for a message with these fields, whose names are canonical. Those that
+// RuleFor is the rule for a message with these fields, whose names are canonical. Those that
 // Connection names stay behind, but for those that decide what becomes of a request: a
 // client can't have them taken away.
-func Of(h http.Header) (r Rule) {
+func RuleFor(h http.Header) (r Rule) {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
 			r.named = append(r.named, http.CanonicalHeaderKey(strings.TrimSpace(name)))
@@ -29,16 +29,16 @@
 	return r
 }
 
-// Passes reports whether a field goes on.
-func (r Rule) Passes(name string) bool {
+// Forwards reports whether a field goes on.
+func (r Rule) Forwards(name string) bool {
 	return !hopByHop[name] && (!slices.Contains(r.named, name) || name == "Req-Id" || name == "Idempotency-Key")
 }
 
-// Passed calls each for the fields of h that go on.
-func Passed(h http.Header, each func(name, value string)) {
-	r := Of(h)
+// EachForwarded calls each for the fields of h that go on.
+func EachForwarded(h http.Header, each func(name, value string)) {
+	r := RuleFor(h)
 	for name, values := range h {
-		if r.Passes(name) {
+		if r.Forwards(name) {
 			for _, v := range values {
 				each(name, v)
 			}
@@ -49,9 +49,9 @@
 // Append appends the lines of the fields of h that go on, but for those that without
 // names, where it is not nil.
 func Append(b []byte, h http.Header, without func(name string) bool) []byte {
-	r := Of(h)
+	r := RuleFor(h)
 	for name, values := range h {
-		if !r.Passes(name) || without != nil && without(name) {
+		if !r.Forwards(name) || without != nil && without(name) {
 			continue
 		}
 		for _, v := range values {
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -31,8 +31,8 @@
 
 func (o Outcome) String() string { return names[o] }
 
-// OfStatus is the outcome that an answer's status stands for.
-func OfStatus(status int) Outcome {
+// OutcomeForStatus is the outcome that an answer's status stands for.
+func OutcomeForStatus(status int) Outcome {
 	switch status {
 	case 200:
 		return Completed
@@ -48,8 +48,8 @@
 	ended [outcomes]atomic.Uint64
 }
 
-// Take counts a request whose life begins. It is owed one End.
-func (c *Class) Take() { c.taken.Add(1) }
+// Begin counts a request whose life begins. It is owed one End.
+func (c *Class) Begin() { c.taken.Add(1) }
 
 // End counts what became of a request that was taken.
 func (c *Class) End(o Outcome) { c.ended[o].Add(1) }
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -24,7 +24,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
 				n := name.Draw(t, "class")
-				f.Class(n).Take()
+				f.Class(n).Begin()
 				open[n]++
 				taken[n]++
 			},
@@ -56,7 +56,7 @@
 		counting.Go(func() {
 			c := f.Class("map-tile")
 			for i := range each {
-				c.Take()
+				c.Begin()
 				c.End(Outcome(i % int(outcomes)))
 			}
 		})
@@ -76,7 +76,7 @@
 func TestClassesAreBounded(t *testing.T) {
 	f := New()
 	for i := range 3 * maxClasses {
-		f.Class(fmt.Sprint(i)).Take()
+		f.Class(fmt.Sprint(i)).Begin()
 	}
 	if n := len(f.Classes()); n > maxClasses+1 {
 		t.Errorf("%d classes are counted", n)
@@ -90,11 +90,11 @@
 	f := New()
 	c := f.Class("map-tile")
 	for range 5 {
-		c.Take()
+		c.Begin()
 	}
 	c.End(Completed)
-	c.End(OfStatus(429))
-	c.End(OfStatus(502))
+	c.End(OutcomeForStatus(429))
+	c.End(OutcomeForStatus(502))
 	c.End(Abandoned)
 	f.Attempts.Add(7)
 	f.ReloadErrors.Add(1)
@@ -113,7 +113,7 @@
 // A name can't forge a line.
 func TestOddNames(t *testing.T) {
 	f := New()
-	f.Class("a:1|c\nnode.pending").Take()
+	f.Class("a:1|c\nnode.pending").Begin()
 	for _, line := range strings.Split(strings.TrimSpace(f.Report(Members{})), "\n") {
 		if strings.Count(line, ":") != 1 || strings.Count(line, "|") != 1 || strings.HasPrefix(line, "node.pending") && line != "node.pending:1|g" {
 			t.Errorf("%q", line)
@@ -125,7 +125,7 @@
 	c := New().Class("map-tile")
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Take()
+		c.Begin()
 		c.End(Completed)
 	}
 }
--- a/internal/framing/answer.go
+++ b/internal/framing/answer.go
@@ -11,10 +11,10 @@
 // Answer is the head of an answer (RFC 9112 section 4).
 type Answer struct {
 	Head
-	Status int
-	Minor  int // of HTTP/1
-	Header http.Header
-	Ends   bool // the connection ends with it, by what is told or by what is not
+	Status           int
+	Minor            int // of HTTP/1
+	Header           http.Header
+	ClosesConnection bool // the connection ends with it, by what is told or by what is not
 }
 
 var errStatus = errors.New("the answer does not begin with a version of HTTP/1 and a status of three digits")
@@ -36,9 +36,9 @@
 		if a.Chunked {
 			return a, errCoding // which that version does not have: a reader of it goes on to the end
 		}
-		a.Ends = !a.KeepAlive
+		a.ClosesConnection = !a.KeepAlive
 	}
-	a.Ends = a.Ends || a.Close || a.Length < 0 && !a.Chunked && a.HasBody()
+	a.ClosesConnection = a.ClosesConnection || a.Close || a.Length < 0 && !a.Chunked && a.HasBody()
 	return a, nil
 }
 
--- a/internal/framing/answer_test.go
+++ b/internal/framing/answer_test.go
@@ -21,7 +21,7 @@
 		return "net/http refuses it: " + theirs.Error()
 	case a.Status != resp.StatusCode || a.Minor != resp.ProtoMinor:
 		return "another status or version"
-	case a.Ends != resp.Close && a.Status >= 200:
+	case a.ClosesConnection != resp.Close && a.Status >= 200:
 		return "another end of the connection"
 	}
 	mine := a.Header.Clone()
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -12,9 +12,9 @@
 	"spokegw/internal/fields"
 )
 
-// WritePatience is for writing an answer, or the next piece of a long one, to a
+// WriteTimeout is for writing an answer, or the next piece of a long one, to a
 // client that does not read.
-const WritePatience = 5 * time.Second
+const WriteTimeout = 5 * time.Second
 
 // Write writes an answer, and frees it. What is of the connection alone is the
 // caller's. A long answer that breaks off, or whose client does, panics with
@@ -38,7 +38,7 @@
 		return
 	}
 	w.Header()["Content-Type"] = nil // else one that the endpoint did not tell is guessed from the body
-	fields.Passed(a.Header, func(name, value string) { w.Header().Add(name, value) })
+	fields.EachForwarded(a.Header, func(name, value string) { w.Header().Add(name, value) })
 	length := int64(len(a.Body))
 	if a.Stream() != nil || length == 0 {
 		length = a.Length // of one that goes on, or of the body that a HEAD does not bring
@@ -63,8 +63,8 @@
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
 	rc := http.NewResponseController(w)
-	return Pass(head, s, func(b []byte) error {
-		rc.SetWriteDeadline(time.Now().Add(WritePatience))
+	return CopyStream(head, s, func(b []byte) error {
+		rc.SetWriteDeadline(time.Now().Add(WriteTimeout))
 		if _, err := w.Write(b); err != nil {
 			return err
 		}
@@ -72,8 +72,8 @@
 	})
 }
 
-// Pass puts the beginning of a long answer and then the rest as it comes.
-func Pass(head []byte, s core.Stream, put func(piece []byte) error) error {
+// CopyStream puts the beginning of a long answer and then the rest as it comes.
+func CopyStream(head []byte, s core.Stream, put func(piece []byte) error) error {
 	buf := pieces.Get().(*[32 << 10]byte)
 	defer pieces.Put(buf)
 	if err := put(head); err != nil {
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// NotWhole is the answer to a request whose body did not come whole.
-func NotWhole(err error) *core.Answer {
+// IncompleteBody is the answer to a request whose body did not come whole.
+func IncompleteBody(err error) *core.Answer {
 	a := &core.Answer{Status: http.StatusBadRequest, Reason: "the body is malformed or not whole", Malformed: true}
 	switch {
 	case errors.Is(err, errTooLong):
--- a/internal/front/http1/conntable.go
+++ b/internal/front/http1/conntable.go
@@ -20,7 +20,7 @@
 	// pipelining tells that clients may send a request before the one ahead of it
 	// has been answered (RFC 9112 section 9.3.2).
 	pipelining bool
-	door       Door // nil: all are read
+	door       Admission // nil: all are read
 	// crowd is how many connections may have had an answer and stay before the
 	// others are asked to leave with their first one.
 	crowd int
--- a/internal/front/http1/door.go
+++ b/internal/front/http1/door.go
@@ -10,11 +10,11 @@
 	"spokegw/internal/front"
 )
 
-// Door judges requests before they are read. It may be asked by many at once.
-type Door interface {
-	Judges() bool // some may be refused; asked of every request
-	// Judge judges one by its target; one that is refused is best sent again after a time.
-	Judge(target string) (refused bool, after time.Duration)
+// Admission judges requests before they are read. It may be asked by many at once.
+type Admission interface {
+	Active() bool // some may be refused; asked of every request
+	// Refuse judges one by its target; one that is refused is best sent again after a time.
+	Refuse(target string) (refused bool, after time.Duration)
 }
 
 // overloaded is what a client reads who is turned away at the door.
@@ -27,7 +27,7 @@
 // body that is still to come, or in chunks, something behind the request, a head with a
 // fault) is left to the usual way, and let in.
 func (c *clientConn) turnAway(end int) (refused bool, err error) {
-	if end == 0 || c.serving.Load() || !c.table.door.Judges() {
+	if end == 0 || c.serving.Load() || !c.table.door.Active() {
 		return false, nil
 	}
 	of, ok := requestTarget(c.head[:end])
@@ -38,7 +38,7 @@
 	if wrong != nil || h.Chunked || int64(len(c.head)-end) != max(h.Length, 0) || h.Close {
 		return false, nil
 	}
-	refused, after := c.table.door.Judge(of)
+	refused, after := c.table.door.Refuse(of)
 	if !refused {
 		return false, nil
 	}
--- a/internal/front/http1/door_test.go
+++ b/internal/front/http1/door_test.go
@@ -18,8 +18,8 @@
 	asked atomic.Int32
 }
 
-func (d *shut) Judges() bool { return d.is.Load() }
-func (d *shut) Judge(string) (bool, time.Duration) {
+func (d *shut) Active() bool { return d.is.Load() }
+func (d *shut) Refuse(string) (bool, time.Duration) {
 	d.asked.Add(1)
 	return true, 1500 * time.Millisecond
 }
@@ -30,7 +30,7 @@
 	const plain = "GET /tile/1?user=k HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Deadline: 900m\r\n\r\n"
 	door := &shut{}
 	addr := listenEndpoint(t, echo(func(*http.Request) {}))
-	c, err := net.Dial("tcp", startWith(t, Config{Door: door}, nil, addr).Addr().String())
+	c, err := net.Dial("tcp", startWith(t, Config{Admission: door}, nil, addr).Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 		t.Run(name, func(t *testing.T) {
 			door := &shut{}
 			door.is.Store(true)
-			c, err := net.Dial("tcp", startWith(t, Config{Door: door}, nil).Addr().String())
+			c, err := net.Dial("tcp", startWith(t, Config{Admission: door}, nil).Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/front/http1/handler.go
+++ b/internal/front/http1/handler.go
@@ -14,7 +14,7 @@
 	"spokegw/internal/target"
 )
 
-const requestPatience = front.RequestPatience
+const requestPatience = front.RequestTimeout
 
 // mostDropped is the longest body of a request that was refused which is read and
 // dropped so that its connection can be kept.
@@ -53,12 +53,12 @@
 		body = chunkedBody{r.Body, conn}
 	}
 	if r.ContentLength != 0 {
-		body = front.Pace(body, rc, time.Duration(conn.begun.Load()))
+		body = front.NewPacedBody(body, rc, time.Duration(conn.begun.Load()))
 	}
 	held, more, err := front.ReadBody(body, r.ContentLength, x.ReserveBody)
 	switch {
 	case err != nil:
-		a := front.NotWhole(err)
+		a := front.IncompleteBody(err)
 		x.Drop(a)
 		in.write(w, r, conn, a)
 		return
@@ -100,8 +100,8 @@
 	switch fault := u.Close(); {
 	case err != nil:
 		panic(http.ErrAbortHandler)
-	case front.Fault(fault):
-		a.Replace(front.NotWhole(fault))
+	case front.SenderFault(fault):
+		a.Replace(front.IncompleteBody(fault))
 	case fault != nil:
 		a.Malformed = true
 	default:
@@ -129,7 +129,7 @@
 	rc.EnableFullDuplex() // else the server reads the body before it lets the answer out
 	in.write(w, r, conn, a)
 	rc.Flush()
-	body := front.Pace(r.Body, rc, time.Duration(conn.begun.Load()))
+	body := front.NewPacedBody(r.Body, rc, time.Duration(conn.begun.Load()))
 	if n, err := io.Copy(io.Discard, body); err != nil || n != r.ContentLength {
 		panic(http.ErrAbortHandler) // the server would take the rest for a request
 	}
--- a/internal/front/http1/http1_test.go
+++ b/internal/front/http1/http1_test.go
@@ -131,9 +131,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config.Listen, config.Longest = "127.0.0.1:0", 8*time.Second
+	config.Listen, config.MaxWait = "127.0.0.1:0", 8*time.Second
 	if config.Limit == 0 {
-		config.Limit, config.Crowd = limit, crowd
+		config.Limit, config.BusyThreshold = limit, crowd
 	}
 	s, err := Listen(config, core.New(table))
 	if err != nil {
--- a/internal/front/http1/idle_test.go
+++ b/internal/front/http1/idle_test.go
@@ -13,7 +13,7 @@
 // bare sockets, which take nothing of the process's own memory.
 func BenchmarkIdle(b *testing.B) {
 	const connections = 4000 // each takes two descriptors here
-	s := startWith(b, Config{Limit: 2 * connections, Crowd: 2 * connections}, nil, listenEndpoint(b, echo(func(*http.Request) {})))
+	s := startWith(b, Config{Limit: 2 * connections, BusyThreshold: 2 * connections}, nil, listenEndpoint(b, echo(func(*http.Request) {})))
 	addr := s.Addr().(*net.TCPAddr)
 	to := &syscall.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}
 	buf := make([]byte, 4096)
--- a/internal/front/http1/listener_test.go
+++ b/internal/front/http1/listener_test.go
@@ -135,7 +135,7 @@
 			io.WriteString(c, tile("accepted"))
 			<-accepted
 			if yielded {
-				s.Yield()
+				s.StopAccepting()
 			}
 			stop()
 			for closed := false; !closed; runtime.Gosched() {
@@ -169,7 +169,7 @@
 	const clients, closes = 10, 20 * time.Millisecond // closes: in which it would close the listener
 	s := listening(t, Config{}, nil, listenEndpoint(t, echo(func(*http.Request) {})))
 	s.listener.shared.Store(true)
-	s.Yield()
+	s.StopAccepting()
 	var queue []net.Conn
 	for i := range clients {
 		c := dial(t, s)
@@ -186,7 +186,7 @@
 	case <-stopped:
 	case <-time.After(closes):
 	}
-	s.Unyield()
+	s.ResumeAccepting()
 	for i, c := range queue {
 		if status, _ := read(t, c); status != 200 {
 			t.Errorf("client %d: status %d", i, status)
--- a/internal/front/http1/plain.go
+++ b/internal/front/http1/plain.go
@@ -304,7 +304,7 @@
 	}
 	held, err := body.whole(x)
 	if err != nil {
-		a := front.NotWhole(err)
+		a := front.IncompleteBody(err)
 		p.drop(a)
 		return p.refuse(a, body, true)
 	}
@@ -441,7 +441,7 @@
 	if b.left == int64(len(b.here)) {
 		return b
 	}
-	return front.Pace(b, b.p, time.Duration(b.p.begun.Load()))
+	return front.NewPacedBody(b, b.p, time.Duration(b.p.begun.Load()))
 }
 
 // whole reads a body within the core's room for it.
--- a/internal/front/http1/plain_test.go
+++ b/internal/front/http1/plain_test.go
@@ -267,9 +267,9 @@
 	opened chan bool
 }
 
-func (d *heldDoor) Judges() bool { return true }
+func (d *heldDoor) Active() bool { return true }
 
-func (d *heldDoor) Judge(target string) (bool, time.Duration) {
+func (d *heldDoor) Refuse(target string) (bool, time.Duration) {
 	d.asked <- target
 	<-d.opened
 	return false, 0
@@ -279,7 +279,7 @@
 // and who comes while there is none is not shut unread.
 func TestReadRequestIsNotEvicted(t *testing.T) {
 	door := &heldDoor{asked: make(chan string, 2), opened: make(chan bool)}
-	s := startWith(t, Config{Limit: 1, Crowd: 1, Door: door}, nil, listenEndpoint(t, echo(func(*http.Request) {})))
+	s := startWith(t, Config{Limit: 1, BusyThreshold: 1, Admission: door}, nil, listenEndpoint(t, echo(func(*http.Request) {})))
 	first := dial(t, s)
 	io.WriteString(first, tile("first"))
 	<-door.asked
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -39,15 +39,15 @@
 
 // Config is what a server is made of.
 type Config struct {
-	Listen string
-	Shared *net.TCPListener // that another process has opened; nil: Listen is opened
-	Limit  int              // connections that clients may hold
+	Listen   string
+	Listener *net.TCPListener // that another process has opened; nil: Listen is opened
+	Limit    int              // connections that clients may hold
 	// Pipelining lets clients send a request before the one ahead of it has been
 	// answered. What is behind a request then is taken for the next one.
-	Pipelining bool
-	Crowd      int           // of those, how many may stay before others are asked to leave with their first answer
-	Longest    time.Duration // the longest that a client may ever wait for an answer
-	Door       Door          // nil: all are read
+	Pipelining    bool
+	BusyThreshold int           // of those, how many may stay before others are asked to leave with their first answer
+	MaxWait       time.Duration // the longest that a client may ever wait for an answer
+	Admission     Admission     // nil: all are read
 }
 
 // Server takes requests by HTTP/1.1.
@@ -63,13 +63,13 @@
 
 // Listen opens the server's address.
 func Listen(c Config, requests *core.Core) (*Server, error) {
-	s := &Server{core: requests, handler: &handler{core: requests}, conns: newConnTable(c.Limit, c.Crowd)}
-	s.conns.pipelining, s.conns.door = c.Pipelining, c.Door
+	s := &Server{core: requests, handler: &handler{core: requests}, conns: newConnTable(c.Limit, c.BusyThreshold)}
+	s.conns.pipelining, s.conns.door = c.Pipelining, c.Admission
 	s.server = &http.Server{
 		Handler:           s.handler,
 		ReadHeaderTimeout: requestPatience,
 		IdleTimeout:       restPatience,
-		WriteTimeout:      requestPatience + c.Longest + writePatience, // from the end of the head
+		WriteTimeout:      requestPatience + c.MaxWait + writePatience, // from the end of the head
 		MaxHeaderBytes:    framing.MaxHead,
 
 		DisableGeneralOptionsHandler: true, // it would answer a request that is none of ours with 200
@@ -78,7 +78,7 @@
 		ConnState:   s.conns.state,
 		ErrorLog:    log.New(panicsOnly{}, "", 0),
 	}
-	l := c.Shared
+	l := c.Listener
 	if l == nil {
 		var err error
 		if l, err = listen(c.Listen); err != nil {
@@ -86,7 +86,7 @@
 		}
 	}
 	s.listener = &listener{TCPListener: l, add: s.conns.add}
-	s.listener.shared.Store(c.Shared != nil)
+	s.listener.shared.Store(c.Listener != nil)
 	s.rest = newRest(l.Addr())
 	return s, nil
 }
@@ -121,9 +121,9 @@
 // stay before others are asked to leave with their first answer.
 func (s *Server) Resize(limit, crowd int) { s.conns.resize(limit, crowd) }
 
-// SetLeave sets whether clients are asked to leave with their next answer, and
+// SetDraining sets whether clients are asked to leave with their next answer, and
 // GET /health/ready is answered 503.
-func (s *Server) SetLeave(leave bool) {
+func (s *Server) SetDraining(leave bool) {
 	s.handler.drained.Store(leave)
 	s.conns.setLeave(leave)
 }
@@ -131,15 +131,15 @@
 // SetAltSvc sets the value of Alt-Svc (RFC 7838) with each answer; "": none.
 func (s *Server) SetAltSvc(value string) { s.handler.altSvc.Store(&value) }
 
-// Yield leaves new connections to another process that has the same listener,
+// StopAccepting leaves new connections to another process that has the same listener,
 // and asks clients to leave with their next answer.
-func (s *Server) Yield() {
+func (s *Server) StopAccepting() {
 	s.listener.pause()
 	s.conns.setLeave(true)
 }
 
-// Unyield takes new connections again: that process has ended.
-func (s *Server) Unyield() {
+// ResumeAccepting takes new connections again: that process has ended.
+func (s *Server) ResumeAccepting() {
 	s.conns.setLeave(s.handler.drained.Load())
 	s.listener.resume()
 }
--- a/internal/front/http1/stream_test.go
+++ b/internal/front/http1/stream_test.go
@@ -231,7 +231,7 @@
 	if status, _ := read(t, c); status != 503 {
 		t.Errorf("status %d", status)
 	}
-	if took := time.Since(begun); took > front.RequestPatience/2 {
+	if took := time.Since(begun); took > front.RequestTimeout/2 {
 		t.Errorf("it took %v: the sender was waited for", took)
 	}
 }
--- a/internal/front/http1/write.go
+++ b/internal/front/http1/write.go
@@ -124,7 +124,7 @@
 func (p *plain) stream(head, body []byte, chunked bool, s core.Stream) error {
 	p.passing(s)
 	defer p.passing(nil)
-	err := front.Pass(body, s, func(piece []byte) error {
+	err := front.CopyStream(body, s, func(piece []byte) error {
 		if len(piece) == 0 && len(head) == 0 {
 			return nil
 		}
--- a/internal/front/http3/handler.go
+++ b/internal/front/http3/handler.go
@@ -47,7 +47,7 @@
 		front.Write(r.Context(), w, refused)
 		return
 	}
-	body := front.Pace(r.Body, rc, begun)
+	body := front.NewPacedBody(r.Body, rc, begun)
 	held, more, err := front.ReadBody(body, length, x.ReserveBody)
 	switch {
 	case err != nil:
@@ -74,8 +74,8 @@
 	if err != nil {
 		in.left(c)
 	}
-	if front.Fault(fault) {
-		a.Replace(front.NotWhole(fault))
+	if front.SenderFault(fault) {
+		a.Replace(front.IncompleteBody(fault))
 	}
 	front.Write(r.Context(), w, &a)
 }
@@ -108,7 +108,7 @@
 // not the one told is malformed, a matter of the stream (RFC 9114 section
 // 4.1.2), and one that its client cancelled has nobody who waits.
 func (in *handler) notWhole(w http.ResponseWriter, r *http.Request, c *conn, x *core.Exchange, err error) {
-	a := front.NotWhole(err)
+	a := front.IncompleteBody(err)
 	if x != nil {
 		x.Drop(a)
 	}
--- a/internal/front/http3/server.go
+++ b/internal/front/http3/server.go
@@ -36,8 +36,8 @@
 	MaxHead          int    // bytes of a request's fields, with 32 more for each (RFC 9114 section 4.2.2)
 	Handshake        time.Duration
 	Idle             time.Duration
-	Resets           float64  // requests a second that a client may cancel on a connection, sustained
-	Unvalidated      int      // handshakes under way from which on addresses are validated first
+	MaxResetRate     float64  // requests a second that a client may cancel on a connection, sustained
+	MaxUnvalidated   int      // handshakes under way from which on addresses are validated first
 	Front            int      // its number at the core
 	Routing          *Routing // nil: connection IDs are random
 	Secret           string   // with that of Key, what the keys of stateless resets and address tokens are derived from
@@ -118,7 +118,7 @@
 	token := quic.TokenGeneratorKey(sha256.Sum256([]byte("spokegw address token\x00" + s.config.Secret)))
 	t := &quic.Transport{
 		Conn: s.udp, ConnectionIDLength: 8, StatelessResetKey: &reset, TokenGeneratorKey: &token, MaxTokenAge: time.Hour,
-		VerifySourceAddress: func(net.Addr) bool { return s.shaking.Load() >= int64(s.config.Unvalidated) },
+		VerifySourceAddress: func(net.Addr) bool { return s.shaking.Load() >= int64(s.config.MaxUnvalidated) },
 		ConnContext:         s.admit,
 	}
 	if s.config.Routing != nil {
@@ -225,7 +225,7 @@
 func (s *Server) add(qc *quic.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conns[qc] = newConn(qc, s.config.Resets, time.Now())
+	s.conns[qc] = newConn(qc, s.config.MaxResetRate, time.Now())
 }
 
 func (s *Server) remove(qc *quic.Conn) {
--- a/internal/front/upload.go
+++ b/internal/front/upload.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// RequestPatience is for a request to come whole, from its first byte or, if
+	// RequestTimeout is for a request to come whole, from its first byte or, if
 	// it is the connection's first, from when that was made. Clients are owed an
 	// answer or a close within 3 s, however little they say.
-	RequestPatience = 2500 * time.Millisecond
+	RequestTimeout = 2500 * time.Millisecond
 	// piecePatience and leastRate are for a body that takes longer: a client on a
 	// slow link sends 64 kB a second, with pauses, and one that stops is owed an
 	// end. Who has sent much is in earnest and may pause for longer, up to
@@ -27,8 +27,8 @@
 	leastRate     = 32_000 // bytes a second
 )
 
-// Paced is a body that has to keep coming.
-type Paced struct {
+// PacedBody is a body that has to keep coming.
+type PacedBody struct {
 	body  io.Reader
 	rc    Reading
 	begun time.Duration // as Now, when the request's first byte came
@@ -40,19 +40,19 @@
 	SetReadDeadline(t time.Time) error
 }
 
-// Pace has a body keep coming. It sets the times at which reading ends.
-func Pace(body io.Reader, rc Reading, begun time.Duration) *Paced {
-	rc.SetReadDeadline(At(begun + RequestPatience))
-	return &Paced{body: body, rc: rc, begun: begun}
+// NewPacedBody has a body keep coming. It sets the times at which reading ends.
+func NewPacedBody(body io.Reader, rc Reading, begun time.Duration) *PacedBody {
+	rc.SetReadDeadline(At(begun + RequestTimeout))
+	return &PacedBody{body: body, rc: rc, begun: begun}
 }
 
-func (p *Paced) Read(b []byte) (int, error) {
-	if now := Now(); now > p.begun+RequestPatience-piecePatience {
+func (p *PacedBody) Read(b []byte) (int, error) {
+	if now := Now(); now > p.begun+RequestTimeout-piecePatience {
 		seconds := func(bytes int64, rate float64) time.Duration {
 			return time.Duration(float64(bytes) / rate * float64(time.Second))
 		}
 		pause := min(piecePatience+seconds(p.got, earnestBytes), mostPause)
-		until := min(max(now+pause, p.begun+RequestPatience), p.begun+RequestPatience+seconds(p.got, leastRate))
+		until := min(max(now+pause, p.begun+RequestTimeout), p.begun+RequestTimeout+seconds(p.got, leastRate))
 		if until <= now {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -166,5 +166,5 @@
 	return u.err
 }
 
-// Fault reports whether a body did not come whole for a reason of its sender's.
-func Fault(err error) bool { return err != nil && !errors.Is(err, errUploadEnded) }
+// SenderFault reports whether a body did not come whole for a reason of its sender's.
+func SenderFault(err error) bool { return err != nil && !errors.Is(err, errUploadEnded) }
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -31,9 +31,9 @@
 
 var (
 	errBusy = errors.New("handover: the other process has a successor already")
-	// ErrNobody tells that no process serves at the path.
-	ErrNobody  = errors.New("handover: nobody is there")
-	errForeign = errors.New("handover: the other end is of another user")
+	// ErrNoProcess tells that no process serves at the path.
+	ErrNoProcess = errors.New("handover: nobody is there")
+	errForeign   = errors.New("handover: the other end is of another user")
 )
 
 // Path is where the sidecar that listens at an address is asked, in a folder
--- a/internal/handover/conn_test.go
+++ b/internal/handover/conn_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var maps = Of{Service: "maps"}
+var maps = ServiceRef{Service: "maps"}
 
 // host is a process that hands over.
 type host struct {
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return &host{t: t, listener: l.(*net.TCPListener), state: &State{Services: []Service{{Of: maps, Members: Members{Version: 7, Full: true, Entries: []discovery.Entry{{ID: "s-1", Addr: "a", State: "leaving"}}}}}, IDs: IDs{Key: 3, Hashes: []uint64{1, 2}}},
+	return &host{t: t, listener: l.(*net.TCPListener), state: &State{Services: []Service{{ServiceRef: maps, Members: Members{Version: 7, Full: true, Entries: []discovery.Entry{{ID: "s-1", Addr: "a", State: "leaving"}}}}}, IDs: IDs{Key: 3, Hashes: []uint64{1, 2}}},
 		served: make(chan struct{}, 8), parts: make(chan float64, 8), ended: make(chan struct{}, 8), keys: make(chan Key, 8)}
 }
 
@@ -52,10 +52,10 @@
 	f, err := h.listener.File()
 	return h.state, 0.5, f, err
 }
-func (h *host) SuccessorServes()                       { h.served <- struct{}{} }
-func (h *host) SuccessorHas(part float64, handed bool) { h.parts <- part }
-func (h *host) SuccessorEnded()                        { h.ended <- struct{}{} }
-func (h *host) SuccessorKey(k Key)                     { h.keys <- k }
+func (h *host) SuccessorReady()                                 { h.served <- struct{}{} }
+func (h *host) SuccessorShareChanged(part float64, handed bool) { h.parts <- part }
+func (h *host) SuccessorEnded()                                 { h.ended <- struct{}{} }
+func (h *host) SuccessorKey(k Key)                              { h.keys <- k }
 
 // offer has a host wait at a path for the length of a test.
 func offer(t *testing.T, path string, h *host) *Offerer {
@@ -87,13 +87,13 @@
 	h := newHost(t)
 	path := Path(t.TempDir(), h.addr())
 	o := offer(t, path, h)
-	p, err := Ask(path, "n0", h.addr(), false)
+	p, err := Request(path, "n0", h.addr(), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	of := p.State.Find(maps)
-	if p.Part != 0.5 || of == nil || of.Members.Version != 7 || of.Members.Entries[0].State != "leaving" || len(p.State.IDs.Hashes) != 2 {
-		t.Errorf("part %v, state %+v", p.Part, p.State)
+	if p.Share != 0.5 || of == nil || of.Members.Version != 7 || of.Members.Entries[0].State != "leaving" || len(p.State.IDs.Hashes) != 2 {
+		t.Errorf("part %v, state %+v", p.Share, p.State)
 	}
 	if p.Listener.Addr().String() != h.addr() {
 		t.Errorf("the listener is at %v", p.Listener.Addr())
@@ -106,31 +106,31 @@
 		p.Follow(func(m Members) { told <- m }, func(k Key, _ uint64) { keys <- k }, func(part float64) { parts <- part })
 		close(followed)
 	}()
-	if err := p.Serving(); err != nil {
+	if err := p.ReportServing(); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the word that it serves", h.served)
-	p.Told(0.25, true)
+	p.SendShare(0.25, true)
 	if part := await(t, "its part", h.parts); part != 0.25 {
 		t.Errorf("part %v", part)
 	}
-	o.Tell(Members{Version: 8, Entries: []discovery.Entry{{ID: "s-2"}}})
+	o.SendMembers(Members{Version: 8, Entries: []discovery.Entry{{ID: "s-2"}}})
 	if m := await(t, "what discovery told", told); m.Version != 8 || m.Entries[0].ID != "s-2" {
 		t.Errorf("%+v", m)
 	}
-	o.TellKey(Key{Of: maps, Note: keyed.Note{Key: 9, Cell: 4}})
+	o.SendKey(Key{ServiceRef: maps, Note: keyed.Note{Key: 9, Cell: 4}})
 	if k := await(t, "a keyed request", keys); !k.Is(maps) || k.Key != 9 || k.Cell != 4 {
 		t.Errorf("%+v", k)
 	}
-	o.TellPart(0.125)
+	o.SendShare(0.125)
 	await(t, "the part of the one before", parts)
-	if _, err := Ask(path, "n0", h.addr(), false); err == nil {
+	if _, err := Request(path, "n0", h.addr(), false); err == nil {
 		t.Error("a second successor was given something while the first is there")
 	}
 	p.Close()
 	await(t, "the end of the successor", h.ended)
 	<-followed
-	again, err := Ask(path, "n0", h.addr(), false) // the path is the host's again
+	again, err := Request(path, "n0", h.addr(), false) // the path is the host's again
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 				}
 			}()
 			begun := time.Now()
-			if p, err := Ask(path, "n0", "127.0.0.1:1", false); err == nil {
+			if p, err := Request(path, "n0", "127.0.0.1:1", false); err == nil {
 				t.Errorf("%+v was taken", p)
 			}
 			if took := time.Since(begun); took > 2*askPatience {
@@ -207,10 +207,10 @@
 		io.WriteString(c, text)
 		c.Close()
 	}
-	if _, err := Ask(path, "another", h.addr(), false); err == nil {
+	if _, err := Request(path, "another", h.addr(), false); err == nil {
 		t.Error("a sidecar of another name was given something")
 	}
-	p, err := Ask(path, "n0", h.addr(), false)
+	p, err := Request(path, "n0", h.addr(), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,7 +222,7 @@
 func TestNobody(t *testing.T) {
 	dir := t.TempDir()
 	path := Path(dir, "127.0.0.1:8080")
-	if _, err := Ask(path, "n0", "127.0.0.1:8080", false); !errors.Is(err, ErrNobody) {
+	if _, err := Request(path, "n0", "127.0.0.1:8080", false); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("%v", err)
 	}
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -231,7 +231,7 @@
 	}
 	l.SetUnlinkOnClose(false)
 	l.Close() // as of a process that was killed
-	if _, err := Ask(path, "n0", "127.0.0.1:8080", false); !errors.Is(err, ErrNobody) {
+	if _, err := Request(path, "n0", "127.0.0.1:8080", false); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("a dead process: %v", err)
 	}
 	h := newHost(t)
@@ -240,7 +240,7 @@
 	if err := os.WriteFile(path, []byte("somebody's"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Ask(path, "n0", "127.0.0.1:8080", false); err == nil || errors.Is(err, ErrNobody) {
+	if _, err := Request(path, "n0", "127.0.0.1:8080", false); err == nil || errors.Is(err, ErrNoProcess) {
 		t.Errorf("a file: %v", err)
 	}
 	if err := NewOfferer(path, "n0", "x", h).Offer(t.Context(), new(sync.WaitGroup)); err == nil {
@@ -260,7 +260,7 @@
 	h := newHost(t)
 	path := Path(dir, h.addr())
 	offer(t, path, h)
-	p, err := Ask(path, "n0", h.addr(), false)
+	p, err := Request(path, "n0", h.addr(), false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/division.go
+++ b/internal/handover/division.go
@@ -11,14 +11,14 @@
 	gone bool    // the successor has one of its own, which is to have what it leaves
 }
 
-// Alone is the division of a process that found none before it.
-func Alone() Division { return Division{own: 1} }
+// FullDivision is the division of a process that found none before it.
+func FullDivision() Division { return Division{own: 1} }
 
-// After is that of one whose predecessor has kept so much and given as much.
-func After(kept float64) Division { return Division{own: kept, pred: kept} }
+// SuccessorDivision is that of one whose predecessor has kept so much and given as much.
+func SuccessorDivision(kept float64) Division { return Division{own: kept, pred: kept} }
 
-// Part is what the process may use, over 0 and at most 1.
-func (d *Division) Part() float64 { return d.own }
+// Share is what the process may use, over 0 and at most 1.
+func (d *Division) Share() float64 { return d.own }
 
 // Split gives half to a successor; it returns what each has then.
 func (d *Division) Split() float64 {
@@ -27,19 +27,19 @@
 	return d.own
 }
 
-// Handed reports whether a successor is there: it has what this one leaves.
-func (d *Division) Handed() bool { return d.succ > 0 }
+// HasSuccessor reports whether a successor is there: it has what this one leaves.
+func (d *Division) HasSuccessor() bool { return d.succ > 0 }
 
-// PredecessorHas notes what the predecessor has by its own word.
-func (d *Division) PredecessorHas(part float64) {
+// SetPredecessorShare notes what the predecessor has by its own word.
+func (d *Division) SetPredecessorShare(part float64) {
 	if d.pred > 0 {
 		d.pred = part
 	}
 }
 
-// SuccessorHas notes what the successor has by its own word, and whether it has
+// SetSuccessorShare notes what the successor has by its own word, and whether it has
 // a successor itself.
-func (d *Division) SuccessorHas(part float64, handed bool) {
+func (d *Division) SetSuccessorShare(part float64, handed bool) {
 	if d.succ > 0 {
 		d.succ, d.gone = part, handed
 	}
--- a/internal/handover/division_test.go
+++ b/internal/handover/division_test.go
@@ -68,10 +68,10 @@
 // told sends a process's part to its neighbours.
 func (c *chain) told(i int, alsoDown bool) {
 	if i > 0 {
-		c.links[i-1].up = append(c.links[i-1].up, word{c.procs[i].Part(), c.procs[i].Handed()})
+		c.links[i-1].up = append(c.links[i-1].up, word{c.procs[i].Share(), c.procs[i].HasSuccessor()})
 	}
 	if alsoDown && i < len(c.links) {
-		c.links[i].down = append(c.links[i].down, word{part: c.procs[i].Part()})
+		c.links[i].down = append(c.links[i].down, word{part: c.procs[i].Share()})
 	}
 }
 
@@ -88,7 +88,7 @@
 	case "start":
 		kept := p.Split()
 		n.told(e.at, false)
-		n.procs = append(n.procs, process{Division: After(kept), alive: true})
+		n.procs = append(n.procs, process{Division: SuccessorDivision(kept), alive: true})
 		n.links = append(n.links, link{})
 	case "end":
 		p.alive = false
@@ -113,10 +113,10 @@
 	sum := 0.0
 	for _, p := range n.procs {
 		if p.alive {
-			if p.Part() <= 0 {
+			if p.Share() <= 0 {
 				return n, errNone
 			}
-			sum += p.Part()
+			sum += p.Share()
 		}
 	}
 	if sum > 1+1e-9 {
@@ -127,18 +127,18 @@
 
 func (c *chain) hear(at int, p *process, fromBefore bool, w word) {
 	part := w.part
-	before, handed := p.Part(), p.Handed()
+	before, handed := p.Share(), p.HasSuccessor()
 	switch {
 	case fromBefore && part < 0:
 		p.PredecessorEnded()
 	case fromBefore:
-		p.PredecessorHas(part)
+		p.SetPredecessorShare(part)
 	case part < 0:
 		p.SuccessorEnded()
 	default:
-		p.SuccessorHas(part, w.handed)
+		p.SetSuccessorShare(part, w.handed)
 	}
-	if p.Part() != before || p.Handed() != handed {
+	if p.Share() != before || p.HasSuccessor() != handed {
 		c.told(at, true)
 	}
 }
@@ -152,15 +152,15 @@
 			alive = append(alive, p)
 		}
 	}
-	if len(alive) == 1 && math.Abs(alive[0].Part()-1) > 1e-9 && len(c.procs) <= 2 {
-		return fmt.Errorf("%w: %v", errLost, alive[0].Part())
+	if len(alive) == 1 && math.Abs(alive[0].Share()-1) > 1e-9 && len(c.procs) <= 2 {
+		return fmt.Errorf("%w: %v", errLost, alive[0].Share())
 	}
 	return nil
 }
 
 func TestDivisionExplored(t *testing.T) {
 	model := explore.Model[chain, chainEvent]{
-		Start:  chain{procs: []process{{Division: Alone(), alive: true}}},
+		Start:  chain{procs: []process{{Division: FullDivision(), alive: true}}},
 		Events: chain.events,
 		Step:   chain.step,
 		Key:    func(c chain) string { return fmt.Sprintf("%+v", c) },
--- a/internal/handover/inbox_test.go
+++ b/internal/handover/inbox_test.go
@@ -14,7 +14,7 @@
 	h := newHost(t)
 	path := Path(t.TempDir(), h.addr())
 	o := offer(t, path, h)
-	p, err := Ask(path, "n0", h.addr(), false)
+	p, err := Request(path, "n0", h.addr(), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,12 +27,12 @@
 		defer close(followed)
 		p.Follow(func(Members) { <-busy }, func(k Key, _ uint64) { keys <- k.Key }, func(float64) {})
 	}()
-	if err := p.Serving(); err != nil {
+	if err := p.ReportServing(); err != nil {
 		t.Fatal(err)
 	}
-	o.Tell(Members{})
+	o.SendMembers(Members{})
 	for key := range uint64(3) {
-		if err := o.TellKey(Key{Of: maps, Note: noteOf(key)}); err != nil || p.CatchUp() != nil {
+		if err := o.SendKey(Key{ServiceRef: maps, Note: noteOf(key)}); err != nil || p.CatchUp() != nil {
 			t.Fatal(err)
 		}
 		select {
@@ -44,7 +44,7 @@
 			t.Fatalf("key %d was told, and is not found", key)
 		}
 	}
-	if err := p.TellKey(Key{Of: maps, Note: noteOf(7)}); err != nil || o.CatchUp() != nil {
+	if err := p.SendKey(Key{ServiceRef: maps, Note: noteOf(7)}); err != nil || o.CatchUp() != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -75,14 +75,14 @@
 	h := newHost(t)
 	path := Path(t.TempDir(), h.addr())
 	o := offer(t, path, h)
-	p, err := Ask(path, "n0", h.addr(), false)
+	p, err := Request(path, "n0", h.addr(), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Listener.Close()
 	told, found := 0, 0
 	for ; ; told++ {
-		if o.TellKey(Key{Of: maps, Note: noteOf(9)}) != nil {
+		if o.SendKey(Key{ServiceRef: maps, Note: noteOf(9)}) != nil {
 			break
 		}
 	}
--- a/internal/handover/kept_test.go
+++ b/internal/handover/kept_test.go
@@ -16,43 +16,43 @@
 	h := newHost(t)
 	path := Path(t.TempDir(), h.addr())
 	o := offer(t, path, h)
-	key := Key{Of: maps, Note: keyed.Note{Key: 9}}
-	if err := o.KeepKey(t.Context(), key); !errors.Is(err, ErrNotKept) {
+	key := Key{ServiceRef: maps, Note: keyed.Note{Key: 9}}
+	if err := o.PersistKey(t.Context(), key); !errors.Is(err, ErrNotPersisted) {
 		t.Errorf("without a successor: %v", err)
 	}
 	p, numbers := successor(t, h, path, true)
 	words := make(chan error, 1)
 	for _, ok := range []bool{true, false} {
-		go func() { words <- o.KeepKey(t.Context(), key) }()
+		go func() { words <- o.PersistKey(t.Context(), key) }()
 		number := await(t, "a key with a number", numbers)
-		p.Kept(number+7, ok) // nobody waits for that
+		p.ConfirmKey(number+7, ok) // nobody waits for that
 		select {
 		case err := <-words:
 			t.Fatalf("without a word on it: %v", err)
 		default:
 		}
-		p.Kept(number, ok)
-		p.Kept(number, !ok) // once more is no matter
-		if err := await(t, "the word", words); ok != (err == nil) || !ok && !errors.Is(err, ErrNotKept) {
+		p.ConfirmKey(number, ok)
+		p.ConfirmKey(number, !ok) // once more is no matter
+		if err := await(t, "the word", words); ok != (err == nil) || !ok && !errors.Is(err, ErrNotPersisted) {
 			t.Errorf("kept %v: %v", ok, err)
 		}
 	}
 	late, cancel := context.WithTimeoutCause(t.Context(), time.Millisecond, errors.New("its time is over"))
 	defer cancel()
-	if err := o.KeepKey(late, key); err == nil || err.Error() != "its time is over" {
+	if err := o.PersistKey(late, key); err == nil || err.Error() != "its time is over" {
 		t.Errorf("with no word in time: %v", err)
 	}
 	await(t, "that key", numbers)
-	go func() { words <- o.KeepKey(t.Context(), key) }()
+	go func() { words <- o.PersistKey(t.Context(), key) }()
 	await(t, "a key with a number", numbers)
 	p.Close()
-	if err := await(t, "the word after the end", words); !errors.Is(err, ErrNotKept) {
+	if err := await(t, "the word after the end", words); !errors.Is(err, ErrNotPersisted) {
 		t.Errorf("of one that has ended: %v", err)
 	}
 	await(t, "the end of the successor", h.ended)
 
 	p, _ = successor(t, h, path, false)
-	if err := o.KeepKey(t.Context(), key); !errors.Is(err, ErrKeepsNot) {
+	if err := o.PersistKey(t.Context(), key); !errors.Is(err, ErrNoPersistence) {
 		t.Errorf("of one that says nothing: %v", err)
 	}
 	p.Close()
@@ -71,12 +71,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	words := make(chan error, mostUnkept+1)
 	for range mostUnkept {
-		go func() { words <- o.KeepKey(ctx, Key{Of: maps, Note: keyed.Note{}}) }()
+		go func() { words <- o.PersistKey(ctx, Key{ServiceRef: maps, Note: keyed.Note{}}) }()
 	}
 	for range mostUnkept {
 		await(t, "a key", numbers)
 	}
-	if err := o.KeepKey(t.Context(), Key{Of: maps, Note: keyed.Note{}}); !errors.Is(err, ErrNotKept) {
+	if err := o.PersistKey(t.Context(), Key{ServiceRef: maps, Note: keyed.Note{}}); !errors.Is(err, ErrNotPersisted) {
 		t.Errorf("one more: %v", err)
 	}
 	cancel()
@@ -90,7 +90,7 @@
 // successor asks at a path and serves; it hands on the numbers of the keys that it is told.
 func successor(t *testing.T, h *host, path string, keeps bool) (*Predecessor, chan uint64) {
 	t.Helper()
-	p, err := Ask(path, "n0", h.addr(), keeps)
+	p, err := Request(path, "n0", h.addr(), keeps)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 		close(followed)
 	}()
 	t.Cleanup(func() { <-followed })
-	if err := p.Serving(); err != nil {
+	if err := p.ReportServing(); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the word that it serves", h.served)
--- a/internal/handover/offerer.go
+++ b/internal/handover/offerer.go
@@ -21,9 +21,9 @@
 	// that each of the two has from then on. It must not tell the successor
 	// anything.
 	Offer() (s *State, part float64, listener *os.File, err error)
-	SuccessorServes()                       // and takes all that is new
-	SuccessorHas(part float64, handed bool) // of the limits, by its own word
-	SuccessorKey(k Key)                     // that is to be sent there; called beside the others, and must not wait
+	SuccessorReady()                                 // and takes all that is new
+	SuccessorShareChanged(part float64, handed bool) // of the limits, by its own word
+	SuccessorKey(k Key)                              // that is to be sent there; called beside the others, and must not wait
 	SuccessorEnded()
 }
 
@@ -147,10 +147,10 @@
 	for r := range p.in.follow() {
 		switch r.Kind {
 		case KindServing:
-			o.host.SuccessorServes()
+			o.host.SuccessorReady()
 			p.send(&Record{Kind: KindServing}, nil, relayPatience) // one that has ended shows in what is read
 		case KindPart:
-			o.host.SuccessorHas(r.Part, r.Handed)
+			o.host.SuccessorShareChanged(r.Part, r.Handed)
 		}
 	}
 	p.conn.Close()
@@ -172,7 +172,7 @@
 	o.mu.Lock()
 	o.successor = nil
 	for _, word := range o.unkept {
-		word <- ErrNotKept
+		word <- ErrNotPersisted
 	}
 	clear(o.unkept)
 	before := o.listener
@@ -188,13 +188,13 @@
 	before.Close() // only now: there is no moment at which nobody is there
 }
 
-// Tell relays what discovery told to the successor, if there is one. One that
+// SendMembers relays what discovery told to the successor, if there is one. One that
 // does not read is taken for ended.
-func (o *Offerer) Tell(m Members) { o.tell(&Record{Kind: KindMembers, Members: &m}) }
+func (o *Offerer) SendMembers(m Members) { o.tell(&Record{Kind: KindMembers, Members: &m}) }
 
-// TellKey tells the successor, if there is one, of a keyed request that is to be sent. When it
+// SendKey tells the successor, if there is one, of a keyed request that is to be sent. When it
 // returns the note is where the successor's CatchUp finds it; on an error that is not so.
-func (o *Offerer) TellKey(k Key) error {
+func (o *Offerer) SendKey(k Key) error {
 	if p := o.peer(); p != nil {
 		return p.tellKey(k)
 	}
@@ -210,19 +210,19 @@
 }
 
 var (
-	// ErrKeepsNot tells that the successor does not say when a key is on its disk: it is
+	// ErrNoPersistence tells that the successor does not say when a key is on its disk: it is
 	// of an earlier version, or keeps none.
-	ErrKeepsNot = errors.New("handover: the successor does not say what it keeps")
-	// ErrNotKept tells that a key is not on the successor's disk.
-	ErrNotKept = errors.New("handover: the successor has not kept it")
+	ErrNoPersistence = errors.New("handover: the successor does not say what it keeps")
+	// ErrNotPersisted tells that a key is not on the successor's disk.
+	ErrNotPersisted = errors.New("handover: the successor has not kept it")
 )
 
 // mostUnkept bounds the keys whose being kept is waited for.
 const mostUnkept = 1024
 
-// KeepKey has the successor keep the note of a keyed request, and waits until it says
+// PersistKey has the successor keep the note of a keyed request, and waits until it says
 // that it is on its disk.
-func (o *Offerer) KeepKey(ctx context.Context, k Key) error {
+func (o *Offerer) PersistKey(ctx context.Context, k Key) error {
 	p, number, word, err := o.await()
 	if err != nil {
 		return err
@@ -247,9 +247,9 @@
 	defer o.mu.Unlock()
 	switch {
 	case o.successor == nil || len(o.unkept) >= mostUnkept:
-		return nil, 0, nil, ErrNotKept
+		return nil, 0, nil, ErrNotPersisted
 	case !o.keeps:
-		return nil, 0, nil, ErrKeepsNot
+		return nil, 0, nil, ErrNoPersistence
 	}
 	o.numbers++
 	word = make(chan error, 1)
@@ -267,17 +267,17 @@
 	}
 	delete(o.unkept, r.Number)
 	if r.Failed {
-		word <- ErrNotKept
+		word <- ErrNotPersisted
 	} else {
 		word <- nil
 	}
 }
 
-// Asked reports whether there is a successor, or was.
-func (o *Offerer) Asked() bool { return o.asked.Load() }
+// HadSuccessor reports whether there is a successor, or was.
+func (o *Offerer) HadSuccessor() bool { return o.asked.Load() }
 
-// Successor reports whether there is one.
-func (o *Offerer) Successor() bool { return o.peer() != nil }
+// HasSuccessor reports whether there is one.
+func (o *Offerer) HasSuccessor() bool { return o.peer() != nil }
 
 // peer is the connection to the successor; nil: there is none.
 func (o *Offerer) peer() *peer {
@@ -286,8 +286,8 @@
 	return o.successor
 }
 
-// TellPart tells the successor this process's part.
-func (o *Offerer) TellPart(part float64) { o.tell(&Record{Kind: KindPart, Part: part}) }
+// SendShare tells the successor this process's part.
+func (o *Offerer) SendShare(part float64) { o.tell(&Record{Kind: KindPart, Part: part}) }
 
 func (o *Offerer) tell(r *Record) {
 	if p := o.peer(); p != nil && p.send(r, nil, relayPatience) != nil {
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -20,18 +20,18 @@
 type Predecessor struct {
 	peer     *peer
 	State    *State
-	Part     float64 // of the limits, that it has kept; this one has as much
+	Share    float64 // of the limits, that it has kept; this one has as much
 	Listener *net.TCPListener
 
 	noted chan struct{} // closed when it has noted that this one serves
 	once  sync.Once
 }
 
-// Ask asks the process that serves at path to hand over. It returns nil and the
+// Request asks the process that serves at path to hand over. It returns nil and the
 // reason if there is none or it does not in time: then this one starts from
-// nothing. keeps promises a word of Kept for each key that comes with a number. It takes
+// nothing. keeps promises a word of ConfirmKey for each key that comes with a number. It takes
 // at most a second.
-func Ask(path, name, listen string, keeps bool) (*Predecessor, error) {
+func Request(path, name, listen string, keeps bool) (*Predecessor, error) {
 	until := time.Now().Add(askPatience)
 	for {
 		p, err := ask(path, &Record{Kind: KindHello, Name: name, Listen: listen, Keeps: keeps}, until)
@@ -51,19 +51,19 @@
 func ask(path string, hello *Record, until time.Time) (*Predecessor, error) {
 	info, err := os.Lstat(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, ErrNobody
+		return nil, ErrNoProcess
 	}
 	if err == nil && info.Mode().Type() != fs.ModeSocket {
 		return nil, fmt.Errorf("handover: %s is no socket", filepath.Base(path))
 	}
 	var conn net.Conn
-	err = unixsocket.Short(path, func(name string) error {
+	err = unixsocket.WithShortPath(path, func(name string) error {
 		var err error
 		conn, err = net.DialTimeout("unix", name, patience)
 		return err
 	})
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, ErrNobody // a process that was killed left it
+		return nil, ErrNoProcess // a process that was killed left it
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	return &Predecessor{peer: p, State: r.State, Part: r.Part, Listener: l, noted: make(chan struct{})}, nil
+	return &Predecessor{peer: p, State: r.State, Share: r.Part, Listener: l, noted: make(chan struct{})}, nil
 }
 
 // listenerOf is the listener that a descriptor stands for. It has to be one, at
@@ -125,10 +125,10 @@
 	return l, nil
 }
 
-// Serving tells the predecessor that this process serves, and waits until it has
+// ReportServing tells the predecessor that this process serves, and waits until it has
 // noted that: who stops it from then on stops one that has a successor. It needs
 // Follow to run.
-func (p *Predecessor) Serving() error {
+func (p *Predecessor) ReportServing() error {
 	if err := p.peer.send(&Record{Kind: KindServing}, nil, patience); err != nil {
 		return err
 	}
@@ -142,29 +142,29 @@
 	}
 }
 
-// Told tells the predecessor this process's part, and whether another is to have
+// SendShare tells the predecessor this process's part, and whether another is to have
 // it.
-func (p *Predecessor) Told(part float64, handed bool) {
+func (p *Predecessor) SendShare(part float64, handed bool) {
 	p.peer.send(&Record{Kind: KindPart, Part: part, Handed: handed}, nil, patience) // it may have ended: then it needs no word
 }
 
-// Kept tells the predecessor that the key of a number is on this process's disk, or can't
+// ConfirmKey tells the predecessor that the key of a number is on this process's disk, or can't
 // be.
-func (p *Predecessor) Kept(number uint64, ok bool) {
+func (p *Predecessor) ConfirmKey(number uint64, ok bool) {
 	p.peer.send(&Record{Kind: KindKept, Number: number, Failed: !ok}, nil, patience) // it may have ended: then nobody waits
 }
 
 // Close ends the connection: the predecessor takes this process for ended.
 func (p *Predecessor) Close() { p.peer.conn.Close() }
 
-// TellKey tells the predecessor that a keyed request is to be sent here.
-func (p *Predecessor) TellKey(k Key) error { return p.peer.tellKey(k) }
+// SendKey tells the predecessor that a keyed request is to be sent here.
+func (p *Predecessor) SendKey(k Key) error { return p.peer.tellKey(k) }
 
 // CatchUp has all handled that the predecessor has told of keys by now.
 func (p *Predecessor) CatchUp() error { return p.peer.in.catchUp() }
 
 // Follow hands on what the predecessor tells until it ends. A key with a number is sent
-// once Kept tells that it is on the disk. Keys are handed on by CatchUp too, one at a time;
+// once ConfirmKey tells that it is on the disk. Keys are handed on by CatchUp too, one at a time;
 // key must not wait.
 func (p *Predecessor) Follow(members func(Members), key func(k Key, number uint64), part func(float64)) {
 	defer p.peer.conn.Close()
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -76,7 +76,7 @@
 
 // Service is what is known of one service.
 type Service struct {
-	Of
+	ServiceRef
 	Members  Members          // none where its endpoints stand in the operator's file
 	Disabled []string         `json:",omitempty"` // endpoints, by operators
 	Classes  []string         // names, by the places that the rest knows
@@ -86,19 +86,19 @@
 	Moves    []moves.Record   `json:",omitempty"`
 }
 
-// Of names a service.
-type Of struct {
+// ServiceRef names a service.
+type ServiceRef struct {
 	Service  string
 	Platform bool // it is the platform's own, whatever its name
 }
 
 // Is reports whether two names are of one service.
-func (o Of) Is(other Of) bool {
+func (o ServiceRef) Is(other ServiceRef) bool {
 	return o.Platform == other.Platform && (o.Platform || o.Service == other.Service)
 }
 
 // Find is what is known of a service; nil where nothing is.
-func (s *State) Find(of Of) *Service {
+func (s *State) Find(of ServiceRef) *Service {
 	for i := range s.Services {
 		if s.Services[i].Is(of) {
 			return &s.Services[i]
@@ -109,7 +109,7 @@
 
 // Key is the note of a keyed request of a service.
 type Key struct {
-	Of
+	ServiceRef
 	keyed.Note
 	At time.Duration `json:",omitempty"` // by the machine's clock, when it was as old as the note says; 0: not known
 }
@@ -117,13 +117,13 @@
 // Aged is the key at a time of the machine's clock, which both processes go by: either may have
 // stood still while it was told.
 func (k Key) Aged(now time.Duration) Key {
-	k.Note = Aged(k.Note, k.At, now)
+	k.Note = AgeNote(k.Note, k.At, now)
 	k.At = now
 	return k
 }
 
-// Aged is a note that was as old as it says at a time, at a later one. It is remembered no shorter.
-func Aged(n keyed.Note, at, now time.Duration) keyed.Note {
+// AgeNote is a note that was as old as it says at a time, at a later one. It is remembered no shorter.
+func AgeNote(n keyed.Note, at, now time.Duration) keyed.Note {
 	if at > 0 {
 		n.Age += max(now-at, 0)
 	}
@@ -132,7 +132,7 @@
 
 // Members are entries from discovery: the whole list, or only changes.
 type Members struct {
-	Of
+	ServiceRef
 	Version int64 // that they are at least as new as; 0: not known
 	Full    bool
 	Entries []discovery.Entry
--- a/internal/handover/steps_test.go
+++ b/internal/handover/steps_test.go
@@ -48,7 +48,7 @@
 		if dies.asked {
 			await(t, "the end of one that died after "+name, h.ended)
 		}
-		p, err := Ask(path, "n0", h.addr(), false)
+		p, err := Request(path, "n0", h.addr(), false)
 		if err != nil {
 			t.Fatalf("after one that died after %s: %v", name, err)
 		}
@@ -98,7 +98,7 @@
 				}
 			}()
 			begun := time.Now()
-			p, err := Ask(path, "n0", shared.addr(), false)
+			p, err := Request(path, "n0", shared.addr(), false)
 			if took := time.Since(begun); took > 2*askPatience {
 				t.Errorf("it took %v", took)
 			}
@@ -108,7 +108,7 @@
 			<-died
 			if p != nil {
 				p.Follow(func(Members) {}, func(Key, uint64) {}, func(float64) {}) // ends at once
-				p.Serving()                                                        // nobody hears it
+				p.ReportServing()                                                  // nobody hears it
 				p.Listener.Close()
 			}
 			c, err := net.Dial("tcp", shared.addr()) // the listener is as it was
@@ -150,7 +150,7 @@
 	}
 	answered := make(chan answer, 1)
 	go func() {
-		p, err := Ask(path, "n0", h.addr(), false)
+		p, err := Request(path, "n0", h.addr(), false)
 		answered <- answer{p, err}
 	}()
 	raw, err := before.SyscallConn()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -49,10 +49,10 @@
 
 // Found is what is in a file.
 type Found struct {
-	Last    []byte // the last whole record; nil: there is none
-	Whole   int    // how many bytes there are to its end
-	Damaged int    // records before it that are not whole
-	Tail    []byte // what is behind it: a record that is torn or spoilt, or more of them
+	Last      []byte // the last whole record; nil: there is none
+	ValidSize int    // how many bytes there are to its end
+	Damaged   int    // records before it that are not whole
+	Tail      []byte // what is behind it: a record that is torn or spoilt, or more of them
 }
 
 // Scan reads the last whole record. A beginning that was cut in the magic is a torn
@@ -65,9 +65,9 @@
 		f.Tail = b
 		return f, nil
 	}
-	f.Whole = len(magic)
+	f.ValidSize = len(magic)
 	damaged := 0
-	for at := f.Whole; ; {
+	for at := f.ValidSize; ; {
 		rest := b[at:]
 		if len(rest) < headSize {
 			break
@@ -82,9 +82,9 @@
 			damaged++ // if what follows is whole; else a tail begins here
 			continue
 		}
-		f.Last, f.Whole, f.Damaged = record, at, damaged
+		f.Last, f.ValidSize, f.Damaged = record, at, damaged
 	}
-	f.Tail = b[f.Whole:]
+	f.Tail = b[f.ValidSize:]
 	return f, nil
 }
 
@@ -154,14 +154,14 @@
 		return Found{}, 0, err
 	}
 	if len(found.Tail) > 0 {
-		if err := f.Truncate(int64(found.Whole)); err != nil {
+		if err := f.Truncate(int64(found.ValidSize)); err != nil {
 			return Found{}, 0, fmt.Errorf("journal: a torn tail is not cut off: %w", err)
 		}
 	}
-	if _, err := f.Seek(int64(found.Whole), io.SeekStart); err != nil {
+	if _, err := f.Seek(int64(found.ValidSize), io.SeekStart); err != nil {
 		return Found{}, 0, fmt.Errorf("journal: %w", err)
 	}
-	return found, int64(found.Whole), nil
+	return found, int64(found.ValidSize), nil
 }
 
 // Write writes a record, and returns when it is on the disk. On an error the file
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -57,10 +57,10 @@
 		case !bytes.Equal(found.Last, want):
 			rt.Fatalf("%q is read, %q is the last before byte %d", found.Last, want, at)
 		}
-		if len(torn) != found.Whole+len(found.Tail) {
-			rt.Fatalf("%d bytes are whole and %d behind them, of %d", found.Whole, len(found.Tail), len(torn))
+		if len(torn) != found.ValidSize+len(found.Tail) {
+			rt.Fatalf("%d bytes are whole and %d behind them, of %d", found.ValidSize, len(found.Tail), len(torn))
 		}
-		again, err := Append(torn[:found.Whole], []byte("next"))
+		again, err := Append(torn[:found.ValidSize], []byte("next"))
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -170,8 +170,8 @@
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		found, err := Scan(b)
-		if err == nil && (found.Whole+len(found.Tail) != len(b) || len(found.Last) > found.Whole) {
-			t.Errorf("%d of %d bytes are whole, %d are the last", found.Whole, len(b), len(found.Last))
+		if err == nil && (found.ValidSize+len(found.Tail) != len(b) || len(found.Last) > found.ValidSize) {
+			t.Errorf("%d of %d bytes are whole, %d are the last", found.ValidSize, len(b), len(found.Last))
 		}
 	})
 }
--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -58,7 +58,7 @@
 // Fault notes that something is wrong with the value of a key.
 func (f *File) Fault(key, format string, args ...any) {
 	if len(f.Faults) < maxFaults {
-		f.Faults = append(f.Faults, fault.Fault{File: f.name, Line: f.lines.Of(key), Key: key, Text: fmt.Sprintf(format, args...)})
+		f.Faults = append(f.Faults, fault.Fault{File: f.name, Line: f.lines.Lookup(key), Key: key, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/internal/lab/pools/pools.go
+++ b/internal/lab/pools/pools.go
@@ -31,10 +31,10 @@
 	Rate    float64 // requests a second, a tenth of them of class 1
 	Seconds int     // that are played at most
 
-	Bad    func(p *Play, s *moves.Seen)         // tells what an attempt comes to; nil: it is served
-	Slower func(p *Play, s *moves.Seen) float64 // how many times as long its answer takes; nil: 1
-	Load   func(second int) float64             // times Rate; nil: 1
-	Each   func(p *Play)                        // is called before each second; nil: nothing is
+	Bad    func(p *Play, s *moves.AttemptResult)         // tells what an attempt comes to; nil: it is served
+	Slower func(p *Play, s *moves.AttemptResult) float64 // how many times as long its answer takes; nil: 1
+	Load   func(second int) float64                      // times Rate; nil: 1
+	Each   func(p *Play)                                 // is called before each second; nil: nothing is
 }
 
 // Play is a course as it is played.
@@ -58,7 +58,7 @@
 // DefaultGuards are those of an operator's file that says nothing of them.
 var DefaultGuards = moves.Guards{
 	moves.Failed: {Bound: 0.005, Margin: 1.5}, moves.Late: {Bound: 0.02, Margin: 1.5},
-	moves.TurnedAway: {Bound: 0.02, Margin: 1.5}, moves.Slow: judge.Guard{Margin: 1.15},
+	moves.Declined: {Bound: 0.02, Margin: 1.5}, moves.Slow: judge.Guard{Margin: 1.15},
 }
 
 // Config is a usual move, which begins by itself.
@@ -89,7 +89,7 @@
 		for _, e := range p.Tick(p.Now, Classes) {
 			p.Log = append(p.Log, fmt.Sprint(p.Second, " ", e.What, " ", e.Share, " ", e.Why))
 		}
-		switch p.Course().Phase {
+		switch p.Progress().Phase {
 		case moves.Undone:
 			p.UndoneAt = p.Second
 			return p
@@ -116,7 +116,7 @@
 }
 
 func (c *Course) request(p *Play) {
-	s := moves.Seen{Class: one(p.Rand.Float64() < 0.1), New: p.Meets(p.Rand.Uint64())}
+	s := moves.AttemptResult{Class: one(p.Rand.Float64() < 0.1), New: p.RoutesToNew(p.Rand.Uint64())}
 	s.Endpoint = uint32(p.Rand.IntN(Size) + Size*one(s.New))
 	p.Asked++
 	if s.New && p.Met == 0 {
@@ -126,7 +126,7 @@
 	if c.Bad != nil {
 		c.Bad(p, &s)
 	}
-	if s.Failed || s.Turned {
+	if s.Failed || s.Declined {
 		p.Harmed += one(s.New)
 	} else {
 		times := 1.0
@@ -136,10 +136,10 @@
 		s.Took = time.Duration(times * math.Exp(spread*p.Rand.NormFloat64()) * float64(usual))
 		s.Late = s.Took > aim
 	}
-	p.See(&s)
+	p.Observe(&s)
 }
 
 // Failing has a part of the attempts fail for which when says so.
-func Failing(part float64, when func(p *Play, s *moves.Seen) bool) func(*Play, *moves.Seen) {
-	return func(p *Play, s *moves.Seen) { s.Failed = when(p, s) && p.Rand.Float64() < part }
+func Failing(part float64, when func(p *Play, s *moves.AttemptResult) bool) func(*Play, *moves.AttemptResult) {
+	return func(p *Play, s *moves.AttemptResult) { s.Failed = when(p, s) && p.Rand.Float64() < part }
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -17,8 +17,8 @@
 	"github.com/lmittmann/tint"
 )
 
-// Forms are those that a log may have.
-var Forms = []string{"text", "json", "pretty"}
+// Formats are those that a log may have.
+var Formats = []string{"text", "json", "pretty"}
 
 const (
 	// eventRate and eventBurst bound how often one event is told, a second. A flood of
@@ -73,7 +73,7 @@
 	case "pretty":
 		next = tint.NewTextHandler(w, &tint.Options{Level: slog.LevelDebug, TimeFormat: time.StampMilli, ReplaceAttr: bounded})
 	default:
-		return nil, fmt.Errorf("the log is %s, not %.40q", strings.Join(Forms, ", "), form)
+		return nil, fmt.Errorf("the log is %s, not %.40q", strings.Join(Formats, ", "), form)
 	}
 	return newLog(next, time.Now), nil
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -54,29 +54,29 @@
 
 // Fleet are figures of a fleet.
 type Fleet struct {
-	Up                            int // gateways, this one too
-	Dropped, Broken, OtherVersion uint64
-	Quotas                        []Quota
-	Weights                       *Weights // nil: the fleet has none
+	Up                               int // gateways, this one too
+	Dropped, Malformed, OtherVersion uint64
+	Quotas                           []Quota
+	Weights                          *Weights // nil: the fleet has none
 }
 
 // Weights is where the fleet's weights stand here.
 type Weights struct {
-	Known, Here bool // who holds the duty is known; it is this gateway
-	Heard       int  // gateways, by the holder
-	Term, Table uint64
-	Age         time.Duration // under 0: there was no table yet
-	Stale       bool
-	Endpoints   int // that have another weight than the list gives them
-	Changes     int // found in what endpoints can do, by the holder
-	Sites       []Site
+	LeaderKnown, IsLeader bool // who holds the duty is known; it is this gateway
+	Reporting             int  // gateways, by the holder
+	Term, Table           uint64
+	Age                   time.Duration // under 0: there was no table yet
+	Stale                 bool
+	Endpoints             int // that have another weight than the list gives them
+	Changes               int // found in what endpoints can do, by the holder
+	Sites                 []Site
 }
 
 // Site is where a site stands by the fleet's plan.
 type Site struct {
-	Name  string
-	State int     // 0 whole, 1 doubted, 2 lost, 3 returning
-	Part  float64 // of its endpoints that this gateway meets
+	Name     string
+	State    int     // 0 whole, 1 doubted, 2 lost, 3 returning
+	Fraction float64 // of its endpoints that this gateway meets
 }
 
 // Quota is where one quota stands, in fractions of it.
@@ -136,11 +136,11 @@
 	}
 	gauge(fleetUp, float64(f.Up))
 	count(fleetLost, f.Dropped, "no room")
-	count(fleetLost, f.Broken, "broken")
+	count(fleetLost, f.Malformed, "broken")
 	count(fleetLost, f.OtherVersion, "other version")
 	if w := f.Weights; w != nil {
 		here := 0.0
-		if w.Here {
+		if w.IsLeader {
 			here = 1
 		}
 		gauge(fleetDuty, here)
@@ -149,7 +149,7 @@
 		count(fleetChanges, uint64(w.Changes))
 		for _, s := range w.Sites {
 			gauge(fleetSite, float64(s.State), s.Name)
-			gauge(fleetMet, s.Part, s.Name)
+			gauge(fleetMet, s.Fraction, s.Name)
 		}
 	}
 	for _, q := range f.Quotas {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -18,12 +18,12 @@
 	f := figures.New()
 	c := f.Class(`odd"class`)
 	for range 3 {
-		c.Take()
+		c.Begin()
 	}
 	c.End(figures.Completed)
 	c.End(figures.Rejected)
 	s, err := Listen("127.0.0.1:0", f, func() figures.Members { return figures.Members{Listed: 4, Unavailable: 1} },
-		func() *Fleet { return &Fleet{Up: 3, Broken: 2, Quotas: []Quota{{Name: "maps/a/", Own: 0.25}}} })
+		func() *Fleet { return &Fleet{Up: 3, Malformed: 2, Quotas: []Quota{{Name: "maps/a/", Own: 0.25}}} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/moves/bench_test.go
+++ b/internal/moves/bench_test.go
@@ -8,7 +8,7 @@
 )
 
 func testConfig() Config {
-	g := Guards{Failed: {Bound: 0.005, Margin: 1.5}, Late: {Bound: 0.02, Margin: 1.5}, TurnedAway: {Bound: 0.02, Margin: 1.5}, Slow: {Margin: 1.15}}
+	g := Guards{Failed: {Bound: 0.005, Margin: 1.5}, Late: {Bound: 0.02, Margin: 1.5}, Declined: {Bound: 0.02, Margin: 1.5}, Slow: {Margin: 1.15}}
 	return Config{Name: "new", Plan: Plan{Steps: []float64{1}}, Guards: []Guards{g, g}}
 }
 
@@ -20,7 +20,7 @@
 	b.ReportAllocs()
 	for range b.N {
 		var mask Mask
-		if m.Meets(hash) {
+		if m.RoutesToNew(hash) {
 			mask |= 1
 		}
 		hash = hash*6364136223846793005 + uint64(one(mask.Allows(pools))) // each waits for the one before
@@ -35,13 +35,13 @@
 	m.course.Phase = Moving
 	b.ReportAllocs()
 	for i := range b.N {
-		m.See(&Seen{Class: i % 2, New: i%20 == 0, Endpoint: uint32(i % 5), Took: time.Duration(i%1000) * time.Microsecond})
+		m.Observe(&AttemptResult{Class: i % 2, New: i%20 == 0, Endpoint: uint32(i % 5), Took: time.Duration(i%1000) * time.Microsecond})
 	}
 }
 
 // What is taken into a block is one pool's at a time, and cut where it is long.
 func BenchmarkBlock(b *testing.B) {
-	tr := judge.NewTrack(judge.Guard{Bound: 0.005, Margin: 1.5})
+	tr := judge.NewSequentialTest(judge.Guard{Bound: 0.005, Margin: 1.5})
 	b.ReportAllocs()
 	for range b.N {
 		tr.Add(judge.Block{New: 50, NewBad: 1, Old: 1000, OldBad: 4})
--- a/internal/moves/course.go
+++ b/internal/moves/course.go
@@ -13,7 +13,7 @@
 	Waiting  Phase = "waiting"  // not begun
 	Moving   Phase = "moving"   // at a step
 	Halted   Phase = "halted"   // at a step, until what halted it is over
-	Held     Phase = "held"     // at a step, until an operator says otherwise
+	Paused   Phase = "held"     // at a step, until an operator says otherwise
 	Watching Phase = "watching" // past the last step, and may be undone yet
 	Undoing  Phase = "undoing"  // on its way back
 	Undone   Phase = "undone"   // back, for good
@@ -32,19 +32,19 @@
 	Auto         bool          // it begins by itself
 }
 
-// Verdict is what the judges make of the move so far.
-type Verdict struct {
-	Worse  string // why it is to be undone; "": it is not
-	Common string // why it is to halt: what is common to both pools
-	Enough bool   // to say that the new pool is fine
-	Lacks  string // what there is not enough of
-	Ended  int    // requests of the new pool, in all
+// Assessment is what the judges make of the move so far.
+type Assessment struct {
+	Regression  string // why it is to be undone; "": it is not
+	CommonFault string // why it is to halt: what is common to both pools
+	Sufficient  bool   // to say that the new pool is fine
+	Missing     string // what there is not enough of
+	NewRequests int    // requests of the new pool, in all
 }
 
 // Conditions are what the pools can take now.
 type Conditions struct {
-	From, To         int     // endpoints that are ready
-	FromRoom, ToRoom float64 // part of the requests that each can take, 0 to 1
+	From, To                 int     // endpoints that are ready
+	FromCapacity, ToCapacity float64 // part of the requests that each can take, 0 to 1
 }
 
 // Event is something that an operator is to be told.
@@ -54,19 +54,19 @@
 	Share float64
 }
 
-// Course is the standing of a move: a state machine with nothing but values in it.
+// Progress is the standing of a move: a state machine with nothing but values in it.
 // Its share only grows by its plan's steps, one at a time, and what is undone does
 // not begin again.
-type Course struct {
-	Phase  Phase
-	Step   int           // of the plan, at or on the way to
-	Share  float64       // that the new pool is asked to take
-	Since  time.Duration // when the phase or step began
-	Ended  int           // requests of the new pool at that time
-	Why    string        // it halted, is held or undone
-	Lacks  string        // what the step waits for
-	From   int           // endpoints of the pool that is left when the step began
-	Ticked time.Duration // the latest tick
+type Progress struct {
+	Phase        Phase
+	Step         int           // of the plan, at or on the way to
+	Share        float64       // that the new pool is asked to take
+	Since        time.Duration // when the phase or step began
+	EndedAtStart int           // requests of the new pool at that time
+	Why          string        // it halted, is held or undone
+	WaitingFor   string        // what the step waits for
+	From         int           // endpoints of the pool that is left when the step began
+	LastTick     time.Duration // the latest tick
 }
 
 // pause is a time without a tick after which what was seen tells nothing: the
@@ -81,9 +81,9 @@
 
 // Tick lets time pass. It returns what happened, and whether what was seen of the
 // pools before is to be forgotten.
-func (c *Course) Tick(now time.Duration, p *Plan, v Verdict, at Conditions) (events []Event, forget bool) {
-	gap := now - c.Ticked
-	if c.Ticked = now; gap > pause || gap < 0 {
+func (c *Progress) Tick(now time.Duration, p *Plan, v Assessment, at Conditions) (events []Event, forget bool) {
+	gap := now - c.LastTick
+	if c.LastTick = now; gap > pause || gap < 0 {
 		c.Since += gap // neither the step nor the watch goes on while nothing is seen
 		return nil, true
 	}
@@ -96,12 +96,12 @@
 	return events, forget
 }
 
-func (c *Course) event() Event {
-	what := map[Phase]string{Moving: "step", Halted: "halted", Held: "held", Watching: "watching", Undoing: "undoing", Undone: "undone", Done: "done"}[c.Phase]
+func (c *Progress) event() Event {
+	what := map[Phase]string{Moving: "step", Halted: "halted", Paused: "held", Watching: "watching", Undoing: "undoing", Undone: "undone", Done: "done"}[c.Phase]
 	return Event{What: what, Why: c.Why, Share: c.Share}
 }
 
-func (c *Course) turn(now time.Duration, p *Plan, v Verdict, at Conditions) {
+func (c *Progress) turn(now time.Duration, p *Plan, v Assessment, at Conditions) {
 	switch c.Phase {
 	case Waiting:
 		if p.Auto && at.From > 0 && at.To > 0 {
@@ -109,9 +109,9 @@
 		}
 	case Undoing:
 		c.back(now, at)
-	case Moving, Halted, Held, Watching:
-		if v.Worse != "" {
-			c.enter(now, Undoing, v.Worse, v)
+	case Moving, Halted, Paused, Watching:
+		if v.Regression != "" {
+			c.enter(now, Undoing, v.Regression, v)
 			c.back(now, at)
 			return
 		}
@@ -120,10 +120,10 @@
 }
 
 // forth goes on with a move that nothing speaks against.
-func (c *Course) forth(now time.Duration, p *Plan, v Verdict, at Conditions) {
+func (c *Progress) forth(now time.Duration, p *Plan, v Assessment, at Conditions) {
 	why := c.hindered(v, at)
 	switch {
-	case c.Phase == Held:
+	case c.Phase == Paused:
 		return
 	case why != "" && (c.Phase == Halted || c.Phase == Moving):
 		c.enter(now, Halted, why, v) // again and again: it goes on a step's time after the last
@@ -144,10 +144,10 @@
 }
 
 // hindered tells what keeps a step from going on; "": nothing.
-func (c *Course) hindered(v Verdict, at Conditions) string {
+func (c *Progress) hindered(v Assessment, at Conditions) string {
 	switch {
-	case v.Common != "":
-		return v.Common
+	case v.CommonFault != "":
+		return v.CommonFault
 	case at.To == 0:
 		return "no endpoint of the new pool is ready"
 	case c.Share < 1 && 2*at.From <= c.From && c.From > 0:
@@ -158,56 +158,56 @@
 
 // grow takes a step up to its share, as there is room, and goes on to the next
 // when all is there that it takes.
-func (c *Course) grow(now time.Duration, p *Plan, v Verdict, at Conditions) {
+func (c *Progress) grow(now time.Duration, p *Plan, v Assessment, at Conditions) {
 	c.Step = min(c.Step, len(p.Steps)-1)
 	want := p.Steps[c.Step]
 	if c.Share < want { // the step begins when it is taken whole
-		c.Share = max(c.Share, min(want, at.ToRoom)) // what is there is never taken back but by an undo
-		c.Since, c.Ended = now, v.Ended
-		if c.Lacks = ""; c.Share < want {
-			c.Lacks = fmt.Sprintf("the new pool has room for %.3g%% only", 100*at.ToRoom)
+		c.Share = max(c.Share, min(want, at.ToCapacity)) // what is there is never taken back but by an undo
+		c.Since, c.EndedAtStart = now, v.NewRequests
+		if c.WaitingFor = ""; c.Share < want {
+			c.WaitingFor = fmt.Sprintf("the new pool has room for %.3g%% only", 100*at.ToCapacity)
 			return
 		}
 	}
 	switch lacking := c.Since + p.StepTime - now; {
 	case lacking > 0:
-		c.Lacks = fmt.Sprintf("%v of the step's time", lacking.Round(time.Second))
-	case v.Ended-c.Ended < p.StepRequests:
-		c.Lacks = fmt.Sprintf("%d of the step's requests", p.StepRequests-(v.Ended-c.Ended))
-	case !v.Enough:
-		c.Lacks = v.Lacks
+		c.WaitingFor = fmt.Sprintf("%v of the step's time", lacking.Round(time.Second))
+	case v.NewRequests-c.EndedAtStart < p.StepRequests:
+		c.WaitingFor = fmt.Sprintf("%d of the step's requests", p.StepRequests-(v.NewRequests-c.EndedAtStart))
+	case !v.Sufficient:
+		c.WaitingFor = v.Missing
 	case c.Step == len(p.Steps)-1:
 		c.enter(now, Watching, "", v)
 	default:
 		c.Step++
 		c.enter(now, Moving, "", v)
-		c.Share, c.From = max(c.Share, min(p.Steps[c.Step], at.ToRoom)), at.From
+		c.Share, c.From = max(c.Share, min(p.Steps[c.Step], at.ToCapacity)), at.From
 	}
 }
 
 // back lowers the share as far as the pool that is left has room.
-func (c *Course) back(now time.Duration, at Conditions) {
-	c.Share = min(c.Share, max(0, 1-at.FromRoom))
-	if c.Lacks = ""; c.Share > 0 {
-		c.Lacks = fmt.Sprintf("the old pool has room for %.3g%% only", 100*at.FromRoom)
+func (c *Progress) back(now time.Duration, at Conditions) {
+	c.Share = min(c.Share, max(0, 1-at.FromCapacity))
+	if c.WaitingFor = ""; c.Share > 0 {
+		c.WaitingFor = fmt.Sprintf("the old pool has room for %.3g%% only", 100*at.FromCapacity)
 		return
 	}
 	c.Phase, c.Since = Undone, now
 }
 
-func (c *Course) enter(now time.Duration, to Phase, why string, v Verdict) {
-	c.Phase, c.Since, c.Ended, c.Why, c.Lacks = to, now, v.Ended, why, ""
+func (c *Progress) enter(now time.Duration, to Phase, why string, v Assessment) {
+	c.Phase, c.Since, c.EndedAtStart, c.Why, c.WaitingFor = to, now, v.NewRequests, why, ""
 }
 
-func (c *Course) begin(now time.Duration, v Verdict, at Conditions) {
+func (c *Progress) begin(now time.Duration, v Assessment, at Conditions) {
 	c.Step, c.Share = 0, 0
 	c.enter(now, Moving, "", v)
 	c.From = at.From
 }
 
-// Left is how long it takes until the move is done, at least, if nothing holds it up;
+// Remaining is how long it takes until the move is done, at least, if nothing holds it up;
 // 0 where it is over or does not go on.
-func (c *Course) Left(now time.Duration, p *Plan) time.Duration {
+func (c *Progress) Remaining(now time.Duration, p *Plan) time.Duration {
 	passed := now - c.Since
 	switch c.Phase {
 	case Watching:
@@ -220,7 +220,7 @@
 }
 
 // Begin begins a move that waits, by an operator's word.
-func (c *Course) Begin(now time.Duration, ended int, at Conditions) error {
+func (c *Progress) Begin(now time.Duration, ended int, at Conditions) error {
 	switch {
 	case c.Phase == Undone, c.Phase == Done:
 		return errOver
@@ -229,27 +229,27 @@
 	case at.To == 0 || at.From == 0:
 		return fmt.Errorf("endpoints of both pools are expected, %d are ready of the one and %d of the other", at.From, at.To)
 	}
-	c.begin(now, Verdict{Ended: ended}, at)
+	c.begin(now, Assessment{NewRequests: ended}, at)
 	return nil
 }
 
 // Hold keeps a move where it is, by an operator's word. It may still be undone.
-func (c *Course) Hold(now time.Duration, ended int, why string) error {
+func (c *Progress) Hold(now time.Duration, ended int, why string) error {
 	switch {
 	case c.Phase == Waiting:
 		return errNotBegun
-	case c.Phase != Moving && c.Phase != Halted && c.Phase != Watching && c.Phase != Held:
+	case c.Phase != Moving && c.Phase != Halted && c.Phase != Watching && c.Phase != Paused:
 		return errOver
 	}
-	c.enter(now, Held, why, Verdict{Ended: ended})
+	c.enter(now, Paused, why, Assessment{NewRequests: ended})
 	return nil
 }
 
-// GoOn lets a move go on that is held, or has halted. Its step begins anew.
-func (c *Course) GoOn(now time.Duration, ended int, at Conditions) error {
+// Resume lets a move go on that is held, or has halted. Its step begins anew.
+func (c *Progress) Resume(now time.Duration, ended int, at Conditions) error {
 	switch c.Phase {
-	case Held, Halted:
-		c.enter(now, Moving, "", Verdict{Ended: ended})
+	case Paused, Halted:
+		c.enter(now, Moving, "", Assessment{NewRequests: ended})
 		c.From = at.From
 		return nil
 	case Waiting:
@@ -261,21 +261,21 @@
 }
 
 // Undo has a move go back, by an operator's word. One that was done can be too.
-func (c *Course) Undo(now time.Duration, ended int, why string) error {
+func (c *Progress) Undo(now time.Duration, ended int, why string) error {
 	switch c.Phase {
 	case Undone, Undoing:
 		return errOver
 	case Waiting:
 		return errNotBegun
 	}
-	c.enter(now, Undoing, why, Verdict{Ended: ended})
+	c.enter(now, Undoing, why, Assessment{NewRequests: ended})
 	return nil
 }
 
-// Adopt has the course go by another plan, or in another process: where its share
+// Restore has the course go by another plan, or in another process: where its share
 // is, and never further on. Its step begins anew.
-func (c *Course) Adopt(now time.Duration, p *Plan) {
-	c.Since, c.Ticked, c.Ended, c.From = now, now, 0, 0
+func (c *Progress) Restore(now time.Duration, p *Plan) {
+	c.Since, c.LastTick, c.EndedAtStart, c.From = now, now, 0, 0
 	if c.Phase == Waiting || c.Phase == Undone {
 		return
 	}
--- a/internal/moves/course_test.go
+++ b/internal/moves/course_test.go
@@ -13,7 +13,7 @@
 // The course of a move, whole: every order of ticks with every verdict and
 // condition, of an operator's words, other plans, pauses and restarts.
 type courseState struct {
-	Course
+	Progress
 	plan  int
 	now   time.Duration
 	ended int
@@ -44,8 +44,8 @@
 )
 
 func (s courseState) events() (all []courseEvent) {
-	well := Conditions{From: 4, To: 4, FromRoom: 1, ToRoom: 1}
-	for _, at := range []Conditions{well, {From: 2, To: 4, FromRoom: 0.5, ToRoom: 1}, {From: 4, To: 0, FromRoom: 1}, {From: 4, To: 4, FromRoom: 1, ToRoom: 0.1}} {
+	well := Conditions{From: 4, To: 4, FromCapacity: 1, ToCapacity: 1}
+	for _, at := range []Conditions{well, {From: 2, To: 4, FromCapacity: 0.5, ToCapacity: 1}, {From: 4, To: 0, FromCapacity: 1}, {From: 4, To: 4, FromCapacity: 1, ToCapacity: 0.1}} {
 		all = append(all, courseEvent{do: "tick", at: at, enough: true, seconds: 1}, courseEvent{do: "tick", at: at, seconds: 1},
 			courseEvent{do: "tick", at: at, worse: true, seconds: 1})
 	}
@@ -62,22 +62,22 @@
 	switch e.do {
 	case "tick":
 		n.ended++
-		v := Verdict{Enough: e.enough, Ended: n.ended}
+		v := Assessment{Sufficient: e.enough, NewRequests: n.ended}
 		if e.worse {
-			v.Worse = "worse"
+			v.Regression = "worse"
 		}
 		if e.common {
-			v.Common = "common"
+			v.CommonFault = "common"
 		}
-		n.Course.Tick(n.now, &coursePlans[n.plan], v, e.at)
+		n.Progress.Tick(n.now, &coursePlans[n.plan], v, e.at)
 		return n, s.judgeTick(e, &n, v)
 	case "other plan":
 		n.plan = 1 - n.plan
-		n.Adopt(n.now, &coursePlans[n.plan])
+		n.Restore(n.now, &coursePlans[n.plan])
 	case "another process":
-		c := Course{Phase: n.Phase, Share: n.Share, Why: n.Why}
-		c.Adopt(n.now, &coursePlans[n.plan])
-		n.Course = c
+		c := Progress{Phase: n.Phase, Share: n.Share, Why: n.Why}
+		c.Restore(n.now, &coursePlans[n.plan])
+		n.Progress = c
 	default:
 		return n, s.judgeWord(e, &n)
 	}
@@ -89,7 +89,7 @@
 
 func over(p Phase) bool { return p == Undone || p == Done }
 
-func (s *courseState) judgeTick(e courseEvent, n *courseState, v Verdict) error {
+func (s *courseState) judgeTick(e courseEvent, n *courseState, v Assessment) error {
 	plan := &coursePlans[s.plan]
 	stepped := n.Step > s.Step && s.Phase != Waiting || n.Phase == Watching && s.Phase != Watching
 	switch {
@@ -99,9 +99,9 @@
 		return errAgain
 	case n.Phase == Undone && n.Share != 0:
 		return errNotEmpty
-	case n.Share > s.Share && (n.Phase != Moving || n.Share > plan.Steps[n.Step] || n.Share > e.at.ToRoom):
+	case n.Share > s.Share && (n.Phase != Moving || n.Share > plan.Steps[n.Step] || n.Share > e.at.ToCapacity):
 		return errGrew
-	case stepped && (s.Phase != Moving || s.Share < plan.Steps[s.Step] || n.now-s.Since < plan.StepTime || v.Ended-s.Ended < plan.StepRequests || !e.enough || e.common || e.at.To == 0):
+	case stepped && (s.Phase != Moving || s.Share < plan.Steps[s.Step] || n.now-s.Since < plan.StepTime || v.NewRequests-s.EndedAtStart < plan.StepRequests || !e.enough || e.common || e.at.To == 0):
 		return errJumped
 	case n.Step > s.Step+1:
 		return errJumped
@@ -118,14 +118,14 @@
 	case "begin":
 		err, means = n.Begin(n.now, n.ended, e.at), s.Phase == Waiting
 	case "hold":
-		err, means = n.Hold(n.now, n.ended, "held"), s.Phase == Moving || s.Phase == Halted || s.Phase == Watching || s.Phase == Held
+		err, means = n.Hold(n.now, n.ended, "held"), s.Phase == Moving || s.Phase == Halted || s.Phase == Watching || s.Phase == Paused
 	case "go-on":
-		err, means = n.GoOn(n.now, n.ended, e.at), s.Phase == Held || s.Phase == Halted
+		err, means = n.Resume(n.now, n.ended, e.at), s.Phase == Paused || s.Phase == Halted
 	case "undo":
 		err, means = n.Undo(n.now, n.ended, "undone"), s.Phase != Waiting && s.Phase != Undone && s.Phase != Undoing
 	}
 	switch {
-	case (err == nil) != means, err != nil && n.Course != s.Course:
+	case (err == nil) != means, err != nil && n.Progress != s.Progress:
 		return errWord
 	case n.Share > s.Share:
 		return errGrew
@@ -137,12 +137,12 @@
 func (s courseState) key() string {
 	p := &coursePlans[s.plan]
 	since := min(s.now-s.Since, p.StepTime+p.Watch)
-	return fmt.Sprint(s.plan, s.Phase, s.Step, s.Share, since, min(s.ended-s.Ended, p.StepRequests), s.From, s.now-s.Ticked)
+	return fmt.Sprint(s.plan, s.Phase, s.Step, s.Share, since, min(s.ended-s.EndedAtStart, p.StepRequests), s.From, s.now-s.LastTick)
 }
 
 func TestCourseInEveryOrder(t *testing.T) {
 	model := explore.Model[courseState, courseEvent]{
-		Start: courseState{Course: Course{Phase: Waiting}}, Events: courseState.events, Step: courseState.step, Key: courseState.key,
+		Start: courseState{Progress: Progress{Phase: Waiting}}, Events: courseState.events, Step: courseState.step, Key: courseState.key,
 	}
 	report, err := model.Explore(2)
 	t.Log(report)
@@ -156,27 +156,27 @@
 
 // What an operator reads says what a move waits for, and why it stands.
 func TestCourseTells(t *testing.T) {
-	c, p := Course{Phase: Waiting}, &coursePlans[0]
-	at := Conditions{From: 4, To: 4, FromRoom: 1, ToRoom: 0.1}
+	c, p := Progress{Phase: Waiting}, &coursePlans[0]
+	at := Conditions{From: 4, To: 4, FromCapacity: 1, ToCapacity: 0.1}
 	if err := c.Begin(0, 0, Conditions{From: 4}); err == nil || !strings.Contains(err.Error(), "0 of the other") {
 		t.Errorf("an empty pool: %v", err)
 	}
 	if err := c.Begin(0, 0, at); err != nil {
 		t.Fatal(err)
 	}
-	tick := func(s int, v Verdict) string {
+	tick := func(s int, v Assessment) string {
 		c.Tick(time.Duration(s)*time.Second, p, v, at)
-		return c.Lacks + c.Why
+		return c.WaitingFor + c.Why
 	}
 	for i, want := range []string{"room for 10%", "of the step's time", "of the step's time", "1 of the step's requests", "evidence", "both are slow", ""} {
-		v := Verdict{Enough: true, Ended: 5}
+		v := Assessment{Sufficient: true, NewRequests: 5}
 		switch i {
 		case 1:
-			at.ToRoom = 1
+			at.ToCapacity = 1
 		case 4:
-			v.Ended, v.Enough, v.Lacks = 9, false, "evidence"
+			v.NewRequests, v.Sufficient, v.Missing = 9, false, "evidence"
 		case 5:
-			v.Common = "both are slow"
+			v.CommonFault = "both are slow"
 		case 6:
 			at.From = 1
 		}
--- a/internal/moves/judge/judge_test.go
+++ b/internal/moves/judge/judge_test.go
@@ -28,7 +28,7 @@
 func means(g Guard, newN, oldN int, p, q float64) (over, ratio, fine, alike float64) {
 	for x, px := range chances(newN, p) {
 		for y, py := range chances(oldN, q) {
-			t := NewTrack(g)
+			t := NewSequentialTest(g)
 			t.Add(Block{newN, x, oldN, y})
 			w := startWeight(0)
 			over += px * py * t.over.value() / w
@@ -80,7 +80,7 @@
 
 // play has a track see blocks of these rates until stop, and returns after how
 // many that was; -1: not within so many.
-func play(t *Track, r *rand.Rand, blocks, newN, oldN int, rates func(i int) (p, q float64), stop func() bool) int {
+func play(t *SequentialTest, r *rand.Rand, blocks, newN, oldN int, rates func(i int) (p, q float64), stop func() bool) int {
 	bad := func(n int, p float64) (k int) {
 		for range n {
 			if r.Float64() < p {
@@ -140,8 +140,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				tr := NewTrack(g)
-				at := play(tr, rand.New(rand.NewPCG(seed, 1)), c.blocks, 6, 100, c.rates, func() bool { return tr.Worse() >= level })
+				tr := NewSequentialTest(g)
+				at := play(tr, rand.New(rand.NewPCG(seed, 1)), c.blocks, 6, 100, c.rates, func() bool { return tr.WorseEvidence() >= level })
 				if (at >= 0) != c.blames {
 					t.Errorf("seed %d: blamed at block %d, rates %v", seed, at, tr.total)
 				}
@@ -154,24 +154,24 @@
 // about when that was foretold.
 func TestCommonAndFine(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	tr := NewTrack(Guard{Bound: 0.005, Margin: 1.5})
-	if play(tr, r, 200, 6, 100, steady(0.1, 0.1), func() bool { return tr.Common() >= level }) < 0 {
+	tr := NewSequentialTest(Guard{Bound: 0.005, Margin: 1.5})
+	if play(tr, r, 200, 6, 100, steady(0.1, 0.1), func() bool { return tr.CommonEvidence() >= level }) < 0 {
 		t.Error("a fault of both is not told")
 	}
-	if tr.Worse() >= level || tr.Alone() != 0 {
-		t.Errorf("evidence %v against the new pool, %v alone, of what is common", tr.Worse(), tr.Alone())
+	if tr.WorseEvidence() >= level || tr.WorseThanBound() != 0 {
+		t.Errorf("evidence %v against the new pool, %v alone, of what is common", tr.WorseEvidence(), tr.WorseThanBound())
 	}
-	tr = NewTrack(Guard{Bound: 0.005, Margin: 1.5})
-	need := tr.Needed(20)
-	at := play(tr, r, 2000, 5, 100, steady(0, 0), func() bool { return tr.Fine() >= 20 })
+	tr = NewSequentialTest(Guard{Bound: 0.005, Margin: 1.5})
+	need := tr.RequestsNeeded(20)
+	at := play(tr, r, 2000, 5, 100, steady(0, 0), func() bool { return tr.FineEvidence() >= 20 })
 	if got := (at + 1) * 5; got > 2*need || got < need/2 {
 		t.Errorf("%d requests were needed, %d were foretold", got, need)
 	}
-	if d := tr.NeededFor(1e6, 0); d != math.MaxInt64 {
+	if d := tr.TimeNeeded(1e6, 0); d != math.MaxInt64 {
 		t.Errorf("without requests it takes %v", d)
 	}
-	if tr.Needed(20) != 0 {
-		t.Errorf("%d more are needed", tr.Needed(20))
+	if tr.RequestsNeeded(20) != 0 {
+		t.Errorf("%d more are needed", tr.RequestsNeeded(20))
 	}
 }
 
@@ -187,7 +187,7 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				r := rand.New(rand.NewPCG(seed, 3))
-				p, tr := NewPace(1.1), NewTrack(Guard{Margin: 1})
+				p, tr := NewLatencyComparison(1.1), NewSequentialTest(Guard{Margin: 1})
 				blamed := false
 				for i := range 200 {
 					load := 1.0
@@ -198,12 +198,12 @@
 						return time.Duration(times * load * math.Exp(0.4*r.NormFloat64()) * float64(20*time.Millisecond))
 					}
 					for range 20 {
-						p.New(took(c.slower))
-						p.Old(took(1))
-						p.Old(took(1))
+						p.AddNew(took(c.slower))
+						p.AddOld(took(1))
+						p.AddOld(took(1))
 					}
-					tr.Add(p.Cut())
-					blamed = blamed || tr.Worse() >= level
+					tr.Add(p.TakeBlock())
+					blamed = blamed || tr.WorseEvidence() >= level
 				}
 				if blamed != c.blames {
 					t.Errorf("seed %d: blamed %v; %v", seed, blamed, tr.total)
@@ -221,11 +221,11 @@
 		if math.IsNaN(bound) || math.IsNaN(margin) || math.IsInf(margin, 0) {
 			return
 		}
-		tr := NewTrack(Guard{Bound: bound, Margin: margin})
+		tr := NewSequentialTest(Guard{Bound: bound, Margin: margin})
 		for range 3 {
 			tr.Add(Block{newN, newBad, oldN, oldBad})
 		}
-		for _, e := range []float64{tr.Worse(), tr.Alone(), tr.Common(), tr.Fine()} {
+		for _, e := range []float64{tr.WorseEvidence(), tr.WorseThanBound(), tr.CommonEvidence(), tr.FineEvidence()} {
 			if math.IsNaN(e) || e < 0 || e > most {
 				t.Errorf("evidence %v", e)
 			}
--- a/internal/moves/judge/slow.go
+++ b/internal/moves/judge/slow.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Pace makes faults of answers that are slow: those that take longer than half of
+// LatencyComparison makes faults of answers that are slow: those that take longer than half of
 // the pool that is left do, which is followed as it changes. The new pool's times
 // count divided by the margin: if it takes at most that many times as long, in
 // law, it has no more of them than the other, whatever the law is.
 //
 // It is wrong where the two pools are given different work: the classes of a move
 // are judged one by one for that.
-type Pace struct {
+type LatencyComparison struct {
 	margin float64
 	log    float64 // of the followed median, in seconds
 	known  int     // answers that it goes by
@@ -29,11 +29,13 @@
 	paceKnown = 20
 )
 
-// NewPace allows the new pool so many times the other's times, at least 1.
-func NewPace(margin float64) *Pace { return &Pace{margin: max(margin, 1)} }
+// NewLatencyComparison allows the new pool so many times the other's times, at least 1.
+func NewLatencyComparison(margin float64) *LatencyComparison {
+	return &LatencyComparison{margin: max(margin, 1)}
+}
 
-// Old takes in an answer time of the pool that is left.
-func (p *Pace) Old(took time.Duration) {
+// AddOld takes in an answer time of the pool that is left.
+func (p *LatencyComparison) AddOld(took time.Duration) {
 	s := max(took.Seconds(), 1e-6)
 	if p.now.Old < MaxBlock {
 		p.now.Old++
@@ -55,8 +57,8 @@
 	}
 }
 
-// New takes in one of the new pool.
-func (p *Pace) New(took time.Duration) {
+// AddNew takes in one of the new pool.
+func (p *LatencyComparison) AddNew(took time.Duration) {
 	if p.now.New < MaxBlock {
 		p.now.New++
 		if p.median > 0 && took.Seconds()/p.margin > p.median {
@@ -65,8 +67,8 @@
 	}
 }
 
-// Cut ends the block and returns it; an empty one while too little is known.
-func (p *Pace) Cut() (b Block) {
+// TakeBlock ends the block and returns it; an empty one while too little is known.
+func (p *LatencyComparison) TakeBlock() (b Block) {
 	if p.median > 0 {
 		b = p.now
 	}
@@ -79,4 +81,6 @@
 
 // Median is the time that half of the answers of the pool that is left take; 0
 // while too little is known.
-func (p *Pace) Median() time.Duration { return time.Duration(p.median * float64(time.Second)) }
+func (p *LatencyComparison) Median() time.Duration {
+	return time.Duration(p.median * float64(time.Second))
+}
--- a/internal/moves/judge/track.go
+++ b/internal/moves/judge/track.go
@@ -32,9 +32,9 @@
 	mostRate = 0.95
 )
 
-// Track is the evidence of one kind of fault in one class, of a whole move. It is
+// SequentialTest is the evidence of one kind of fault in one class, of a whole move. It is
 // for one goroutine.
-type Track struct {
+type SequentialTest struct {
 	guard Guard
 
 	over    evidence // that the new pool is over the bound
@@ -47,21 +47,21 @@
 	total Block // of all blocks
 }
 
-// NewTrack begins with nothing seen.
-func NewTrack(g Guard) *Track {
+// NewSequentialTest begins with nothing seen.
+func NewSequentialTest(g Guard) *SequentialTest {
 	if g.Bound != 0 {
 		g.Bound = min(max(g.Bound, 1e-6), mostRate/2)
 	}
 	g.Margin = max(g.Margin, 1)
 	n := len(worse)
-	return &Track{guard: g, over: newEvidence(n), oldOver: newEvidence(n), ratio: newEvidence(n), fine: newEvidence(n), alike: newEvidence(1)}
+	return &SequentialTest{guard: g, over: newEvidence(n), oldOver: newEvidence(n), ratio: newEvidence(n), fine: newEvidence(n), alike: newEvidence(1)}
 }
 
 // at is a rate that is so many times the bound.
-func (t *Track) at(times float64) float64 { return min(t.guard.Bound*times, mostRate) }
+func (t *SequentialTest) at(times float64) float64 { return min(t.guard.Bound*times, mostRate) }
 
 // Add takes a block in, and reports whether it did: one that can't be is left out.
-func (t *Track) Add(b Block) bool {
+func (t *SequentialTest) Add(b Block) bool {
 	if !b.sound() {
 		return false
 	}
@@ -76,7 +76,7 @@
 	return true
 }
 
-func (t *Track) addBound(b *Block, bound float64) {
+func (t *SequentialTest) addBound(b *Block, bound float64) {
 	t.over.add(func(i int) float64 { return math.Exp(bernoulli(b.New, b.NewBad, t.at(worse[i]), bound)) })
 	t.oldOver.add(func(i int) float64 { return math.Exp(bernoulli(b.Old, b.OldBad, t.at(worse[i]), bound)) })
 	t.fine.add(func(i int) float64 {
@@ -84,7 +84,7 @@
 	})
 }
 
-func (t *Track) addConditional(b *Block) {
+func (t *SequentialTest) addConditional(b *Block) {
 	t.law.of(b)
 	if t.law.certain() {
 		one := func(int) float64 { return 1 }
@@ -105,31 +105,31 @@
 	t.alike.add(func(int) float64 { return math.Exp(t.law.logChance(b.NewBad, 0) - far) })
 }
 
-// Worse is the evidence against: the new pool is within the bound, or within the
+// WorseEvidence is the evidence against: the new pool is within the bound, or within the
 // margin of the other. Either may be so, so it is the lesser of the two.
-func (t *Track) Worse() float64 {
+func (t *SequentialTest) WorseEvidence() float64 {
 	if t.guard.Bound == 0 {
 		return t.ratio.value()
 	}
 	return min(t.over.value(), t.ratio.value())
 }
 
-// Alone is Worse where no pool is left to compare with: the bound only. It is 0
+// WorseThanBound is WorseEvidence where no pool is left to compare with: the bound only. It is 0
 // where the other pool was over the bound itself while it was there, and so may
 // be what the two have in common.
-func (t *Track) Alone() float64 {
+func (t *SequentialTest) WorseThanBound() float64 {
 	if t.oldOver.value() > 1 {
 		return 0
 	}
 	return t.over.value()
 }
 
-// Common is the evidence that both pools are over the bound.
-func (t *Track) Common() float64 { return min(t.over.value(), t.oldOver.value()) }
+// CommonEvidence is the evidence that both pools are over the bound.
+func (t *SequentialTest) CommonEvidence() float64 { return min(t.over.value(), t.oldOver.value()) }
 
-// Fine is the evidence against: the new pool is at 4 times the bound or more, and
+// FineEvidence is the evidence against: the new pool is at 4 times the bound or more, and
 // at 4 times the margin beside the other (1.8 times where there is no bound).
-func (t *Track) Fine() float64 {
+func (t *SequentialTest) FineEvidence() float64 {
 	if t.guard.Bound == 0 {
 		return t.alike.value()
 	}
@@ -137,10 +137,10 @@
 }
 
 // Total is all that was seen.
-func (t *Track) Total() Block { return t.total }
+func (t *SequentialTest) Total() Block { return t.total }
 
 // Rates are the parts that were bad, in the new pool and in the other.
-func (t *Track) Rates() (new, old float64) {
+func (t *SequentialTest) Rates() (new, old float64) {
 	part := func(bad, n int) float64 {
 		if n == 0 {
 			return 0
@@ -150,11 +150,11 @@
 	return part(t.total.NewBad, t.total.New), part(t.total.OldBad, t.total.Old)
 }
 
-// Needed is about how many requests of the new pool, without one that is bad,
-// Fine takes to reach a level from where it is.
-func (t *Track) Needed(level float64) int {
+// RequestsNeeded is about how many requests of the new pool, without one that is bad,
+// FineEvidence takes to reach a level from where it is.
+func (t *SequentialTest) RequestsNeeded(level float64) int {
 	// The best of the alternatives is all but 0, and weighs one in so many.
-	missing := math.Log(level / max(t.Fine(), startNow/2/float64(len(worse))))
+	missing := math.Log(level / max(t.FineEvidence(), startNow/2/float64(len(worse))))
 	if missing <= 0 {
 		return 0
 	}
@@ -166,10 +166,10 @@
 	return int(math.Ceil(missing / per))
 }
 
-// NeededFor is that in time, at so many requests of the new pool a second; 0 or
+// TimeNeeded is that in time, at so many requests of the new pool a second; 0 or
 // less has no end.
-func (t *Track) NeededFor(level, rate float64) time.Duration {
-	n := float64(t.Needed(level))
+func (t *SequentialTest) TimeNeeded(level, rate float64) time.Duration {
+	n := float64(t.RequestsNeeded(level))
 	if n == 0 {
 		return 0
 	}
--- a/internal/moves/judges.go
+++ b/internal/moves/judges.go
@@ -15,21 +15,21 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// Kind is a kind of fault that is judged.
-type Kind uint8
+// FaultKind is a kind of fault that is judged.
+type FaultKind uint8
 
 const (
-	Failed     Kind = iota // an error, no answer, a connection that was lost or could not be had
-	Late                   // an answer beyond the class's aim, or none
-	TurnedAway             // the endpoint refused
-	Slow                   // longer than half of the answers of the other pool
-	Kinds
+	Failed   FaultKind = iota // an error, no answer, a connection that was lost or could not be had
+	Late                      // an answer beyond the class's aim, or none
+	Declined                  // the endpoint refused
+	Slow                      // longer than half of the answers of the other pool
+	NumFaultKinds
 	// Worth is what was lost of all that the requests of all classes were worth. It is
 	// judged of the service as a whole, beside the kinds of each class.
-	Worth = Kinds
+	Worth = NumFaultKinds
 )
 
-func (k Kind) String() string {
+func (k FaultKind) String() string {
 	return [...]string{"failed", "late", "turned away", "slow", "worth lost"}[k]
 }
 
@@ -37,15 +37,15 @@
 type ClassWorth struct{ InTime, Late float64 }
 
 // Guards are what is allowed of one class. A guard whose margin is 0 is off.
-type Guards [Kinds]judge.Guard
+type Guards [NumFaultKinds]judge.Guard
 
-// Seen is one attempt that has ended, and can be judged.
-type Seen struct {
+// AttemptResult is one attempt that has ended, and can be judged.
+type AttemptResult struct {
 	Class    int
 	New      bool   // of the new pool, else of the one that is left
 	Endpoint uint32 // its number
 	Failed   bool
-	Turned   bool
+	Declined bool
 	Late     bool
 	Cold     bool          // its endpoint has not been up for long: how slow it is tells nothing
 	Took     time.Duration // of a good answer; 0: there was none
@@ -83,9 +83,9 @@
 
 // ofClass is what is seen of a class.
 type ofClass struct {
-	tracks [Kinds]*judge.Track // nil: off
-	block  [Kinds]judge.Block  // Slow's is the pace's
-	pace   *judge.Pace
+	tracks [NumFaultKinds]*judge.SequentialTest // nil: off
+	block  [NumFaultKinds]judge.Block           // Slow's is the pace's
+	pace   *judge.LatencyComparison
 	fast   float64 // logarithm of the new pool's times over the other's, of late
 	slow   float64 // and over longer
 	n      float64
@@ -117,7 +117,7 @@
 // so what is bad is the part that is lost of all worth, and a fault like the others.
 type ofWorth struct {
 	guard judge.Guard
-	track *judge.Track // nil: off
+	track *judge.SequentialTest // nil: off
 	block judge.Block
 	rand  *rand.Rand
 }
@@ -144,18 +144,18 @@
 	j.classes = make([]ofClass, len(j.guards))
 	for i := range j.classes {
 		c := &j.classes[i]
-		c.pace = judge.NewPace(max(j.guards[i][Slow].Margin, 1))
+		c.pace = judge.NewLatencyComparison(max(j.guards[i][Slow].Margin, 1))
 		for k, g := range j.guards[i] {
 			if g.Margin > 0 {
-				if Kind(k) == Slow {
+				if FaultKind(k) == Slow {
 					g.Margin = 1 // the pace has it
 				}
-				c.tracks[k] = judge.NewTrack(g)
+				c.tracks[k] = judge.NewSequentialTest(g)
 			}
 		}
 	}
 	if j.all.track = nil; j.all.guard.Margin > 0 && len(j.worths) > 0 {
-		j.all.track = judge.NewTrack(j.all.guard)
+		j.all.track = judge.NewSequentialTest(j.all.guard)
 	}
 	j.all.block, j.since = judge.Block{}, now
 	j.began, j.oldGone, j.bad = now, false, map[uint32]float64{}
@@ -178,24 +178,24 @@
 }
 
 // see takes in an attempt.
-func (j *judges) see(s *Seen) {
+func (j *judges) see(s *AttemptResult) {
 	if s.Class < 0 || s.Class >= len(j.classes) || s.New && j.left[s.Endpoint] {
 		return
 	}
 	c := &j.classes[s.Class]
 	if s.New {
 		j.ended++
-		if s.Failed || s.Turned || s.Late && !s.Cold {
+		if s.Failed || s.Declined || s.Late && !s.Cold {
 			j.blame(s.Endpoint)
 		}
 	}
 	j.lose(s)
 	c.count(Failed, s.New, s.Failed)
-	c.count(TurnedAway, s.New, s.Turned)
+	c.count(Declined, s.New, s.Declined)
 	if s.New && s.Cold {
 		return
 	}
-	if !s.Turned {
+	if !s.Declined {
 		c.count(Late, s.New, s.Late)
 	}
 	if s.Took > 0 {
@@ -205,7 +205,7 @@
 
 // lose takes in what an attempt lost of what its request was worth. Of an endpoint
 // that is cold, that it is late loses nothing.
-func (j *judges) lose(s *Seen) {
+func (j *judges) lose(s *AttemptResult) {
 	if j.all.track == nil || s.Class >= len(j.worths) {
 		return
 	}
@@ -214,7 +214,7 @@
 		return
 	}
 	switch {
-	case s.Failed || s.Turned:
+	case s.Failed || s.Declined:
 		lost = 1
 	case s.Late && !(s.New && s.Cold):
 		lost = 1 - w.Late/w.InTime
@@ -249,19 +249,19 @@
 	}
 }
 
-func (c *ofClass) count(k Kind, isNew, bad bool) {
+func (c *ofClass) count(k FaultKind, isNew, bad bool) {
 	b := &c.block[k]
 	if b.Count(isNew, bad); b.New == judge.MaxBlock || b.Old == judge.MaxBlock {
 		c.cut(k)
 	}
 }
 
-func (c *ofClass) timed(s *Seen) {
+func (c *ofClass) timed(s *AttemptResult) {
 	if !s.New {
-		c.pace.Old(s.Took)
+		c.pace.AddOld(s.Took)
 		return
 	}
-	c.pace.New(s.Took)
+	c.pace.AddNew(s.Took)
 	if m := c.pace.Median(); m > 0 {
 		l := math.Log(s.Took.Seconds() / m.Seconds())
 		c.n++
@@ -270,10 +270,10 @@
 	}
 }
 
-func (c *ofClass) cut(k Kind) {
+func (c *ofClass) cut(k FaultKind) {
 	b := c.block[k]
 	if c.block[k] = (judge.Block{}); k == Slow {
-		b = c.pace.Cut()
+		b = c.pace.TakeBlock()
 	}
 	if c.tracks[k] != nil && b.New+b.Old > 0 {
 		c.tracks[k].Add(b)
@@ -282,8 +282,8 @@
 
 // told takes in what others have seen of the two pools over the same seconds. It
 // counts as what is seen here; whose endpoint it was is not known.
-func (j *judges) told(class int, k Kind, b judge.Block) error {
-	if class < 0 || class >= len(j.classes) || k >= Kinds || j.classes[class].tracks[k] == nil {
+func (j *judges) told(class int, k FaultKind, b judge.Block) error {
+	if class < 0 || class >= len(j.classes) || k >= NumFaultKinds || j.classes[class].tracks[k] == nil {
 		return errNotJudged
 	}
 	if !j.classes[class].tracks[k].Add(b) {
@@ -319,7 +319,7 @@
 	}
 	j.all.cut()
 	for i := range j.classes {
-		for k := range Kinds {
+		for k := range NumFaultKinds {
 			j.classes[i].cut(k)
 		}
 	}
@@ -327,8 +327,8 @@
 
 // verdict says what all that was seen means. members is how many endpoints the new
 // pool has, share the part of the requests that it is asked to take.
-func (j *judges) verdict(now time.Duration, names []string, members int) (v Verdict, left uint32, leaves bool) {
-	v = Verdict{Enough: true, Ended: j.ended}
+func (j *judges) verdict(now time.Duration, names []string, members int) (v Assessment, left uint32, leaves bool) {
+	v = Assessment{Sufficient: true, NewRequests: j.ended}
 	level := j.level()
 	if j.patient && j.met >= 0 && now >= j.met+patienceForSlow*j.warming {
 		j.patient = false
@@ -342,19 +342,19 @@
 			if t == nil {
 				continue
 			}
-			j.weigh(&v, c, t, Kind(k), name(names, i), level, now)
+			j.weigh(&v, c, t, FaultKind(k), name(names, i), level, now)
 		}
 	}
 	if t := j.all.track; t != nil {
 		j.weigh(&v, nil, t, Worth, allClasses, level, now)
 	}
-	if v.Worse == "" {
+	if v.Regression == "" {
 		return v, 0, false
 	}
 	if id, ok := j.ownFault(members); ok {
 		j.left[id] = true
 		j.forget(now)
-		return Verdict{Lacks: "what is seen without an endpoint that fails by itself", Ended: j.ended}, id, true
+		return Assessment{Missing: "what is seen without an endpoint that fails by itself", NewRequests: j.ended}, id, true
 	}
 	return v, 0, false
 }
@@ -367,41 +367,41 @@
 }
 
 // weigh takes one kind of fault of one class into a verdict.
-func (j *judges) weigh(v *Verdict, c *ofClass, t *judge.Track, k Kind, class string, level float64, now time.Duration) {
-	against, common := t.Worse(), t.Common()
+func (j *judges) weigh(v *Assessment, c *ofClass, t *judge.SequentialTest, k FaultKind, class string, level float64, now time.Duration) {
+	against, common := t.WorseEvidence(), t.CommonEvidence()
 	if j.oldGone {
-		against = t.Alone()
+		against = t.WorseThanBound()
 	}
 	isNew, old := t.Rates()
 	total := t.Total()
 	what := fmt.Sprintf("%s: %.2f%% %s of %d, beside %.2f%% of %d", class, 100*isNew, k, total.New, 100*old, total.Old)
 	switch {
 	case against >= level && k == Slow && j.patient:
-		v.Enough, v.Lacks = false, class+": the new pool is slow, and may be warming up"
+		v.Sufficient, v.Missing = false, class+": the new pool is slow, and may be warming up"
 	case against >= level && k == Slow && j.faster(c):
 		// It is not to be blamed for what is passing: it is looked at anew.
 		j.warms++
 		c.anew(Slow)
-		v.Enough, v.Lacks = false, class+": the new pool is slow and getting faster"
-	case against >= level && v.Worse == "":
-		v.Worse = fmt.Sprintf("%s, evidence %.3g of %.3g", what, against, level)
+		v.Sufficient, v.Missing = false, class+": the new pool is slow and getting faster"
+	case against >= level && v.Regression == "":
+		v.Regression = fmt.Sprintf("%s, evidence %.3g of %.3g", what, against, level)
 	case common >= level:
-		v.Common = "both pools: " + what
+		v.CommonFault = "both pools: " + what
 	}
 	if k == Slow && j.oldGone {
 		return // there is nothing to compare with
 	}
-	if total.New+total.Old > 0 && t.Fine() < enough {
-		v.Enough = false
+	if total.New+total.Old > 0 && t.FineEvidence() < enough {
+		v.Sufficient = false
 		rate := float64(total.New) / max((now-j.since).Seconds(), 1)
-		v.Lacks = cmp.Or(v.Lacks, fmt.Sprintf("%s: %d more requests to tell that not too many are %s, %s", class, t.Needed(enough), k, within(t.NeededFor(enough, rate))))
+		v.Missing = cmp.Or(v.Missing, fmt.Sprintf("%s: %d more requests to tell that not too many are %s, %s", class, t.RequestsNeeded(enough), k, within(t.TimeNeeded(enough, rate))))
 	}
 }
 
 // anew forgets what was seen of one kind of fault.
-func (c *ofClass) anew(k Kind) {
+func (c *ofClass) anew(k FaultKind) {
 	if c.tracks[k] != nil {
-		c.tracks[k] = judge.NewTrack(judge.Guard{Margin: 1})
+		c.tracks[k] = judge.NewSequentialTest(judge.Guard{Margin: 1})
 	}
 }
 
@@ -431,36 +431,36 @@
 
 // Evidence is a row of what an operator is shown.
 type Evidence struct {
-	Class    string
-	Kind     Kind
-	New, Old float64 // parts that were bad
-	Ended    [2]int  // requests judged, of the new pool and the other
-	Bad      [2]int  // and those of them that were bad
-	Against  float64 // 1: as good as nothing
-	Blamed   float64 // at which the new pool is blamed
-	Fine     float64
-	Needed   int // requests of the new pool until enough is known
+	Class         string
+	Kind          FaultKind
+	New, Old      float64 // parts that were bad
+	Judged        [2]int  // requests judged, of the new pool and the other
+	Bad           [2]int  // and those of them that were bad
+	WorseEvidence float64 // 1: as good as nothing
+	Threshold     float64 // at which the new pool is blamed
+	FineEvidence  float64
+	Needed        int // requests of the new pool until enough is known
 }
 
 // evidence is all that is weighed, of what something was seen of.
 func (j *judges) evidence(names []string) (rows []Evidence) {
 	level := j.level()
-	row := func(class string, k Kind, t *judge.Track) {
+	row := func(class string, k FaultKind, t *judge.SequentialTest) {
 		if t == nil || t.Total() == (judge.Block{}) {
 			return
 		}
 		sum := t.Total()
-		e := Evidence{Class: class, Kind: k, Against: t.Worse(), Blamed: level, Fine: t.Fine(), Needed: t.Needed(enough)}
+		e := Evidence{Class: class, Kind: k, WorseEvidence: t.WorseEvidence(), Threshold: level, FineEvidence: t.FineEvidence(), Needed: t.RequestsNeeded(enough)}
 		if j.oldGone {
-			e.Against = t.Alone()
+			e.WorseEvidence = t.WorseThanBound()
 		}
 		e.New, e.Old = t.Rates()
-		e.Ended, e.Bad = [2]int{sum.New, sum.Old}, [2]int{sum.NewBad, sum.OldBad}
+		e.Judged, e.Bad = [2]int{sum.New, sum.Old}, [2]int{sum.NewBad, sum.OldBad}
 		rows = append(rows, e)
 	}
 	for i := range j.classes {
 		for k, t := range j.classes[i].tracks {
-			row(name(names, i), Kind(k), t)
+			row(name(names, i), FaultKind(k), t)
 		}
 	}
 	slices.SortStableFunc(rows, func(a, b Evidence) int { return cmp.Compare(a.Class, b.Class) })
@@ -468,14 +468,14 @@
 	return rows
 }
 
-// Foretell is how long it takes to see enough of a guard at a rate of requests to
+// TimeToEvidence is how long it takes to see enough of a guard at a rate of requests to
 // the new pool, all of them good; 0 where it is off.
-func Foretell(g judge.Guard, k Kind, rate float64) time.Duration {
+func TimeToEvidence(g judge.Guard, k FaultKind, rate float64) time.Duration {
 	if g.Margin <= 0 {
 		return 0
 	}
 	if k == Slow {
 		g = judge.Guard{Margin: 1}
 	}
-	return judge.NewTrack(g).NeededFor(enough, rate)
+	return judge.NewSequentialTest(g).TimeNeeded(enough, rate)
 }
--- a/internal/moves/moves.go
+++ b/internal/moves/moves.go
@@ -53,7 +53,7 @@
 // Move is one move that goes on or is over. It is for one goroutine.
 type Move struct {
 	Config
-	course  Course
+	course  Progress
 	judges  *judges
 	salt    uint64
 	retired bool // its operator has taken it out of the file
@@ -64,38 +64,38 @@
 
 // New makes a move that waits.
 func New(now time.Duration, c Config) *Move {
-	m := &Move{Config: c, course: Course{Phase: Waiting, Since: now, Ticked: now}, salt: Salt(c.Name)}
+	m := &Move{Config: c, course: Progress{Phase: Waiting, Since: now, LastTick: now}, salt: Salt(c.Name)}
 	m.judges = newJudges(now, &m.Config)
 	return m
 }
 
-// Meets reports whether a request with this hash meets the new pool.
-func (m *Move) Meets(hash uint64) bool {
-	return m.course.Share > 0 && Place(hash, m.salt) < m.course.Share
+// RoutesToNew reports whether a request with this hash meets the new pool.
+func (m *Move) RoutesToNew(hash uint64) bool {
+	return m.course.Share > 0 && Position(hash, m.salt) < m.course.Share
 }
 
-// Got is the part of the requests that met the new pool of late, by what was judged.
-func (m *Move) Got() float64 { return m.judges.got }
+// NewShare is the part of the requests that met the new pool of late, by what was judged.
+func (m *Move) NewShare() float64 { return m.judges.got }
 
 // Share is the part of the requests that meets the new pool.
 func (m *Move) Share() float64 { return m.course.Share }
 
-// Course is where the move is.
-func (m *Move) Course() Course { return m.course }
+// Progress is where the move is.
+func (m *Move) Progress() Progress { return m.course }
 
-// Judging reports whether what is seen now matters to it.
-func (m *Move) Judging() bool { return m.course.Phase.UnderWay() && m.course.Phase != Undoing }
+// Observing reports whether what is seen now matters to it.
+func (m *Move) Observing() bool { return m.course.Phase.UnderWay() && m.course.Phase != Undoing }
 
-// See takes in an attempt that has ended.
-func (m *Move) See(s *Seen) {
-	if m.Judging() {
+// Observe takes in an attempt that has ended.
+func (m *Move) Observe(s *AttemptResult) {
+	if m.Observing() {
 		m.judges.see(s)
 	}
 }
 
-// Told takes in what others, such as the other sidecars of a fleet, have seen.
-func (m *Move) Told(class int, k Kind, b judge.Block) error {
-	if !m.Judging() {
+// AddEvidence takes in what others, such as the other sidecars of a fleet, have seen.
+func (m *Move) AddEvidence(class int, k FaultKind, b judge.Block) error {
+	if !m.Observing() {
 		return errors.New("it is not being judged")
 	}
 	return m.judges.told(class, k, b)
@@ -127,20 +127,20 @@
 	if m.course.Phase == Waiting || m.full == 0 {
 		m.full = from // what has carried all of it so far
 	}
-	at.FromRoom, at.ToRoom = 1, 1
+	at.FromCapacity, at.ToCapacity = 1, 1
 	if m.full > 0 {
-		at.FromRoom, at.ToRoom = min(1, max(m.Headroom, 1)*from/m.full), min(1, to/m.full)
+		at.FromCapacity, at.ToCapacity = min(1, max(m.Headroom, 1)*from/m.full), min(1, to/m.full)
 	}
 	if m.Connections > 0 && out >= m.Connections*float64(at.To) {
-		at.ToRoom = min(at.ToRoom, m.course.Share) // no more than it has
+		at.ToCapacity = min(at.ToCapacity, m.course.Share) // no more than it has
 	}
 	m.at, m.members = at, at.To
 }
 
 // Tick lets time pass. It is to be called about once a second.
 func (m *Move) Tick(now time.Duration, classes []string) (events []Event) {
-	var v Verdict
-	if m.Judging() {
+	var v Assessment
+	if m.Observing() {
 		m.judges.tick(now)
 		var id uint32
 		var leaves bool
@@ -163,7 +163,7 @@
 	return append(events, more...)
 }
 
-// Begin, Hold, GoOn and Undo are an operator's words.
+// Begin, Hold, Resume and Undo are an operator's words.
 func (m *Move) Begin(now time.Duration) error {
 	err := m.course.Begin(now, m.judges.ended, m.at)
 	if err == nil {
@@ -176,8 +176,8 @@
 	return m.course.Hold(now, m.judges.ended, why)
 }
 
-func (m *Move) GoOn(now time.Duration) error {
-	err := m.course.GoOn(now, m.judges.ended, m.at)
+func (m *Move) Resume(now time.Duration) error {
+	err := m.course.Resume(now, m.judges.ended, m.at)
 	if err == nil {
 		m.judges.forget(now)
 	}
@@ -191,14 +191,14 @@
 // Retire takes the move out of use: what is under way is undone first. Over
 // reports whether it can be dropped.
 func (m *Move) Retire() { m.retired = true }
-func (m *Move) Over() bool {
+func (m *Move) Removable() bool {
 	return m.retired && !m.course.Phase.UnderWay()
 }
 
 // Configure puts another plan in force. The share stays, and its step begins anew.
 func (m *Move) Configure(now time.Duration, c Config) {
 	m.Config, m.retired = c, false
-	m.course.Adopt(now, &m.Plan)
+	m.course.Restore(now, &m.Plan)
 	m.judges = newJudges(now, &m.Config)
 }
 
--- a/internal/moves/moves_test.go
+++ b/internal/moves/moves_test.go
@@ -21,8 +21,8 @@
 }
 
 func TestMoves(t *testing.T) {
-	onNew := func(p *pools.Play, s *moves.Seen) bool { return s.New }
-	never := func(p *pools.Play, s *moves.Seen) bool { return false }
+	onNew := func(p *pools.Play, s *moves.AttemptResult) bool { return s.New }
+	never := func(p *pools.Play, s *moves.AttemptResult) bool { return false }
 	surge := func(second int) float64 {
 		if second > 60 && second < 120 {
 			return 1.5
@@ -37,46 +37,46 @@
 		"a good pool":      {pools.Course{Bad: pools.Failing(0, never)}, false, 0},
 		"a fault of 20%":   {pools.Course{Bad: pools.Failing(0.2, onNew)}, true, 0.01},
 		"a fault of 5%":    {pools.Course{Bad: pools.Failing(0.05, onNew)}, true, 0.01},
-		"turned away":      {pools.Course{Bad: func(p *pools.Play, s *moves.Seen) { s.Turned = s.New && p.Rand.Float64() < 0.3 }}, true, 0.01},
-		"2% of one class":  {pools.Course{Bad: pools.Failing(0.02, func(p *pools.Play, s *moves.Seen) bool { return s.New && s.Class == 1 })}, true, 0.01},
-		"above 40% of it":  {pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.Seen) bool { return s.New && p.Share() > 0.4 })}, true, 0.02},
-		"in the watch":     {pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.Seen) bool { return s.New && p.Course().Phase == moves.Watching })}, true, 0},
-		"every 10 seconds": {pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.Seen) bool { return s.New && p.Second/10%2 == 1 })}, true, 0.01},
-		"slow for good": {pools.Course{Slower: func(p *pools.Play, s *moves.Seen) float64 {
+		"turned away":      {pools.Course{Bad: func(p *pools.Play, s *moves.AttemptResult) { s.Declined = s.New && p.Rand.Float64() < 0.3 }}, true, 0.01},
+		"2% of one class":  {pools.Course{Bad: pools.Failing(0.02, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && s.Class == 1 })}, true, 0.01},
+		"above 40% of it":  {pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && p.Share() > 0.4 })}, true, 0.02},
+		"in the watch":     {pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && p.Progress().Phase == moves.Watching })}, true, 0},
+		"every 10 seconds": {pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && p.Second/10%2 == 1 })}, true, 0.01},
+		"slow for good": {pools.Course{Slower: func(p *pools.Play, s *moves.AttemptResult) float64 {
 			if s.New {
 				return 1.3
 			}
 			return 1
 		}}, true, 0},
-		"slow while it is cold": {pools.Course{Slower: func(p *pools.Play, s *moves.Seen) float64 {
+		"slow while it is cold": {pools.Course{Slower: func(p *pools.Play, s *moves.AttemptResult) float64 {
 			if s.New {
 				return 1 + 3*math.Exp(-(p.Now-p.Met).Seconds()/10)
 			}
 			return 1
 		}}, false, 0},
-		"slow for longer, and getting faster": {pools.Course{Slower: func(p *pools.Play, s *moves.Seen) float64 {
+		"slow for longer, and getting faster": {pools.Course{Slower: func(p *pools.Play, s *moves.AttemptResult) float64 {
 			if s.New && p.Now-p.Met < 90*time.Second {
 				return 2 - (p.Now-p.Met).Seconds()/90
 			}
 			return 1
 		}}, false, 0},
-		"a surge that slows both": {pools.Course{Load: surge, Slower: func(p *pools.Play, s *moves.Seen) float64 { return surge(p.Second) * surge(p.Second) }}, false, 0},
-		"a fault of both":         {pools.Course{Bad: pools.Failing(0.2, func(p *pools.Play, s *moves.Seen) bool { return p.Second > 70 && p.Second < 100 })}, false, 0},
-		"one endpoint of five":    {pools.Course{Bad: pools.Failing(0.3, func(p *pools.Play, s *moves.Seen) bool { return s.Endpoint == 7 })}, false, 0},
-		"a bit of everything, each within its bound": {pools.Course{Bad: func(p *pools.Play, s *moves.Seen) {
+		"a surge that slows both": {pools.Course{Load: surge, Slower: func(p *pools.Play, s *moves.AttemptResult) float64 { return surge(p.Second) * surge(p.Second) }}, false, 0},
+		"a fault of both":         {pools.Course{Bad: pools.Failing(0.2, func(p *pools.Play, s *moves.AttemptResult) bool { return p.Second > 70 && p.Second < 100 })}, false, 0},
+		"one endpoint of five":    {pools.Course{Bad: pools.Failing(0.3, func(p *pools.Play, s *moves.AttemptResult) bool { return s.Endpoint == 7 })}, false, 0},
+		"a bit of everything, each within its bound": {pools.Course{Bad: func(p *pools.Play, s *moves.AttemptResult) {
 			if s.New {
 				x := p.Rand.Float64()
-				s.Failed, s.Turned = x < 0.0045, x > 0.985
+				s.Failed, s.Declined = x < 0.0045, x > 0.985
 			}
 		}}, true, 0.03},
-		"two of five": {pools.Course{Bad: pools.Failing(0.3, func(p *pools.Play, s *moves.Seen) bool { return s.Endpoint == 7 || s.Endpoint == 8 })}, true, 0.01},
+		"two of five": {pools.Course{Bad: pools.Failing(0.3, func(p *pools.Play, s *moves.AttemptResult) bool { return s.Endpoint == 7 || s.Endpoint == 8 })}, true, 0.01},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
 				c.Seed, c.Rate, c.Seconds = seed, 300, 7200
 				p := c.Run()
 				if c.undone && p.UndoneAt < 0 || !c.undone && p.DoneAt < 0 {
-					t.Errorf("seed %d: undone at %d s, done at %d s\n%v\n%+v", seed, p.UndoneAt, p.DoneAt, p.Log, p.Course())
+					t.Errorf("seed %d: undone at %d s, done at %d s\n%v\n%+v", seed, p.UndoneAt, p.DoneAt, p.Log, p.Progress())
 				}
 				if part := float64(p.Harmed) / float64(p.Asked); c.harmed > 0 && part > c.harmed {
 					t.Errorf("seed %d: %.2f%% of all were harmed in %d s\n%v", seed, 100*part, p.UndoneAt, p.Log)
@@ -90,7 +90,7 @@
 // second it goes on at the pace of its steps.
 func TestRates(t *testing.T) {
 	p := pools.Course{Rate: 1.0 / 60, Seconds: 7200}.Run()
-	if c := p.Course(); c.Phase != moves.Moving || c.Step != 0 || c.Lacks == "" {
+	if c := p.Progress(); c.Phase != moves.Moving || c.Step != 0 || c.WaitingFor == "" {
 		t.Errorf("%+v", c)
 	}
 	p = pools.Course{Rate: 10_000, Seconds: 400}.Run()
@@ -132,7 +132,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := pools.Course{Rate: 300, Seconds: 3600, Each: c.at}.Run()
 			if p.Share() != c.most || (p.DoneAt >= 0) != c.done {
-				t.Errorf("share %v, done at %d s; %v\n%+v", p.Share(), p.DoneAt, p.Log, p.Course())
+				t.Errorf("share %v, done at %d s; %v\n%+v", p.Share(), p.DoneAt, p.Log, p.Progress())
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 			p.Members[i].InFlight = 10 * p.Share() // 5 at half of the requests
 		}
 	}}.Run()
-	if c := p.Course(); p.Share() != 0.5 || c.Phase != moves.Moving || !strings.Contains(c.Lacks, "room for 50%") {
+	if c := p.Progress(); p.Share() != 0.5 || c.Phase != moves.Moving || !strings.Contains(c.WaitingFor, "room for 50%") {
 		t.Errorf("share %v; %+v", p.Share(), c)
 	}
 }
@@ -189,16 +189,16 @@
 	for s := 2; s < 20; s++ {
 		m.Tick(time.Duration(s)*time.Second, nil)
 	}
-	share, step := m.Share(), m.Course().Step
+	share, step := m.Share(), m.Progress().Step
 	m.Tick(time.Hour, nil)
 	m.Tick(time.Hour+time.Second, nil)
-	if m.Share() != share || m.Course().Step != step {
+	if m.Share() != share || m.Progress().Step != step {
 		t.Errorf("after a pause the share is %v", m.Share())
 	}
 	r := m.Record()
 	next := moves.New(time.Minute, pools.Config())
-	if !next.Adopt(time.Minute, r) || next.Share() != share || next.Course().Phase != moves.Moving {
-		t.Errorf("%+v", next.Course())
+	if !next.Restore(time.Minute, r) || next.Share() != share || next.Progress().Phase != moves.Moving {
+		t.Errorf("%+v", next.Progress())
 	}
 	for name, spoil := range map[string]func(*moves.Record){
 		"a share over 1": func(r *moves.Record) { r.Share = 1.5 }, "no number": func(r *moves.Record) { r.Share = math.NaN() }, "another pool": func(r *moves.Record) { r.To.Kind = "c" },
@@ -206,8 +206,8 @@
 	} {
 		bad := r
 		spoil(&bad)
-		if fresh := moves.New(0, pools.Config()); fresh.Adopt(0, bad) || fresh.Share() != 0 || fresh.Course().Phase != moves.Waiting {
-			t.Errorf("%s was taken: %+v", name, fresh.Course())
+		if fresh := moves.New(0, pools.Config()); fresh.Restore(0, bad) || fresh.Share() != 0 || fresh.Progress().Phase != moves.Waiting {
+			t.Errorf("%s was taken: %+v", name, fresh.Progress())
 		}
 	}
 }
@@ -216,14 +216,14 @@
 func TestRetire(t *testing.T) {
 	p := pools.Course{Rate: 300, Seconds: 100}.Run()
 	p.Retire()
-	if p.Over() {
+	if p.Removable() {
 		t.Error("dropped at a share of ", p.Share())
 	}
 	for s := 1; s < 4; s++ {
 		p.Tick(p.Now+time.Duration(s)*time.Second, nil)
 	}
-	if !p.Over() || p.Share() != 0 {
-		t.Errorf("%+v", p.Course())
+	if !p.Removable() || p.Share() != 0 {
+		t.Errorf("%+v", p.Progress())
 	}
 }
 
@@ -234,13 +234,13 @@
 	salt := moves.Salt("new")
 	meets := 0
 	for k := range uint64(n) {
-		meets += one(moves.Place(k, salt) < 0.25)
+		meets += one(moves.Position(k, salt) < 0.25)
 	}
 	if math.Abs(float64(meets)/n-0.25) > 0.02 {
 		t.Errorf("%d of %d keys meet a share of a quarter", meets, n)
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		place := moves.Place(rapid.Uint64().Draw(rt, "key"), rapid.Uint64().Draw(rt, "salt"))
+		place := moves.Position(rapid.Uint64().Draw(rt, "key"), rapid.Uint64().Draw(rt, "salt"))
 		if place < 0 || place >= 1 {
 			rt.Errorf("a place of %v", place)
 		}
@@ -253,7 +253,7 @@
 			isNew := uint8(mask)&bit != 0
 			want = want && !(isNew && pools.From&bit != 0) && !(!isNew && pools.To&bit != 0)
 		}
-		if !mask.Met(pools).Allows(pools) {
+		if !mask.WithEndpoint(pools).Allows(pools) {
 			rt.Errorf("mask %b met %+v and does not allow it", mask, pools)
 		}
 		if mask.Allows(pools) != want {
@@ -268,13 +268,13 @@
 	changes, was := map[uint64]int{}, map[uint64]bool{}
 	p := pools.Course{Rate: 400, Seconds: 3600, Each: func(p *pools.Play) {
 		for k := range uint64(500) {
-			if is := p.Meets(k * 0x9e3779b97f4a7c15); is != was[k] {
+			if is := p.RoutesToNew(k * 0x9e3779b97f4a7c15); is != was[k] {
 				changes[k]++
 				was[k] = is
 			}
 		}
 		if next := moves.New(p.Now, pools.Config()); p.Second%60 == 59 {
-			if next.Adopt(p.Now, p.Record()); next.Meets(7) != p.Meets(7) {
+			if next.Restore(p.Now, p.Record()); next.RoutesToNew(7) != p.RoutesToNew(7) {
 				t.Fatal("another process has the key in another pool")
 			}
 		}
@@ -299,7 +299,7 @@
 		{moves.Selector{IDPrefix: "maps-1", Pod: 3}, true}, {moves.Selector{IDPrefix: "maps-123", Pod: -1}, false}, {moves.Selector{Pod: 0}, false},
 		{moves.Selector{Label: "v=2", Pod: -1}, true}, {moves.Selector{Label: "v=3", Pod: -1}, false}, {moves.Selector{Label: "w=", Pod: -1}, true},
 	} {
-		if c.s.Picks(&e) != c.fits {
+		if c.s.Matches(&e) != c.fits {
 			t.Errorf("%s: %v", c.s.String(), !c.fits)
 		}
 	}
@@ -311,7 +311,7 @@
 	undone := 0
 	const courses = 6
 	for seed := range uint64(courses) {
-		c := pools.Course{Seed: seed + 100, Rate: 120, Seconds: 3600, Bad: func(p *pools.Play, s *moves.Seen) { s.Failed = p.Rand.Float64() < 0.004 }}
+		c := pools.Course{Seed: seed + 100, Rate: 120, Seconds: 3600, Bad: func(p *pools.Play, s *moves.AttemptResult) { s.Failed = p.Rand.Float64() < 0.004 }}
 		if p := c.Run(); p.UndoneAt >= 0 {
 			undone++
 			t.Log(p.Log)
--- a/internal/moves/record.go
+++ b/internal/moves/record.go
@@ -25,9 +25,9 @@
 	return Record{m.Name, m.From, m.To, m.course.Phase, m.course.Share, m.full, why[:min(len(why), maxWhy)]}
 }
 
-// Adopt has the move go on where a record's was. One of another move, or one that
+// Restore has the move go on where a record's was. One of another move, or one that
 // can't be meant, is left out: the move then waits, and all meet the old pool.
-func (m *Move) Adopt(now time.Duration, r Record) bool {
+func (m *Move) Restore(now time.Duration, r Record) bool {
 	share := r.Share >= 0 && r.Share <= 1
 	full := r.Full >= 0 && !math.IsInf(r.Full, 0)
 	if r.Name != m.Name || r.From != m.From || r.To != m.To || !share || !full || len(r.Why) > maxWhy {
@@ -38,12 +38,12 @@
 		if r.Share != 0 {
 			return false
 		}
-	case Moving, Halted, Held, Watching, Undoing, Done:
+	case Moving, Halted, Paused, Watching, Undoing, Done:
 	default:
 		return false
 	}
-	m.course = Course{Phase: r.Phase, Share: r.Share, Why: r.Why}
-	m.course.Adopt(now, &m.Plan)
+	m.course = Progress{Phase: r.Phase, Share: r.Share, Why: r.Why}
+	m.course.Restore(now, &m.Plan)
 	m.full = r.Full
 	m.judges.forget(now)
 	return true
--- a/internal/moves/split.go
+++ b/internal/moves/split.go
@@ -21,14 +21,14 @@
 // Allows reports whether a request of the mask may meet an endpoint.
 func (m Mask) Allows(p Pools) bool { return p.From&uint8(m) == 0 && p.To&^uint8(m) == 0 }
 
-// Met is the mask of a request that went to an endpoint: after a retry that crossed it
+// WithEndpoint is the mask of a request that went to an endpoint: after a retry that crossed it
 // is not the one that it came with.
-func (m Mask) Met(p Pools) Mask { return m&^Mask(p.From) | Mask(p.To) }
+func (m Mask) WithEndpoint(p Pools) Mask { return m&^Mask(p.From) | Mask(p.To) }
 
-// Place is where a request lies between 0 and 1 for a move: it meets the new pool
+// Position is where a request lies between 0 and 1 for a move: it meets the new pool
 // where that is below the share. It does not depend on the share, so a step only
 // adds those between the old share and the new one, and no key changes twice.
-func Place(key, salt uint64) float64 {
+func Position(key, salt uint64) float64 {
 	h := key ^ salt // the finalizer of MurmurHash3 (Appleby, public domain), which mixes every bit into every other
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -56,8 +56,8 @@
 // Any is a selector in which nothing is set.
 func Any() Selector { return Selector{Pod: -1} }
 
-// Picks reports whether an entry of the list fits.
-func (s *Selector) Picks(e *discovery.Entry) bool {
+// Matches reports whether an entry of the list fits.
+func (s *Selector) Matches(e *discovery.Entry) bool {
 	fits := func(want, is string) bool { return want == "" || want == is }
 	label, value, _ := strings.Cut(s.Label, "=")
 	if s.Label != "" && (e.Labels == nil || e.Labels[label] != value) {
--- a/internal/operator/moves.go
+++ b/internal/operator/moves.go
@@ -45,10 +45,10 @@
 
 // defaultGuards are those of a class that no guard of a move names.
 var defaultGuards = moves.Guards{
-	moves.Failed:     {Bound: 0.005, Margin: 1.5},
-	moves.Late:       {Bound: 0.02, Margin: 1.5},
-	moves.TurnedAway: {Bound: 0.02, Margin: 1.5},
-	moves.Slow:       {Margin: 1.15},
+	moves.Failed:   {Bound: 0.005, Margin: 1.5},
+	moves.Late:     {Bound: 0.02, Margin: 1.5},
+	moves.Declined: {Bound: 0.02, Margin: 1.5},
+	moves.Slow:     {Margin: 1.15},
 }
 
 func readMove(t *table) Move {
@@ -121,9 +121,9 @@
 func readMoveGuard(t *table) MoveGuard {
 	g := MoveGuard{key: t.key, Classes: t.texts("classes", 64), Guards: defaultGuards}
 	for _, k := range []struct {
-		kind moves.Kind
+		kind moves.FaultKind
 		key  string
-	}{{moves.Failed, "failed"}, {moves.Late, "late"}, {moves.TurnedAway, "turned-away"}} {
+	}{{moves.Failed, "failed"}, {moves.Late, "late"}, {moves.Declined, "turned-away"}} {
 		d := defaultGuards[k.kind]
 		g.Guards[k.kind] = judge.Guard{Bound: t.number(k.key, d.Bound, 0.00001, 0.45), Margin: t.number(k.key+"-margin", d.Margin, 1, 100)}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -59,13 +59,13 @@
 type Keys string
 
 const (
-	KeysInImage Keys = "image"  // with all else, every two seconds
-	KeysSoon    Keys = "soon"   // together with those that come meanwhile, at once; nothing waits for it
-	KeysBefore  Keys = "before" // before they are sent
+	KeysInSnapshot Keys = "image"  // with all else, every two seconds
+	KeysAsync      Keys = "soon"   // together with those that come meanwhile, at once; nothing waits for it
+	KeysBeforeSend Keys = "before" // before they are sent
 )
 
-// Kept reports whether keys are kept by themselves, apart from the image.
-func (k Keys) Kept() bool { return k == KeysSoon || k == KeysBefore }
+// UsesStore reports whether keys are kept by themselves, apart from the image.
+func (k Keys) UsesStore() bool { return k == KeysAsync || k == KeysBeforeSend }
 
 // Load reads the file at path.
 func Load(path string) (*File, error) {
@@ -130,7 +130,7 @@
 		if f.State = t.text("directory", ""); f.State == "" {
 			t.fault("directory", "the name of a folder on a lasting disk is expected")
 		}
-		f.Keys = Keys(t.oneOf("keys", string(KeysInImage), string(KeysInImage), string(KeysSoon), string(KeysBefore)))
+		f.Keys = Keys(t.oneOf("keys", string(KeysInSnapshot), string(KeysInSnapshot), string(KeysAsync), string(KeysBeforeSend)))
 		t.end()
 	}
 	if t := root.table("overload"); t != nil {
--- a/internal/operator/services.go
+++ b/internal/operator/services.go
@@ -32,8 +32,8 @@
 	key string
 }
 
-// Forget drops where the service stands in its file, for comparisons.
-func (s *Service) Forget() {
+// ClearPositions drops where the service stands in its file, for comparisons.
+func (s *Service) ClearPositions() {
 	s.key = ""
 	s.Classes = slices.Clone(s.Classes)
 	for i := range s.Classes {
--- a/internal/operator/toml.go
+++ b/internal/operator/toml.go
@@ -23,7 +23,7 @@
 }
 
 func (r *reader) fault(key, format string, args ...any) {
-	r.faults = append(r.faults, fault.Fault{File: r.file, Line: r.lines.Of(key), Key: key, Text: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, fault.Fault{File: r.file, Line: r.lines.Lookup(key), Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
 // decode reads the text into tables and notes the line of each key.
@@ -257,9 +257,9 @@
 	}
 }
 
-// StateOf is the folder of [state] that a file names, however faulty the rest of it
+// StateFolder is the folder of [state] that a file names, however faulty the rest of it
 // is; "": it names none, or is no TOML.
-func StateOf(path string) string {
+func StateFolder(path string) string {
 	text, err := read(path)
 	if err != nil {
 		return ""
--- a/internal/sidecar/accepted.go
+++ b/internal/sidecar/accepted.go
@@ -28,7 +28,7 @@
 		err = c.CheckOperator(f)
 	}
 	if err != nil {
-		if named := operator.StateOf(path); named != "" {
+		if named := operator.StateFolder(path); named != "" {
 			folder = named
 		}
 		last, mark, why := c.lastAccepted(path, folder)
@@ -43,7 +43,7 @@
 }
 
 // lastAccepted is the file that the sidecar took over last.
-func (c *Config) lastAccepted(path, folder string) (f *operator.File, mark state.Mark, err error) {
+func (c *Config) lastAccepted(path, folder string) (f *operator.File, mark state.FileRevision, err error) {
 	if folder == "" {
 		return nil, mark, fmt.Errorf("nothing stands in for it: no folder of [state] is known")
 	}
--- a/internal/sidecar/brake.go
+++ b/internal/sidecar/brake.go
@@ -109,11 +109,11 @@
 	slog.Info("no longer overloaded", "lasted", now-since, "refused_in_all", b.refused.Load())
 }
 
-// Judges reports whether some may be refused.
-func (b *brake) Judges() bool { return b.on.Load() }
+// Active reports whether some may be refused.
+func (b *brake) Active() bool { return b.on.Load() }
 
-// Judge judges a request by its target; after is when a refused one is best sent again.
-func (b *brake) Judge(target string) (refused bool, after time.Duration) {
+// Refuse judges a request by its target; after is when a refused one is best sent again.
+func (b *brake) Refuse(target string) (refused bool, after time.Duration) {
 	worth, count := b.core.AdmissionInfo(target)
 	if count == nil {
 		return false, 0 // what is none of ours is answered as ever
@@ -123,14 +123,14 @@
 	b.mu.Unlock()
 	if !in {
 		b.refused.Add(1)
-		count.Take()
+		count.Begin()
 		count.End(figures.Rejected)
 	}
 	return !in, after
 }
 
 // door is what the front for HTTP/1.1 asks; nil: nothing.
-func (b *brake) door() http1.Door {
+func (b *brake) door() http1.Admission {
 	if b == nil || b.brake == nil {
 		return nil
 	}
--- a/internal/sidecar/brake_test.go
+++ b/internal/sidecar/brake_test.go
@@ -22,7 +22,7 @@
 			b.Tell(waited)
 		}
 	}
-	if b.Judges() {
+	if b.Active() {
 		t.Error("it judges before anything waits")
 	}
 	tell(time.Second, 2)
@@ -31,7 +31,7 @@
 	for range 20 {
 		for range 100 {
 			for _, target := range []string{"/map-tile/1?user=k", "/status-report", "/nobody"} {
-				if no, after := b.Judge(target); !no {
+				if no, after := b.Refuse(target); !no {
 					let[target]++
 				} else if refused++; after <= 0 || after > 10*time.Second {
 					t.Fatalf("come back after %v", after)
@@ -49,7 +49,7 @@
 	if text := must(t, s, "show-stat"); strings.Count(text, ".rejected:0|c") > 0 {
 		t.Errorf("what is refused at the door is not counted:\n%s", text)
 	}
-	for until := time.Now().Add(patience); b.Judges(); tell(0, 1) {
+	for until := time.Now().Add(patience); b.Active(); tell(0, 1) {
 		if time.Now().After(until) {
 			t.Fatal("it judges still")
 		}
@@ -61,8 +61,8 @@
 	s := start(t, scene.Config{Operator: maps + contract("kiosks", 0.5, "service = 'maps'")})
 	b := s.Sidecar.NewLook()
 	b.Tell(time.Second)
-	if b.Refuses() || b.Judges() || b.Delay() < 500*time.Millisecond {
-		t.Errorf("a door %v, judges %v, ready work is said to wait for %v", b.Refuses(), b.Judges(), b.Delay())
+	if b.Refuses() || b.Active() || b.Delay() < 500*time.Millisecond {
+		t.Errorf("a door %v, judges %v, ready work is said to wait for %v", b.Refuses(), b.Active(), b.Delay())
 	}
 }
 
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -155,7 +155,7 @@
 		Full    bool              `json:"full"`
 		Servers []discovery.Entry `json:"servers"`
 	} `json:"known"`
-	Settings *wire.Shape `json:"settings"`
+	Settings *wire.RawSettings `json:"settings"`
 }
 
 var defaultLimits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -19,14 +19,14 @@
 	"spokegw/internal/operator"
 )
 
-// Reloaded is what came of reading the files again.
-type Reloaded struct {
+// ReloadResult is what came of reading the files again.
+type ReloadResult struct {
 	Changes []operator.Change `json:"changes"`
 	Faults  []string          `json:"faults,omitempty"` // of a file that is not used; the other may be
 }
 
 // OnReload sets what reads the files again. It is to be set before Run.
-func (s *Sidecar) OnReload(reload func() Reloaded) { s.reload = reload }
+func (s *Sidecar) OnReload(reload func() ReloadResult) { s.reload = reload }
 
 // listenConsole opens the socket for operators' tools; nil where the file names none,
 // or it can't be opened: requests are served without.
@@ -139,8 +139,8 @@
 	return err
 }
 
-// Explain is a request that is asked about.
-type Explain struct {
+// ExplainRequest is a request that is asked about.
+type ExplainRequest struct {
 	Method string            `json:"method"`
 	Target string            `json:"target"` // path and query
 	Header map[string]string `json:"header"`
@@ -148,7 +148,7 @@
 }
 
 func (s *Sidecar) tellExplain(_ context.Context, raw json.RawMessage, send func(any) error) error {
-	var a Explain
+	var a ExplainRequest
 	if err := arguments(raw, &a); err != nil {
 		return err
 	}
@@ -165,8 +165,8 @@
 	return send(s.core.Explain(&core.Head{Method: a.Method, Target: a.Target, Host: "explain", Header: h, Length: a.Length}))
 }
 
-// Trace is what is to be traced.
-type Trace struct {
+// TraceRequest is what is to be traced.
+type TraceRequest struct {
 	core.Filter
 	Count int           `json:"count"` // traces until the call ends; 0: until its caller leaves
 	For   time.Duration `json:"for_ns"`
@@ -175,13 +175,13 @@
 // longestTrace ends a trace that somebody has left open.
 const longestTrace = 10 * time.Minute
 
-// Missed ends a trace whose caller did not read fast enough.
-type Missed struct {
+// DroppedTraces ends a trace whose caller did not read fast enough.
+type DroppedTraces struct {
 	Missed int64 `json:"missed"`
 }
 
 func (s *Sidecar) tellTrace(ctx context.Context, raw json.RawMessage, send func(any) error) error {
-	var a Trace
+	var a TraceRequest
 	if err := arguments(raw, &a); err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 		break
 	}
 	if n := tap.Dropped(); n > 0 {
-		return send(Missed{n})
+		return send(DroppedTraces{n})
 	}
 	return nil
 }
@@ -234,9 +234,9 @@
 		err = s.config.CheckOperator(f)
 	}
 	if err != nil {
-		return send(Reloaded{Faults: faultTexts(err)})
+		return send(ReloadResult{Faults: faultTexts(err)})
 	}
-	return send(Reloaded{Changes: operator.Diff(old, f)})
+	return send(ReloadResult{Changes: operator.Diff(old, f)})
 }
 
 // faultTexts are the faults of an error, one by one.
@@ -251,9 +251,9 @@
 	return all
 }
 
-// UseLog has the levels of a log told and set over the socket. It is to be called
+// SetLog has the levels of a log told and set over the socket. It is to be called
 // before Run.
-func (s *Sidecar) UseLog(l *logging.Log) { s.log = l }
+func (s *Sidecar) SetLog(l *logging.Log) { s.log = l }
 
 // tellLog sets a level, if one is told, and tells those that there are.
 func (s *Sidecar) tellLog(ctx context.Context, raw json.RawMessage, send func(any) error) error {
@@ -281,7 +281,7 @@
 // ReloadFiles takes over both files again, the configuration and, where there is one,
 // the operator's. A file that can't be used changes nothing, and the other is taken
 // over all the same. It may be called by several goroutines.
-func (s *Sidecar) ReloadFiles(config func() (Config, error), file func() (*operator.File, error)) (r Reloaded) {
+func (s *Sidecar) ReloadFiles(config func() (Config, error), file func() (*operator.File, error)) (r ReloadResult) {
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
 	c, err := config()
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -68,7 +68,7 @@
 	s, socket, _ := consoleScene(t, nil)
 	explain := func(method, target, team, key string) core.Explanation {
 		t.Helper()
-		a := sidecar.Explain{Method: method, Target: target, Header: map[string]string{"Req-Owner": team}}
+		a := sidecar.ExplainRequest{Method: method, Target: target, Header: map[string]string{"Req-Owner": team}}
 		if key != "" {
 			a.Header["Idempotency-Key"] = key
 		}
@@ -154,7 +154,7 @@
 	}
 	traces := make(chan []core.Trace)
 	go func() {
-		traces <- asked[core.Trace](t, socket, "trace", sidecar.Trace{Filter: core.Filter{Team: "b", Status: 500}, Count: 1, For: patience})
+		traces <- asked[core.Trace](t, socket, "trace", sidecar.TraceRequest{Filter: core.Filter{Team: "b", Status: 500}, Count: 1, For: patience})
 	}()
 	for until := time.Now().Add(patience); ; {
 		ask(t, s, tile("a")) // does not fit
@@ -186,8 +186,8 @@
 func TestDiffAndReload(t *testing.T) {
 	s, socket, file := consoleScene(t, nil)
 	next := strings.Replace(file, "rate = 0.001", "rate = 5.0", 1) + "\n[[team]]\nname = \"c\"\nshare = 0.0\n[[team.allow]]\nservice = \"maps\"\n"
-	diff := func(text string) sidecar.Reloaded {
-		return asked[sidecar.Reloaded](t, socket, "diff", map[string]string{"Name": "next.toml", "Text": text})[0]
+	diff := func(text string) sidecar.ReloadResult {
+		return asked[sidecar.ReloadResult](t, socket, "diff", map[string]string{"Name": "next.toml", "Text": text})[0]
 	}
 	d := diff(next)
 	if text := fmt.Sprint(d.Changes); len(d.Changes) != 2 || !strings.Contains(text, `team "a", allow 0, rate: 5, was 0.001`) || !strings.Contains(text, `+ team "c"`) {
--- a/internal/sidecar/contracts_test.go
+++ b/internal/sidecar/contracts_test.go
@@ -358,7 +358,7 @@
 		t.Errorf("%d were served and %d refused", served.Load(), refused.Load())
 	}
 	t.Logf("%d served, %d refused", served.Load(), refused.Load())
-	if n := s.Sidecar.Retired(); n > 0 {
+	if n := s.Sidecar.RetiredServices(); n > 0 {
 		t.Errorf("%d services that have gone are still there", n)
 	}
 }
@@ -507,7 +507,7 @@
 	reload(60)
 	before := heapAtRest()
 	reload(200)
-	if n := s.Sidecar.Retired(); n > 0 {
+	if n := s.Sidecar.RetiredServices(); n > 0 {
 		t.Errorf("%d services that have gone are still there", n)
 	}
 	after := heapAtRest()
--- a/internal/sidecar/export_test.go
+++ b/internal/sidecar/export_test.go
@@ -39,7 +39,7 @@
 // HoldBack has the sidecar handle nothing that its predecessor tells from now on, until it goes on.
 func (s *Sidecar) HoldBack(predecessor *Sidecar) (goOn func()) {
 	s.upgrade.resize.Lock()
-	predecessor.upgrade.offerer.TellPart(predecessor.upgrade.part())
+	predecessor.upgrade.offerer.SendShare(predecessor.upgrade.part())
 	return s.upgrade.resize.Unlock
 }
 
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -278,16 +278,16 @@
 		return nil
 	}
 	status, counts := f.Status(), f.Counts()
-	now := &metrics.Fleet{Up: len(status.Up) + 1, Dropped: counts.Dropped, Broken: counts.Malformed, OtherVersion: counts.OtherVersion}
+	now := &metrics.Fleet{Up: len(status.Up) + 1, Dropped: counts.Dropped, Malformed: counts.Malformed, OtherVersion: counts.OtherVersion}
 	for _, c := range s.shared.config.Contracts {
 		st := status.Contracts[c.Name]
 		now.Quotas = append(now.Quotas, metrics.Quota{Name: c.Name, Own: st.Own.Fraction(), Granted: st.Grant.Fraction(), Demand: st.Demand.Fraction()})
 	}
 	if s.shared.config.Pool != nil {
 		c := status.Council
-		now.Weights = &metrics.Weights{Here: c.Leading, Known: c.Leader != "", Term: c.Table.Term, Table: c.Table.Seq, Stale: c.Stale, Age: c.Age, Endpoints: c.Endpoints, Changes: c.Changes, Heard: c.Reporting}
+		now.Weights = &metrics.Weights{IsLeader: c.Leading, LeaderKnown: c.Leader != "", Term: c.Table.Term, Table: c.Table.Seq, Stale: c.Stale, Age: c.Age, Endpoints: c.Endpoints, Changes: c.Changes, Reporting: c.Reporting}
 		for _, s := range c.Sites {
-			now.Weights.Sites = append(now.Weights.Sites, metrics.Site{Name: s.Name, State: int(s.State), Part: s.Fraction})
+			now.Weights.Sites = append(now.Weights.Sites, metrics.Site{Name: s.Name, State: int(s.State), Fraction: s.Fraction})
 		}
 	}
 	return now
@@ -301,7 +301,7 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "node.fleet.up:%d|g\nnode.fleet.messages_dropped:%d|c\nnode.fleet.messages_broken:%d|c\nnode.fleet.messages_other_version:%d|c\n",
-		f.Up, f.Dropped, f.Broken, f.OtherVersion)
+		f.Up, f.Dropped, f.Malformed, f.OtherVersion)
 	apart := strings.NewReplacer(":", "_", "|", "_") // they set a figure's value apart
 	for _, q := range f.Quotas {
 		name := apart.Replace(word(q.Name))
@@ -315,12 +315,12 @@
 			}
 			return 0
 		}
-		fmt.Fprintf(&b, "node.fleet.duty.known:%d|g\nnode.fleet.duty.here:%d|g\nnode.fleet.duty.heard:%d|g\n", flag(w.Known), flag(w.Here), w.Heard)
+		fmt.Fprintf(&b, "node.fleet.duty.known:%d|g\nnode.fleet.duty.here:%d|g\nnode.fleet.duty.heard:%d|g\n", flag(w.LeaderKnown), flag(w.IsLeader), w.Reporting)
 		fmt.Fprintf(&b, "node.fleet.weights.table:%d|g\nnode.fleet.weights.age:%d|g\nnode.fleet.weights.stale:%d|g\nnode.fleet.weights.endpoints:%d|g\nnode.fleet.weights.changes:%d|g\n",
 			w.Table, w.Age.Milliseconds(), flag(w.Stale), w.Endpoints, w.Changes)
 		for _, s := range w.Sites {
 			name := apart.Replace(word(s.Name))
-			fmt.Fprintf(&b, "node.fleet.site.%s.state:%d|g\nnode.fleet.site.%s.met:%.0f|g\n", name, s.State, name, 1000*s.Part)
+			fmt.Fprintf(&b, "node.fleet.site.%s.state:%d|g\nnode.fleet.site.%s.met:%.0f|g\n", name, s.State, name, 1000*s.Fraction)
 		}
 	}
 	return b.String()
--- a/internal/sidecar/kept.go
+++ b/internal/sidecar/kept.go
@@ -34,9 +34,9 @@
 // keepMoves keeps where the moves are.
 func (s *Sidecar) keepMoves() {
 	s.keptMoves.Save(func([]byte) ([]byte, error) {
-		var all []state.KeptMoves
+		var all []state.SavedMoves
 		for _, r := range s.running() {
-			all = append(all, state.KeptMoves{Of: r.of, Moves: r.service.MoveRecords()})
+			all = append(all, state.SavedMoves{ServiceRef: r.of, Moves: r.service.MoveRecords()})
 		}
 		return state.EncodeMoves(all)
 	})
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	s.keepFile()
 	s.mu.Unlock()
-	s.keptImage.Settle(diskPatience)
+	s.keptImage.Flush(diskPatience)
 	s.adoptKeys()
 	if last == nil && tail == nil || s.upgrade.predecessor != nil {
 		return
@@ -94,7 +94,7 @@
 		slog.Error("what was kept of moves can't be used", "error", err)
 	}
 	for i := range all {
-		if r := s.find(all[i].Of); r != nil {
+		if r := s.find(all[i].ServiceRef); r != nil {
 			r.service.AdoptMoves(all[i].Moves)
 		}
 	}
@@ -119,7 +119,7 @@
 // refused for as long as that can't be.
 func (s *Sidecar) openKeys() *keystore.Store {
 	f := s.begun
-	if f == nil || !f.Keys.Kept() {
+	if f == nil || !f.Keys.UsesStore() {
 		return nil
 	}
 	store, err := keystore.Open(state.Path(f.State, s.config.Name, "keys"), state.Now)
@@ -155,7 +155,7 @@
 	hash, _ := s.core.RecentIDs()
 	if s.keys.hashed && s.keys.hash == hash {
 		for _, k := range s.keys.last {
-			if r := s.find(k.Of); r != nil {
+			if r := s.find(k.ServiceRef); r != nil {
 				r.service.AdoptKey(k.Aged(state.Now().Since).Note)
 			}
 		}
@@ -178,10 +178,10 @@
 	var all []handover.Key
 	for _, r := range s.running() {
 		for _, n := range r.service.Snapshot(handover.MaxKeys).Keys {
-			all = append(all, handover.Key{Of: r.of, Note: n})
+			all = append(all, handover.Key{ServiceRef: r.of, Note: n})
 		}
 	}
-	if err := store.Begin(hash, all); err != nil {
+	if err := store.Replace(hash, all); err != nil {
 		slog.Error("the keys that are known are not on the disk", "error", err)
 	}
 	if s.keys.store.Store(store); s.yielded.Load() {
@@ -192,7 +192,7 @@
 // retryKeys opens the store again where it could not be: it is to be called now and
 // then.
 func (s *Sidecar) retryKeys() {
-	if s.begun != nil && s.begun.Keys.Kept() && s.keys.store.Load() == nil && !s.keys.unusable.Load() && !s.yielded.Load() {
+	if s.begun != nil && s.begun.Keys.UsesStore() && s.keys.store.Load() == nil && !s.keys.unusable.Load() && !s.yielded.Load() {
 		if s.keys.beginning.CompareAndSwap(false, true) {
 			go func() { // until the disk answers: nobody waits for it here
 				defer s.keys.beginning.Store(false)
@@ -212,24 +212,24 @@
 	}
 	store := s.keys.store.Load()
 	switch {
-	case s.begun.Keys == operator.KeysSoon:
+	case s.begun.Keys == operator.KeysAsync:
 		if store != nil {
-			store.KeepSoon(k)
+			store.PersistAsync(k)
 		}
 		return nil
 	case store == nil:
 		return errNoKeys
 	}
-	return store.Keep(ctx, k)
+	return store.Persist(ctx, k)
 }
 
 // keepElsewhere has a keyed request on the disk by the process that took over, which has
 // the file. Where that has ended, and this one has not the file yet, it is refused.
 func (s *Sidecar) keepElsewhere(ctx context.Context, k handover.Key) error {
-	if s.begun.Keys != operator.KeysBefore {
+	if s.begun.Keys != operator.KeysBeforeSend {
 		return nil // the successor is told, and keeps
 	}
-	if err := s.upgrade.offerer.KeepKey(ctx, k.Aged(state.Now().Since)); !errors.Is(err, handover.ErrKeepsNot) {
+	if err := s.upgrade.offerer.PersistKey(ctx, k.Aged(state.Now().Since)); !errors.Is(err, handover.ErrNoPersistence) {
 		return err
 	}
 	return nil
@@ -265,7 +265,7 @@
 		s.upgrade.keptKey(t.number, false)
 		return
 	}
-	store.KeepThen(t.Key, func(err error) { s.upgrade.keptKey(t.number, err == nil) })
+	store.PersistThen(t.Key, func(err error) { s.upgrade.keptKey(t.number, err == nil) })
 }
 
 // keepWaiting does so for the keys that were told before the file was open, or could not
@@ -312,7 +312,7 @@
 	}
 	until := time.Now().Add(diskPatience)
 	for _, k := range all {
-		k.Settle(time.Until(until))
+		k.Flush(time.Until(until))
 	}
 	s.closeKeys()
 }
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -20,7 +20,7 @@
 func (s *Sidecar) listenHTTP1(longest time.Duration) (err error) {
 	c := &s.config
 	limit, crowd := s.places(s.upgrade.part())
-	front := http1.Config{Door: s.brake.door(), Listen: c.Listen, Shared: s.upgrade.listener(), Limit: limit, Crowd: crowd, Longest: longest}
+	front := http1.Config{Admission: s.brake.door(), Listen: c.Listen, Listener: s.upgrade.listener(), Limit: limit, BusyThreshold: crowd, MaxWait: longest}
 	if c.Operator != nil {
 		front.Pipelining = c.Operator.HTTP1.Pipelining
 	}
@@ -100,7 +100,7 @@
 	return http3.Listen(http3.Config{
 		Listen: h.Listen, Certificate: h.Certificate, Key: h.Key, Connections: h.Connections, Streams: h.Streams,
 		StreamWindow: h.StreamWindow, ConnectionWindow: h.ConnectionWindow, MaxHead: h.MaxHead,
-		Front: http3Front, Handshake: h.Handshake, Idle: h.Idle, Resets: h.Resets, Unvalidated: h.Unvalidated, Routing: routing, Secret: s.config.Name,
+		Front: http3Front, Handshake: h.Handshake, Idle: h.Idle, MaxResetRate: h.Resets, MaxUnvalidated: h.Unvalidated, Routing: routing, Secret: s.config.Name,
 	}, s.core)
 }
 
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -78,7 +78,7 @@
 // drain asks clients to leave, or no longer. Whoever stays, or comes, is served.
 func (s *Sidecar) drain(on bool) {
 	s.drained.Store(on)
-	s.front.SetLeave(on)
+	s.front.SetDraining(on)
 }
 
 func (s *Sidecar) showStat([]string) (string, error) {
--- a/internal/sidecar/moves.go
+++ b/internal/sidecar/moves.go
@@ -42,7 +42,7 @@
 			return "", err
 		}
 		s.keepMoves()
-		s.keptMoves.Settle(diskPatience) // what is said to be done is on the disk
+		s.keptMoves.Flush(diskPatience) // what is said to be done is on the disk
 		return management.Yes, nil
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	err := core.ErrNoMove
 	s.each(func(_ string, service *core.Service) {
-		if e := service.AddMoveEvidence(args[0], args[1], moves.Kind(kind), judge.Block{New: n[0], NewBad: n[1], Old: n[2], OldBad: n[3]}); !errors.Is(e, core.ErrNoMove) {
+		if e := service.AddMoveEvidence(args[0], args[1], moves.FaultKind(kind), judge.Block{New: n[0], NewBad: n[1], Old: n[2], OldBad: n[3]}); !errors.Is(e, core.ErrNoMove) {
 			err = e
 		}
 	})
@@ -77,17 +77,17 @@
 	var b strings.Builder
 	s.each(func(_ string, service *core.Service) {
 		for _, m := range service.Moves() {
-			c := &m.Course
+			c := &m.Progress
 			step := "-"
 			if c.Phase.UnderWay() && c.Step < len(m.Plan.Steps) {
 				step = fmt.Sprintf("%d/%d", c.Step+1, len(m.Plan.Steps))
 			}
 			fmt.Fprintf(&b, "move=%s service=%s from=%s to=%s ready=%d/%d phase=%s step=%s share=%.4f got=%.4f for=%s left=%s why=%s lacks=%s\n",
 				word(m.Name), cmp.Or(word(m.Service), "-"), word(m.From), word(m.To), m.Ready[0], m.Ready[1], c.Phase, step, c.Share, m.NewShare,
-				m.PhaseAge.Round(time.Second), m.Remaining.Round(time.Second), cmp.Or(word(c.Why), "-"), cmp.Or(word(c.Lacks), "-"))
+				m.PhaseAge.Round(time.Second), m.Remaining.Round(time.Second), cmp.Or(word(c.Why), "-"), cmp.Or(word(c.WaitingFor), "-"))
 			for _, e := range m.Evidence {
 				fmt.Fprintf(&b, "evidence=%s class=%s kind=%s new=%.4f old=%.4f judged=%d/%d bad=%d/%d against=%.3g blamed=%.3g needed=%d\n",
-					word(m.Name), word(e.Class), word(e.Kind.String()), e.New, e.Old, e.Ended[0], e.Ended[1], e.Bad[0], e.Bad[1], e.Against, e.Blamed, e.Needed)
+					word(m.Name), word(e.Class), word(e.Kind.String()), e.New, e.Old, e.Judged[0], e.Judged[1], e.Bad[0], e.Bad[1], e.WorseEvidence, e.Threshold, e.Needed)
 			}
 		}
 	})
--- a/internal/sidecar/record.go
+++ b/internal/sidecar/record.go
@@ -55,7 +55,7 @@
 			out.Encode(t)
 		case <-done:
 			if n := tap.Dropped(); n > 0 {
-				out.Encode(Missed{n})
+				out.Encode(DroppedTraces{n})
 			}
 			return
 		}
--- a/internal/sidecar/running.go
+++ b/internal/sidecar/running.go
@@ -23,7 +23,7 @@
 // running is a service with what keeps it going.
 type running struct {
 	definition operator.Service
-	of         handover.Of // its name to another process
+	of         handover.ServiceRef // its name to another process
 	service    *core.Service
 	upgrade    *upgrade
 	pool       *upstream.Pool
@@ -62,7 +62,7 @@
 // instance of a service.
 func same(a, b operator.Service) bool {
 	for _, d := range []*operator.Service{&a, &b} {
-		d.Forget() // where it stands in the file
+		d.ClearPositions() // where it stands in the file
 		if d.Registry == "" {
 			d.Endpoints = nil
 		}
@@ -76,7 +76,7 @@
 
 // make makes a service. Its parts of the budgets count from now on.
 func (s *Sidecar) make(d operator.Service) (*running, error) {
-	r := &running{definition: d, of: handover.Of{Service: d.Name, Platform: d.Platform}, upgrade: s.upgrade, stop: func() {}}
+	r := &running{definition: d, of: handover.ServiceRef{Service: d.Name, Platform: d.Platform}, upgrade: s.upgrade, stop: func() {}}
 	join := func(b *budget.Budget, yield func() bool) *budget.Partition {
 		p := b.Join(d.Weight, yield)
 		r.parts = append(r.parts, p)
@@ -132,8 +132,10 @@
 		r.service.OnSubscribe(r.watcher.Subscribe)
 	}
 	r.service.SetMoves(s.movePlans(s.config.Operator, d.Name))
-	if s.begun != nil && s.begun.Keys.Kept() {
-		r.service.SetKeyWriter(func(ctx context.Context, n keyed.Note) error { return s.keepKey(ctx, handover.Key{Of: r.of, Note: n}) })
+	if s.begun != nil && s.begun.Keys.UsesStore() {
+		r.service.SetKeyWriter(func(ctx context.Context, n keyed.Note) error {
+			return s.keepKey(ctx, handover.Key{ServiceRef: r.of, Note: n})
+		})
 	}
 	r.service.SetStallMonitor( // the brake is made later
 		func() time.Duration { return s.brake.delay() },
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -51,8 +51,8 @@
 
 	shared *shared // nil: this process decides alone
 
-	retake    chan struct{}   // the console is to take its path again
-	reload    func() Reloaded // reads the files again; nil: nothing can
+	retake    chan struct{}       // the console is to take its path again
+	reload    func() ReloadResult // reads the files again; nil: nothing can
 	reloading sync.Mutex
 	log       *logging.Log // nil: it is not ours
 
--- a/internal/sidecar/sweep.go
+++ b/internal/sidecar/sweep.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Retired counts the services that have gone and still have something open.
-func (s *Sidecar) Retired() int {
+// RetiredServices counts the services that have gone and still have something open.
+func (s *Sidecar) RetiredServices() int {
 	s.sweepOnce()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -36,7 +36,7 @@
 
 // join asks the process that serves, if there is one, to hand over.
 func (s *Sidecar) join() *upgrade {
-	u := &upgrade{sidecar: s, division: handover.Alone(), ended: make(chan struct{}), keys: make(chan handedOn, keysWaiting), kept: make(chan keptKey, keysWaiting)}
+	u := &upgrade{sidecar: s, division: handover.FullDivision(), ended: make(chan struct{}), keys: make(chan handedOn, keysWaiting), kept: make(chan keptKey, keysWaiting)}
 	defer func() {
 		if u.predecessor == nil {
 			close(u.ended)
@@ -50,15 +50,15 @@
 		return u
 	}
 	u.offerer = handover.NewOfferer(path, c.Name, c.Listen, u)
-	keeps := s.begun != nil && s.begun.Keys == operator.KeysBefore
-	p, err := handover.Ask(path, c.Name, c.Listen, keeps)
+	keeps := s.begun != nil && s.begun.Keys == operator.KeysBeforeSend
+	p, err := handover.Request(path, c.Name, c.Listen, keeps)
 	if err != nil {
-		if !errors.Is(err, handover.ErrNobody) {
+		if !errors.Is(err, handover.ErrNoProcess) {
 			slog.Warn("starting from nothing: the process before this one hands nothing over", "error", err)
 		}
 		return u
 	}
-	u.predecessor, u.before, u.division = p, p.State, handover.After(p.Part)
+	u.predecessor, u.before, u.division = p, p.State, handover.SuccessorDivision(p.Share)
 	p.State = nil
 	return u
 }
@@ -99,7 +99,7 @@
 		for _, r := range u.sidecar.running() {
 			if k := before.Find(r.of); k != nil {
 				for i, n := range k.Keys { // the start has taken some time
-					k.Keys[i] = handover.Aged(n, before.At, state.Now().Since)
+					k.Keys[i] = handover.AgeNote(n, before.At, state.Now().Since)
 				}
 				r.service.Adopt(core.Snapshot{Classes: k.Classes, Learnt: k.Learnt, ContractUsage: k.Standing, Keys: k.Keys, Disabled: k.Disabled, Moves: k.Moves})
 			}
@@ -120,7 +120,7 @@
 	if u.predecessor != nil {
 		going.Go(func() { u.follow(watching) })
 		going.Go(func() { u.tellKept(watching) })
-		if err := u.predecessor.Serving(); err != nil {
+		if err := u.predecessor.ReportServing(); err != nil {
 			slog.Warn("the process before this one was not told that this one serves", "error", err)
 		}
 		slog.Info("taken over", "part", u.part())
@@ -133,19 +133,19 @@
 	stop := context.AfterFunc(watching, p.Close)
 	defer stop()
 	p.Follow(func(m handover.Members) {
-		if r := u.sidecar.find(m.Of); r != nil && r.watcher != nil {
+		if r := u.sidecar.find(m.ServiceRef); r != nil && r.watcher != nil {
 			r.service.UpdateEndpoints(m.Entries, m.Full)
 			r.watcher.SetKnownVersion(m.Version)
 			u.tell(m) // a successor may be there already
 		}
 	}, func(k handover.Key, number uint64) {
 		k = k.Aged(state.Now().Since)
-		if r := u.sidecar.find(k.Of); r != nil {
+		if r := u.sidecar.find(k.ServiceRef); r != nil {
 			r.service.AdoptKey(k.Note)
-			u.handOnKey(k, u.offerer != nil && u.offerer.Successor(), u.tellSuccessor)
+			u.handOnKey(k, u.offerer != nil && u.offerer.HasSuccessor(), u.tellSuccessor)
 		}
 		u.sidecar.keepTold(told{k, number})
-	}, func(part float64) { u.change(false, func(d *handover.Division) { d.PredecessorHas(part) }) })
+	}, func(part float64) { u.change(false, func(d *handover.Division) { d.SetPredecessorShare(part) }) })
 	close(u.ended)
 	if watching.Err() != nil {
 		return
@@ -172,18 +172,18 @@
 // peers are the processes before and after this one, for a service.
 type peers struct {
 	upgrade *upgrade
-	of      handover.Of
+	of      handover.ServiceRef
 }
 
 // Exist reports whether there are some, or were.
 func (p peers) Exist() bool {
 	u := p.upgrade
-	return u.predecessor != nil || u.offerer != nil && u.offerer.Asked()
+	return u.predecessor != nil || u.offerer != nil && u.offerer.HadSuccessor()
 }
 
 // Publish has both know of a key.
 func (p peers) Publish(n keyed.Note) error {
-	u, k := p.upgrade, handover.Key{Of: p.of, Note: n, At: state.Now().Since}
+	u, k := p.upgrade, handover.Key{ServiceRef: p.of, Note: n, At: state.Now().Since}
 	if err := u.tellPredecessor(k); err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 
 // SuccessorKey is called when the successor is to send a keyed request.
 func (u *upgrade) SuccessorKey(k handover.Key) {
-	if r := u.sidecar.find(k.Of); r != nil {
+	if r := u.sidecar.find(k.ServiceRef); r != nil {
 		k = k.Aged(state.Now().Since)
 		r.service.AdoptKey(k.Note)
 		u.handOnKey(k, u.hearsPredecessor(), u.tellPredecessor)
@@ -244,14 +244,14 @@
 	if !u.hearsPredecessor() {
 		return nil
 	}
-	return u.predecessor.TellKey(k)
+	return u.predecessor.SendKey(k)
 }
 
 func (u *upgrade) tellSuccessor(k handover.Key) error {
 	if u.offerer == nil {
 		return nil
 	}
-	return u.offerer.TellKey(k)
+	return u.offerer.SendKey(k)
 }
 
 // tellKept tells the predecessor which of the keys that it waits for are on the disk,
@@ -262,7 +262,7 @@
 		case <-ctx.Done():
 			return
 		case k := <-u.kept:
-			u.predecessor.Kept(k.number, k.ok)
+			u.predecessor.ConfirmKey(k.number, k.ok)
 		}
 	}
 }
@@ -294,7 +294,7 @@
 func (u *upgrade) part() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.division.Part()
+	return u.division.Share()
 }
 
 // change changes the division, applies it and tells those whom it concerns. A
@@ -304,21 +304,21 @@
 	defer u.resize.Unlock()
 	before := u.part()
 	u.mu.Lock()
-	handed := u.division.Handed()
+	handed := u.division.HasSuccessor()
 	how(&u.division)
-	toldAnew := handed != u.division.Handed()
-	handed = u.division.Handed()
+	toldAnew := handed != u.division.HasSuccessor()
+	handed = u.division.HasSuccessor()
 	u.mu.Unlock()
 	part := u.part()
 	if u.predecessor != nil && (part != before || toldAnew) {
-		u.predecessor.Told(part, handed)
+		u.predecessor.SendShare(part, handed)
 	}
 	if part == before {
 		return
 	}
 	u.sidecar.resize(part)
 	if u.offerer != nil && !splits {
-		u.offerer.TellPart(part)
+		u.offerer.SendShare(part)
 	}
 }
 
@@ -339,7 +339,7 @@
 	st := &handover.State{At: state.Now().Since, Drained: u.sidecar.drained.Load()}
 	st.IDs.Key, st.IDs.Hashes = u.sidecar.core.RecentIDs()
 	for _, r := range u.sidecar.running() {
-		of := handover.Service{Of: r.of}
+		of := handover.Service{ServiceRef: r.of}
 		if r.watcher != nil {
 			// The version first: entries are then as new as it, or newer.
 			of.Members = handover.Members{Version: r.watcher.Version(), Full: true, Entries: r.service.DiscoveryEntries()}
@@ -351,26 +351,26 @@
 	return st
 }
 
-// SuccessorServes is called when the successor takes all that is new.
-func (u *upgrade) SuccessorServes() {
+// SuccessorReady is called when the successor takes all that is new.
+func (u *upgrade) SuccessorReady() {
 	slog.Info("another process has taken over")
 	u.sidecar.yielded.Store(true)
 	u.sidecar.keepNoMore() // the successor does
 	u.sidecar.yieldFleet()
-	u.sidecar.front.Yield()
+	u.sidecar.front.StopAccepting()
 }
 
-// SuccessorHas is called when the successor's part of the limits has changed.
-func (u *upgrade) SuccessorHas(part float64, handed bool) {
+// SuccessorShareChanged is called when the successor's part of the limits has changed.
+func (u *upgrade) SuccessorShareChanged(part float64, handed bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.division.SuccessorHas(part, handed)
+	u.division.SetSuccessorShare(part, handed)
 }
 
 // SuccessorEnded is called when the successor has ended: this process is what
 // there is.
 func (u *upgrade) SuccessorEnded() {
-	u.sidecar.front.Unyield()
+	u.sidecar.front.ResumeAccepting()
 	if s := u.sidecar.shared; s != nil {
 		select {
 		case <-s.yields: // not taken yet
@@ -396,12 +396,12 @@
 // tell relays what discovery told.
 func (u *upgrade) tell(m handover.Members) {
 	if u.offerer != nil {
-		u.offerer.Tell(m)
+		u.offerer.SendMembers(m)
 	}
 }
 
 // known is the list that the predecessor has of a service, if it has any.
-func (u *upgrade) known(of handover.Of) (list discovery.List, ok bool) {
+func (u *upgrade) known(of handover.ServiceRef) (list discovery.List, ok bool) {
 	if u.before == nil {
 		return list, false
 	}
@@ -420,7 +420,7 @@
 }
 
 // find is a service by its name; nil where there is none.
-func (s *Sidecar) find(of handover.Of) *running {
+func (s *Sidecar) find(of handover.ServiceRef) *running {
 	for _, r := range s.running() {
 		if r.of.Is(of) {
 			return r
@@ -472,7 +472,7 @@
 func (r *running) EndpointsUpdated(entries []discovery.Entry, full bool) {
 	r.service.UpdateEndpointsAfter(entries, full, r.watcher.SinceCurrent())
 	if len(entries) > 0 || full {
-		r.upgrade.tell(handover.Members{Of: r.of, Version: r.watcher.Version(), Full: full, Entries: entries})
+		r.upgrade.tell(handover.Members{ServiceRef: r.of, Version: r.watcher.Version(), Full: full, Entries: entries})
 	}
 }
 
--- a/internal/state/accepted.go
+++ b/internal/state/accepted.go
@@ -20,13 +20,13 @@
 // in for it.
 type Accepted struct {
 	Version int
-	Name    string // of the sidecar
-	Marks   []Mark // the youngest first, which is Text's
+	Name    string         // of the sidecar
+	Marks   []FileRevision // the youngest first, which is Text's
 	Text    string
 }
 
-// Mark tells which file was taken over, and when.
-type Mark struct {
+// FileRevision tells which file was taken over, and when.
+type FileRevision struct {
 	SHA256 string    `json:"sha256"`
 	At     time.Time `json:"at"`
 	Bytes  int       `json:"bytes"`
@@ -44,7 +44,7 @@
 	if len(a.Marks) > 0 && a.Marks[0].SHA256 == hash {
 		return false
 	}
-	marks := append([]Mark{{hash, at.UTC().Truncate(time.Second), len(text)}}, a.Marks...)
+	marks := append([]FileRevision{{hash, at.UTC().Truncate(time.Second), len(text)}}, a.Marks...)
 	*a = Accepted{acceptedVersion, name, marks[:min(len(marks), mostMarks)], text}
 	return true
 }
--- a/internal/state/keeper/keeper.go
+++ b/internal/state/keeper/keeper.go
@@ -14,7 +14,7 @@
 )
 
 // Keeper keeps the last record that it was given. Its methods may be called by several
-// goroutines; none waits for the disk but Open and Settle, as long as they are told.
+// goroutines; none waits for the disk but Open and Flush, as long as they are told.
 type Keeper struct {
 	disk       journal.Disk
 	path, what string // path "": nothing is kept
@@ -61,7 +61,7 @@
 	k.wanted, k.open = true, true
 	k.work()
 	k.mu.Unlock()
-	k.Settle(patience)
+	k.Flush(patience)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	tail, k.tail = k.tail, nil // told once: it is cut off
@@ -77,9 +77,9 @@
 	k.work()
 }
 
-// Settle waits until nothing is to be written, patience at most; it reports whether that
+// Flush waits until nothing is to be written, patience at most; it reports whether that
 // is so.
-func (k *Keeper) Settle(patience time.Duration) bool {
+func (k *Keeper) Flush(patience time.Duration) bool {
 	k.mu.Lock()
 	idle := k.idle
 	k.mu.Unlock()
--- a/internal/state/keeper/keeper_test.go
+++ b/internal/state/keeper/keeper_test.go
@@ -20,13 +20,13 @@
 // kept is what another process would find, once this one has left the file.
 func kept(t *testing.T, d *disk.Disk, k *Keeper) string {
 	t.Helper()
-	if k.Close(); !k.Settle(patience) {
+	if k.Close(); !k.Flush(patience) {
 		t.Fatal("the file is not left")
 	}
 	next := New(d, "/state/x", "x")
 	last, _ := next.Open(patience)
 	next.Close()
-	next.Settle(patience)
+	next.Flush(patience)
 	return string(last)
 }
 
@@ -42,7 +42,7 @@
 			<-waits
 			k.saveText("three")
 			begun := time.Now()
-			if k.saveText("last"); k.Settle(patience) || time.Since(begun) != patience {
+			if k.saveText("last"); k.Flush(patience) || time.Since(begun) != patience {
 				t.Errorf("waited %v", time.Since(begun))
 			}
 			k.saveText("last")
@@ -54,7 +54,7 @@
 		},
 		"hangs while the file is opened": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			k.Close()
-			k.Settle(patience)
+			k.Flush(patience)
 			d.Hang()
 			if last, _ := k.Open(patience); string(last) != "one" {
 				t.Errorf("%q", last) // it was read before
@@ -74,13 +74,13 @@
 		"full for a while": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			d.Fail(full)
 			k.saveText("last")
-			k.Settle(patience)
+			k.Flush(patience)
 			d.Fail(nil)
 			k.saveText("last")
 		},
 		"gone while the file is opened": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			k.Close()
-			k.Settle(patience)
+			k.Flush(patience)
 			d.Fail(full)
 			k.Open(patience)
 			d.Fail(nil)
@@ -88,14 +88,14 @@
 		},
 		"another process has it for a while": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			k.Close()
-			k.Settle(patience)
+			k.Flush(patience)
 			other := New(d, "/state/x", "x")
 			other.Open(patience)
 			k.Open(patience)
 			k.saveText("two")
-			k.Settle(patience)
+			k.Flush(patience)
 			other.Close()
-			other.Settle(patience)
+			other.Flush(patience)
 			k.saveText("last")
 		},
 	} {
@@ -107,7 +107,7 @@
 					t.Errorf("%q in a new file", last)
 				}
 				k.saveText("one")
-				k.Settle(patience)
+				k.Flush(patience)
 				course(t, d, k)
 				if got := kept(t, d, k); got != "last" {
 					t.Errorf("%q is kept", got)
@@ -144,7 +144,7 @@
 	<-waits
 	k.saveText("two")
 	d.Answer()
-	if !k.Settle(patience) {
+	if !k.Flush(patience) {
 		t.Fatal("it is not written")
 	}
 	k.mu.Lock()
--- a/internal/state/keystore/keystore.go
+++ b/internal/state/keystore/keystore.go
@@ -145,9 +145,9 @@
 	return s.disk.Close()
 }
 
-// Keep returns when the note is on the disk, or can't be: then the request is not to
+// Persist returns when the note is on the disk, or can't be: then the request is not to
 // be sent, since nobody would know of it after a kill.
-func (s *Store) Keep(ctx context.Context, k handover.Key) error {
+func (s *Store) Persist(ctx context.Context, k handover.Key) error {
 	at := s.now()
 	if s.failing(at) {
 		return ErrFailed
@@ -179,13 +179,13 @@
 	}
 }
 
-// KeepSoon has the note on the disk with those that come meanwhile, and does not wait.
+// PersistAsync has the note on the disk with those that come meanwhile, and does not wait.
 // Where too many wait, or the disk does not take them, it is not kept.
-func (s *Store) KeepSoon(k handover.Key) { s.KeepThen(k, func(error) {}) }
+func (s *Store) PersistAsync(k handover.Key) { s.PersistThen(k, func(error) {}) }
 
-// KeepThen has the note on the disk with those that come meanwhile, and does not wait:
+// PersistThen has the note on the disk with those that come meanwhile, and does not wait:
 // then is called once it is there, or can't be. It must not wait for anything.
-func (s *Store) KeepThen(k handover.Key, then func(error)) {
+func (s *Store) PersistThen(k handover.Key, then func(error)) {
 	at := s.now()
 	if s.failing(at) {
 		then(ErrFailed)
@@ -398,10 +398,10 @@
 	}
 }
 
-// Begin puts the notes that are known now in the place of all that was kept, with the
+// Replace puts the notes that are known now in the place of all that was kept, with the
 // key that their hashes are made with: slots of another run of the machine tell nothing
 // of this one's time, and notes of another key nothing at all.
-func (s *Store) Begin(hash uint64, known []handover.Key) error {
+func (s *Store) Replace(hash uint64, known []handover.Key) error {
 	at := s.now()
 	var batch []*waiting
 	for _, k := range known {
--- a/internal/state/keystore/keystore_test.go
+++ b/internal/state/keystore/keystore_test.go
@@ -26,7 +26,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func note(key uint64, left time.Duration) handover.Key {
-	return handover.Key{Of: handover.Of{Platform: true}, Note: keyed.Note{Key: key, Cell: 4, Window: left, Left: left}}
+	return handover.Key{ServiceRef: handover.ServiceRef{Platform: true}, Note: keyed.Note{Key: key, Cell: 4, Window: left, Left: left}}
 }
 
 // clock is set by a test.
@@ -84,7 +84,7 @@
 	if _, err := Open(path, c.now); err == nil {
 		t.Error("opened twice")
 	}
-	if err := s.Begin(7, nil); err != nil {
+	if err := s.Replace(7, nil); err != nil {
 		t.Fatal(err)
 	}
 	var keeping sync.WaitGroup
@@ -92,14 +92,14 @@
 	for client := range uint64(256) {
 		keeping.Go(func() {
 			for i := client; i < many; i += 256 {
-				if err := s.Keep(t.Context(), note(i, time.Second)); err != nil {
+				if err := s.Persist(t.Context(), note(i, time.Second)); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
 	keeping.Wait()
-	s.KeepSoon(note(1000, time.Hour))
+	s.PersistAsync(note(1000, time.Hour))
 	s = again(s) // what was to be soon is there at the end
 	if all, _, _, _ := s.Load(); len(all) != many+1 {
 		t.Errorf("%d keys", len(all))
@@ -108,7 +108,7 @@
 	if all := load(s, 7, 1000); all[0].Age != 30*time.Second || all[0].Left != time.Hour-30*time.Second {
 		t.Errorf("%+v", all[0])
 	}
-	s.Keep(t.Context(), note(1001, time.Hour))
+	s.Persist(t.Context(), note(1001, time.Hour))
 	s.disk.View(func(tx *bbolt.Tx) error {
 		if n := tx.Cursor().Bucket().Inspect(); len(n.Children) > 3 {
 			t.Errorf("%d slots are there: those that are over are not dropped", len(n.Children))
@@ -120,13 +120,13 @@
 	if all[0].Age < all[0].Window {
 		t.Errorf("a repeat may go where it may not be dropped: %+v", all[0])
 	}
-	if err := s.Begin(8, all[:1]); err != nil {
+	if err := s.Replace(8, all[:1]); err != nil {
 		t.Fatal(err)
 	}
 	s = again(s)
 	load(s, 8, 1000)
 	s.Close()
-	if err := s.Keep(t.Context(), note(1, time.Second)); !errors.Is(err, errClosed) {
+	if err := s.Persist(t.Context(), note(1, time.Second)); !errors.Is(err, errClosed) {
 		t.Errorf("closed: %v", err)
 	}
 }
@@ -153,15 +153,15 @@
 	c.set("a", time.Second)
 	full := &sick{err: errors.New("no space left on device")}
 	s := open(full, c.now)
-	if err := s.Keep(t.Context(), note(1, time.Second)); !errors.Is(err, ErrFailed) {
+	if err := s.Persist(t.Context(), note(1, time.Second)); !errors.Is(err, ErrFailed) {
 		t.Errorf("full: %v", err)
 	}
 	full.err = nil // nothing of it is asked until the pause is over
-	if err := s.Keep(t.Context(), note(1, time.Second)); !errors.Is(err, ErrFailed) {
+	if err := s.Persist(t.Context(), note(1, time.Second)); !errors.Is(err, ErrFailed) {
 		t.Errorf("right after that: %v", err)
 	}
 	c.set("a", time.Second+failPause)
-	if err := s.Keep(t.Context(), note(1, time.Second)); err != nil {
+	if err := s.Persist(t.Context(), note(1, time.Second)); err != nil {
 		t.Errorf("with room again: %v", err)
 	}
 	s.Close()
@@ -171,13 +171,13 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	ended := make(chan error, mostWaiting+mostTogether+1)
 	for range cap(ended) {
-		go func() { ended <- s.Keep(ctx, note(1, time.Second)) }()
+		go func() { ended <- s.Persist(ctx, note(1, time.Second)) }()
 	}
 	if err := <-ended; !errors.Is(err, ErrBusy) { // the first that ends had no place
 		t.Errorf("too many: %v", err)
 	}
 	for range 2 * mostWaiting { // more than there are places for, none of which waits
-		s.KeepSoon(note(1, time.Second))
+		s.PersistAsync(note(1, time.Second))
 	}
 	late := errors.New("late")
 	cancel(late)
@@ -206,7 +206,7 @@
 	for i := range all {
 		all[i] = note(uint64(i), 10*time.Minute+time.Duration(i)*time.Millisecond)
 	}
-	if err := s.Begin(1, all); err != nil {
+	if err := s.Replace(1, all); err != nil {
 		t.Fatal(err)
 	}
 	keys, _, _, err := s.Load()
@@ -242,7 +242,7 @@
 	}
 	s, err := Open(path, c.now)
 	if err == nil {
-		err = errors.Join(s.Begin(1, all), s.Close())
+		err = errors.Join(s.Replace(1, all), s.Close())
 	}
 	whole, e := os.ReadFile(path)
 	if err = errors.Join(err, e); err != nil {
@@ -272,7 +272,7 @@
 				t.Fatalf("round %d: %+v was never kept", round, k)
 			}
 		}
-		s.Begin(1, keys)
+		s.Replace(1, keys)
 		s.Close()
 	}
 	if alone == 0 {
@@ -302,7 +302,7 @@
 			b.SetParallelism(together)
 			b.RunParallel(func(pb *testing.PB) {
 				for i := uint64(0); pb.Next(); i++ {
-					if err := s.Keep(context.Background(), note(i, time.Minute)); err != nil {
+					if err := s.Persist(context.Background(), note(i, time.Minute)); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/state/plan/plan.go
+++ b/internal/state/plan/plan.go
@@ -94,9 +94,9 @@
 	part(KindSidecar, nil).Drained = i.State.Drained
 	part(KindIDs, nil).IDs = &i.State.IDs
 	for _, s := range i.State.Services {
-		part(KindService, &handover.Service{Of: s.Of, Disabled: s.Disabled, Classes: s.Classes, Learnt: s.Learnt, Standing: s.Standing}).Ended = i.Ended
-		part(KindMembers, &handover.Service{Of: s.Of, Members: s.Members})
-		part(KindKeys, &handover.Service{Of: s.Of, Keys: s.Keys}).Hash = i.State.IDs.Key
+		part(KindService, &handover.Service{ServiceRef: s.ServiceRef, Disabled: s.Disabled, Classes: s.Classes, Learnt: s.Learnt, Standing: s.Standing}).Ended = i.Ended
+		part(KindMembers, &handover.Service{ServiceRef: s.ServiceRef, Members: s.Members})
+		part(KindKeys, &handover.Service{ServiceRef: s.ServiceRef, Keys: s.Keys}).Hash = i.State.IDs.Key
 	}
 	return all, ""
 }
@@ -104,22 +104,22 @@
 // What is kept is worth nothing when it is older than this. What is missing is
 // read as by a sidecar that has just been installed.
 const (
-	// LearntAge is for speeds, capacity and health: the servers have other loads by
+	// MaxLearntAge is for speeds, capacity and health: the servers have other loads by
 	// then. Missing: nominal sizes, and every endpoint well.
-	LearntAge = 10 * time.Minute
-	// ListAge is for the list: discovery is asked in any case, and this is what there
+	MaxLearntAge = 10 * time.Minute
+	// MaxListAge is for the list: discovery is asked in any case, and this is what there
 	// is until it answers. Missing: what the configuration knows.
-	ListAge = time.Hour
-	// IDAge is for ids of requests taken: nobody repeats one later. Missing: a request
+	MaxListAge = time.Hour
+	// MaxIDAge is for ids of requests taken: nobody repeats one later. Missing: a request
 	// that was taken before the end may be taken again.
-	IDAge = time.Minute
-	// KeyAge bounds what is believed of keys where the time that has passed is not
+	MaxIDAge = time.Minute
+	// MaxKeyAge bounds what is believed of keys where the time that has passed is not
 	// sure: they are kept as if none had, and dropped when this is over by any clock.
-	KeyAge = time.Hour
-	// StandingAge is for contracts. Missing: a fresh burst. It is adopted as it was:
+	MaxKeyAge = time.Hour
+	// MaxUsageAge is for contracts. Missing: a fresh burst. It is adopted as it was:
 	// what a team had left then, and nothing for the time between. After a kill nobody
 	// knows what was used since: all that was saved up counts as used.
-	StandingAge = time.Hour
+	MaxUsageAge = time.Hour
 )
 
 // Usable is what is worth something of an image now; nil: nothing. The reason is
@@ -135,7 +135,7 @@
 // Merge is what is worth something now of parts, of which the younger come last and go
 // before older ones of the same thing; nil: nothing. The reason is for the log.
 func Merge(parts []Part, name string, now Clock) (st *handover.State, why string) {
-	m := merging{state: &handover.State{}, services: map[handover.Of]int{}, hashes: map[handover.Of]uint64{}}
+	m := merging{state: &handover.State{}, services: map[handover.ServiceRef]int{}, hashes: map[handover.ServiceRef]uint64{}}
 	why = "nothing is kept"
 	any := false
 	for i := range parts {
@@ -161,8 +161,8 @@
 // merging is a Merge under way.
 type merging struct {
 	state    *handover.State
-	services map[handover.Of]int // places in the state's
-	hashes   map[handover.Of]uint64
+	services map[handover.ServiceRef]int // places in the state's
+	hashes   map[handover.ServiceRef]uint64
 }
 
 // mostServices bounds the services of a state: more than an operator's file has.
@@ -174,27 +174,27 @@
 		m.state.Drained = p.Drained
 	case p.Kind == KindIDs && p.IDs != nil:
 		m.state.IDs = handover.IDs{Key: p.IDs.Key} // the key of the hashes goes with the keys as well
-		if elapsed <= IDAge || !sure {
+		if elapsed <= MaxIDAge || !sure {
 			m.state.IDs.Hashes = p.IDs.Hashes
 		}
 	case p.Service != nil:
-		if s := m.service(p.Service.Of); s != nil {
+		if s := m.service(p.Service.ServiceRef); s != nil {
 			if p.Kind == KindKeys {
-				m.hashes[s.Of] = p.Hash
+				m.hashes[s.ServiceRef] = p.Hash
 			}
 			use(s, p, elapsed, sure)
 		}
 	}
 }
 
-func (m *merging) service(of handover.Of) *handover.Service {
+func (m *merging) service(of handover.ServiceRef) *handover.Service {
 	at, known := m.services[of]
 	if !known {
 		if at = len(m.state.Services); at == mostServices {
 			return nil
 		}
 		m.services[of] = at
-		m.state.Services = append(m.state.Services, handover.Service{Of: of})
+		m.state.Services = append(m.state.Services, handover.Service{ServiceRef: of})
 	}
 	return &m.state.Services[at]
 }
@@ -204,7 +204,7 @@
 func (m *merging) matchKeys() {
 	for i := range m.state.Services {
 		s := &m.state.Services[i]
-		if hash := m.hashes[s.Of]; len(s.Keys) > 0 && m.state.IDs.Key == 0 {
+		if hash := m.hashes[s.ServiceRef]; len(s.Keys) > 0 && m.state.IDs.Key == 0 {
 			m.state.IDs.Key = hash
 		} else if hash != m.state.IDs.Key {
 			s.Keys = nil
@@ -219,17 +219,17 @@
 	switch p.Kind {
 	case KindService:
 		s.Disabled, s.Classes, s.Learnt, s.Standing = told.Disabled, told.Classes, nil, nil
-		if elapsed <= LearntAge {
+		if elapsed <= MaxLearntAge {
 			s.Learnt = told.Learnt
 		}
-		if elapsed <= StandingAge && told.Standing != nil {
+		if elapsed <= MaxUsageAge && told.Standing != nil {
 			standing := *told.Standing
 			standing.Spent = standing.Spent || !p.Ended
 			s.Standing = &standing
 		}
 	case KindMembers:
 		s.Members = handover.Members{}
-		if elapsed <= ListAge {
+		if elapsed <= MaxListAge {
 			s.Members = told.Members
 		}
 	case KindKeys:
@@ -251,5 +251,5 @@
 		return k, k.Left > 0
 	}
 	k.Age = max(k.Age, k.Window)
-	return k, elapsed <= KeyAge
+	return k, elapsed <= MaxKeyAge
 }
