--- a/internal/state/plan/plan_test.go
+++ b/internal/state/plan/plan_test.go
@@ -20,7 +20,7 @@
 	return &Image{Version: Version, Name: "n0", At: Clock{"a", time.Hour, day}, State: &handover.State{
 		Drained: true, IDs: handover.IDs{Key: 3, Hashes: []uint64{1}},
 		Services: []handover.Service{{
-			Of: handover.Of{Platform: true}, Disabled: []string{"s-1"}, Classes: []string{"tile"},
+			ServiceRef: handover.ServiceRef{Platform: true}, Disabled: []string{"s-1"}, Classes: []string{"tile"},
 			Members: handover.Members{Version: 7, Entries: []discovery.Entry{{ID: "s-1"}}},
 			Learnt:  learnt.Record{{What: "load"}}, Standing: &broker.Snapshot{},
 			Keys: []keyed.Note{{Key: 9, Scope: policy.ScopeCell, Cell: 4, Age: time.Second, Window: 5 * time.Second, Left: 8 * time.Second}},
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -87,14 +87,14 @@
 	return st, nil
 }
 
-// KeptMoves are the moves of a service as they are kept.
-type KeptMoves struct {
-	handover.Of
+// SavedMoves are the moves of a service as they are kept.
+type SavedMoves struct {
+	handover.ServiceRef
 	Moves []moves.Record
 }
 
 // EncodeMoves makes a record of where the moves are, a part for each service.
-func EncodeMoves(all []KeptMoves) (b []byte, err error) {
+func EncodeMoves(all []SavedMoves) (b []byte, err error) {
 	if len(all) == 0 {
 		return []byte("\n"), nil // a record has something in it
 	}
@@ -108,19 +108,19 @@
 
 // DecodeMoves is what a record of moves tells, and what follows it in its file: of a
 // service the last that is whole. The first version was one piece of JSON.
-func DecodeMoves(record, tail []byte) (all []KeptMoves, err error) {
+func DecodeMoves(record, tail []byte) (all []SavedMoves, err error) {
 	if b := bytes.TrimLeft(record, " "); len(b) > 0 && (b[0] == '[' || b[0] == 'n') {
 		if err := json.Unmarshal(b, &all); err != nil {
 			return nil, fmt.Errorf("state: %w", err)
 		}
-	} else if all, err = readParts[KeptMoves](record); err != nil {
+	} else if all, err = readParts[SavedMoves](record); err != nil {
 		return nil, err
 	}
-	later, _ := readParts[KeptMoves](tail)
+	later, _ := readParts[SavedMoves](tail)
 	for _, l := range later {
 		at := len(all)
 		for i := range all {
-			if all[i].Of == l.Of {
+			if all[i].ServiceRef == l.ServiceRef {
 				at = i
 			}
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -23,9 +23,9 @@
 // number.
 func known(n int) *handover.State {
 	st := &handover.State{Drained: n%2 == 1, IDs: handover.IDs{Key: 3, Hashes: []uint64{uint64(n)}}}
-	for _, of := range []handover.Of{{Platform: true}, {Service: "weather"}} {
+	for _, of := range []handover.ServiceRef{{Platform: true}, {Service: "weather"}} {
 		st.Services = append(st.Services, handover.Service{
-			Of: of, Disabled: []string{"s-1"}, Classes: []string{"tile"},
+			ServiceRef: of, Disabled: []string{"s-1"}, Classes: []string{"tile"},
 			Members:  handover.Members{Version: int64(n), Entries: []discovery.Entry{{ID: "s-1"}}},
 			Learnt:   learnt.Record{{What: "load", Of: n}},
 			Standing: &broker.Snapshot{},
@@ -108,7 +108,7 @@
 			rt.Fatalf("the key of the hashes is %d", st.IDs.Key)
 		}
 		for i := range last.Services {
-			of := last.Services[i].Of
+			of := last.Services[i].ServiceRef
 			g, n, o := st.Find(of), &last.Services[i], &before.Services[i]
 			if g == nil {
 				rt.Fatalf("%+v is not known", of)
@@ -156,13 +156,13 @@
 
 // Of moves a service's last whole part counts, whichever version it is of.
 func TestKeptMoves(t *testing.T) {
-	a, b := KeptMoves{Of: handover.Of{Service: "a"}, Moves: []moves.Record{{Name: "x", Share: 0.1}}}, KeptMoves{Of: handover.Of{Service: "b"}}
-	first, err := json.Marshal([]KeptMoves{a, b})
+	a, b := SavedMoves{ServiceRef: handover.ServiceRef{Service: "a"}, Moves: []moves.Record{{Name: "x", Share: 0.1}}}, SavedMoves{ServiceRef: handover.ServiceRef{Service: "b"}}
+	first, err := json.Marshal([]SavedMoves{a, b})
 	if err != nil {
 		t.Fatal(err)
 	}
 	a.Moves = []moves.Record{{Name: "x", Share: 0.2}}
-	second, err := EncodeMoves([]KeptMoves{a, b})
+	second, err := EncodeMoves([]SavedMoves{a, b})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/unixsocket/unixsocket.go
+++ b/internal/unixsocket/unixsocket.go
@@ -14,9 +14,9 @@
 // what is put behind it while it is opened.
 const longest = 104
 
-// Short calls use with a name for path that fits into a socket's address, however
+// WithShortPath calls use with a name for path that fits into a socket's address, however
 // long the folder's is.
-func Short(path string, use func(name string) error) error {
+func WithShortPath(path string, use func(name string) error) error {
 	if len(path) < longest {
 		return use(path)
 	}
@@ -46,7 +46,7 @@
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(temporary) // of a process that had this number
 	var l *net.UnixListener
-	err := Short(temporary, func(name string) error {
+	err := WithShortPath(temporary, func(name string) error {
 		var err error
 		l, err = net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 		return err
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -87,7 +87,7 @@
 		}
 	}
 	if t.req.headOnly {
-		return a, !head.Ends, nil
+		return a, !head.ClosesConnection, nil
 	}
 	untilClose := head.Length < 0 && !head.Chunked // until the connection closes
 	switch {
@@ -106,13 +106,13 @@
 	case complete: // Bytes after the answer belong to no request: the caller finds them and
 		// closes the connection. A stated length that is too short, so that the answer
 		// is incomplete, would look the same; it has not been observed.
-		return a, !head.Ends, nil
+		return a, !head.ClosesConnection, nil
 	case a.Result != policy.Served:
 		return a, false, nil // an error with a long body
 	case t.stream == nil:
 		return a, false, errInvalidLength
 	}
-	return a, false, c.startAnswerStream(t.cancellation, &a, body, !head.Ends)
+	return a, false, c.startAnswerStream(t.cancellation, &a, body, !head.ClosesConnection)
 }
 
 // readBody reads a short body whole, and the beginning of a long one.
--- a/internal/wire/faults.go
+++ b/internal/wire/faults.go
@@ -10,15 +10,15 @@
 	"spokegw/internal/jsonfile"
 )
 
-// Shape is what the settings object is decoded into.
-type Shape struct{ options }
+// RawSettings is what the settings object is decoded into.
+type RawSettings struct{ options }
 
 // UnmarshalJSON decodes the settings object.
-func (s *Shape) UnmarshalJSON(text []byte) error { return json.Unmarshal(text, &s.options) }
+func (s *RawSettings) UnmarshalJSON(text []byte) error { return json.Unmarshal(text, &s.options) }
 
 // Check notes in the file what the module refuses of the settings, which are
 // at key. The module itself tells the first of it, without a place.
-func (s *Shape) Check(f *jsonfile.File, key string) {
+func (s *RawSettings) Check(f *jsonfile.File, key string) {
 	if len(s.Classes) == 0 {
 		f.Fault(key+".classes", "at least one class is expected")
 	}
@@ -42,7 +42,7 @@
 	}
 }
 
-func (s *Shape) checkClass(f *jsonfile.File, key string, i int) {
+func (s *RawSettings) checkClass(f *jsonfile.File, key string, i int) {
 	c := s.Classes[i]
 	checkOneOf(f, key+".effect", effects, c.Effect)
 	checkOneOf(f, key+".key_scope", scopes, c.Scope)
