--- a/bench/quota/main.go
+++ b/bench/quota/main.go
@@ -187,7 +187,7 @@
 }
 
 // costs tells what a member of a fleet sends and holds by the fleet's size; what a report
-// takes of a processor is told by BenchmarkHear of package quota.
+// takes of a processor is told by BenchmarkHandleReport of package quota.
 func costs(sizes string) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\ngateways\tuse\tmessages a member and second\tof one that is steward\tKB a member\t")
--- a/internal/fleet/quota/divide.go
+++ b/internal/fleet/quota/divide.go
@@ -8,14 +8,14 @@
 	partner      int
 }
 
-// demandMargin is the part of a demand that a gateway is to have more: it is a mean.
+// demandMargin is the factor on a demand that a gateway is to get, since the demand is a mean.
 const demandMargin = 1.03
 
-// Divide says what each gateway is to have. First each partner has what it wants of the
-// parts that its gateways own; what then is left goes to those that want more, by the
-// partners' weights, so that a partner gains nothing by more gateways. Within a partner
-// each gateway has what it wants of its own part, and what is left goes to the others
-// evenly. The sum is the sum of the parts at most.
+// Divide returns what each gateway should have. First each partner gets what it wants, up to the
+// parts that its gateways own. What is left goes to partners that want more, by weight, so that a
+// partner gains nothing from additional gateways. Within a partner each gateway gets what it
+// wants of its own part, and what is left is divided evenly among the others. The sum is at most
+// the sum of the parts.
 func Divide(claims []claim, weights []float64) []Part {
 	n := len(weights)
 	owned, wants, base := make([]Part, n), make([]Part, n), make([]Part, n)
@@ -25,14 +25,14 @@
 		owned[c.partner] += c.part
 		wants[c.partner] += demands[i]
 	}
-	left := Part(0)
+	remaining := Part(0)
 	more := make([]Part, n)
 	for p := range n {
 		base[p] = min(owned[p], wants[p])
-		left += owned[p] - base[p]
+		remaining += owned[p] - base[p]
 		more[p] = wants[p] - base[p]
 	}
-	for p, x := range fill(left, more, weights) {
+	for p, x := range fill(remaining, more, weights) {
 		base[p] += x
 	}
 	targets := make([]Part, len(claims))
@@ -42,27 +42,27 @@
 	return targets
 }
 
-// divideWithin divides what a partner has among its gateways.
-func divideWithin(partner int, has Part, claims []claim, demands, targets []Part) {
-	var of []int
+// divideWithin divides a partner's amount among its gateways.
+func divideWithin(partner int, amount Part, claims []claim, demands, targets []Part) {
+	var indexes []int
 	var more []Part
-	var even []float64
+	var equalWeights []float64
 	for i, c := range claims {
 		if c.partner != partner {
 			continue
 		}
 		targets[i] = min(c.part, demands[i])
-		has -= targets[i]
-		of, more, even = append(of, i), append(more, demands[i]-targets[i]), append(even, 1)
+		amount -= targets[i]
+		indexes, more, equalWeights = append(indexes, i), append(more, demands[i]-targets[i]), append(equalWeights, 1)
 	}
-	for k, x := range fill(max(has, 0), more, even) {
-		targets[of[k]] += x
+	for k, x := range fill(max(amount, 0), more, equalWeights) {
+		targets[indexes[k]] += x
 	}
 }
 
-// fill divides what is left among those that want it, by weight, none more than it wants:
-// the level to which water rises in vessels as wide as the weights.
-func fill(left Part, want []Part, weights []float64) []Part {
+// fill divides left among those that want some, by weight and none more than it wants (weighted
+// max-min fairness, or water-filling).
+func fill(remaining Part, want []Part, weights []float64) []Part {
 	order := make([]int, len(want))
 	sum := 0.0
 	for i := range order {
@@ -71,9 +71,9 @@
 			sum += weights[i]
 		}
 	}
-	height := func(i int) float64 { return float64(want[i]) / weights[i] }
+	level := func(i int) float64 { return float64(want[i]) / weights[i] }
 	slices.SortStableFunc(order, func(a, b int) int {
-		switch x, y := height(a), height(b); {
+		switch x, y := level(a), level(b); {
 		case x < y:
 			return -1
 		case x > y:
@@ -81,14 +81,14 @@
 		}
 		return 0
 	})
-	got := make([]Part, len(want))
+	filled := make([]Part, len(want))
 	for _, i := range order {
 		if want[i] <= 0 {
 			continue
 		}
-		got[i] = min(want[i], Part(float64(left)*min(1, weights[i]/sum)), left)
-		left -= got[i]
+		filled[i] = min(want[i], Part(float64(remaining)*min(1, weights[i]/sum)), remaining)
+		remaining -= filled[i]
 		sum -= weights[i]
 	}
-	return got
+	return filled
 }
--- a/internal/fleet/quota/explore_test.go
+++ b/internal/fleet/quota/explore_test.go
@@ -14,120 +14,120 @@
 )
 
 var (
-	exploreDepth = flag.Int("explore-depth", 5, "events in a row that are gone through")
-	errOver      = errors.New("all together may admit more than the quota")
+	exploreDepth = flag.Int("explore-depth", 5, "number of consecutive events to explore")
+	errExceeded  = errors.New("all together may admit more than the quota")
 )
 
-// small is three gateways, of which the first is steward, with messages that are on their
-// way. Two of them lend to the third when it begins.
-type small struct {
-	now      time.Duration
-	holders  [3]*Participant
-	steward  *Steward
-	limits   [3]Limit
-	demands  [3]Part
-	flight   []any
-	restarts int // that may come yet
-	turns    int // changes of demand
+// model consists of three gateways, the first of which is steward, and their messages in
+// flight. At the start two of them lend to the third.
+type model struct {
+	now           time.Duration
+	participants  [3]*Participant
+	steward       *Steward
+	limits        [3]Limit
+	demands       [3]Part
+	inFlight      []any
+	restarts      int // remaining
+	demandChanges int // remaining changes of demand
 }
 
 var (
-	smallSet  = Settings{Lease: time.Second, Period: 200 * time.Millisecond, Drift: 0.01}
-	smallPlan = []Gateway{{"a", "p", Whole / 2}, {"b", "q", Whole / 4}, {"c", "r", Whole / 4}}
+	testSettings = Settings{Lease: time.Second, Period: 200 * time.Millisecond, Drift: 0.01}
+	testGateways = []Gateway{{"a", "p", Whole / 2}, {"b", "q", Whole / 4}, {"c", "r", Whole / 4}}
 )
 
-const mostFlight = 4
+const maxInFlight = 4
 
-// move is one event: what happens, and to which.
-type move struct {
-	what string
-	n    int
+// event is what happens, and the index it applies to.
+type event struct {
+	action string
+	n      int
 }
 
-func (m move) String() string { return fmt.Sprint(m.what, " ", m.n) }
+func (m event) String() string { return fmt.Sprint(m.action, " ", m.n) }
 
-func (s small) clone() small {
-	for i, h := range s.holders {
+func (s model) clone() model {
+	for i, h := range s.participants {
 		c := *h
 		c.steward = h.steward.Clone()
-		c.ceded = slices.Clone(h.ceded)
-		for j := range c.ceded {
-			c.ceded[j].entries = slices.Clone(c.ceded[j].entries)
+		c.loans = slices.Clone(h.loans)
+		for j := range c.loans {
+			c.loans[j].entries = slices.Clone(c.loans[j].entries)
 		}
-		s.holders[i] = &c
+		s.participants[i] = &c
 	}
-	w := *s.steward
-	w.accounts, w.partners = nil, slices.Clone(w.partners)
+	steward := *s.steward
+	steward.accounts, steward.partners = nil, slices.Clone(steward.partners)
 	for _, a := range s.steward.accounts {
 		c := *a
-		c.cessions, c.grants = slices.Clone(a.cessions), slices.Clone(a.grants)
-		w.accounts = append(w.accounts, &c)
+		c.loans, c.grants = slices.Clone(a.loans), slices.Clone(a.grants)
+		steward.accounts = append(steward.accounts, &c)
 	}
-	s.steward, s.flight = &w, slices.Clone(s.flight)
+	s.steward, s.inFlight = &steward, slices.Clone(s.inFlight)
 	return s
 }
 
-func (s small) key() string {
+func (s model) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.now, s.limits, s.demands, s.flight, s.restarts, s.turns)
-	for _, h := range s.holders {
+	fmt.Fprint(&b, s.now, s.limits, s.demands, s.inFlight, s.restarts, s.demandChanges)
+	for _, h := range s.participants {
 		fmt.Fprint(&b, *h)
 	}
-	w := *s.steward
-	w.accounts = nil
-	fmt.Fprint(&b, w)
+	steward := *s.steward
+	steward.accounts = nil
+	fmt.Fprint(&b, steward)
 	for _, a := range s.steward.accounts {
 		fmt.Fprint(&b, *a)
 	}
 	return b.String()
 }
 
-func (s small) events() (all []move) {
-	for i := range s.holders {
-		if len(s.flight) < mostFlight {
-			all = append(all, move{"report", i})
+func (s model) events() (all []event) {
+	for i := range s.participants {
+		if len(s.inFlight) < maxInFlight {
+			all = append(all, event{"report", i})
 		}
 		if s.restarts > 0 {
-			all = append(all, move{"restart", i})
+			all = append(all, event{"restart", i})
 		}
 	}
-	for i := range s.flight {
-		all = append(all, move{"deliver", i}, move{"lose", i})
-		if len(s.flight) < mostFlight {
-			all = append(all, move{"repeat", i})
+	for i := range s.inFlight {
+		all = append(all, event{"deliver", i}, event{"lose", i})
+		if len(s.inFlight) < maxInFlight {
+			all = append(all, event{"repeat", i})
 		}
 	}
 	if s.restarts > 0 {
-		all = append(all, move{"restart the steward", 0})
+		all = append(all, event{"restart the steward", 0})
 	}
-	if s.turns > 0 {
-		all = append(all, move{"turn the demands", 0})
+	if s.demandChanges > 0 {
+		all = append(all, event{"rotate the demands", 0})
 	}
-	return append(all, move{"wait", 200}, move{"wait", 900})
+	return append(all, event{"wait", 200}, event{"wait", 900})
 }
 
-func (s small) step(m move) (small, error) {
+func (s model) step(m event) (model, error) {
 	s = s.clone()
-	switch m.what {
+	switch m.action {
 	case "report":
 		s.tick(m.n)
 	case "deliver":
-		x := s.flight[m.n]
-		s.flight = slices.Delete(s.flight, m.n, m.n+1)
-		s.take(x)
+		x := s.inFlight[m.n]
+		s.inFlight = slices.Delete(s.inFlight, m.n, m.n+1)
+		s.deliver(x)
 	case "lose":
-		s.flight = slices.Delete(s.flight, m.n, m.n+1)
+		s.inFlight = slices.Delete(s.inFlight, m.n, m.n+1)
 	case "repeat":
-		s.flight = append(s.flight, s.flight[m.n])
+		s.inFlight = append(s.inFlight, s.inFlight[m.n])
 	case "restart":
 		s.restarts--
-		s.holders[m.n] = NewParticipant(s.now, smallSet, smallPlan[m.n].Name, s.holders[m.n].incarnation+100, smallPlan[m.n].Part)
-		s.limits[m.n] = s.holders[m.n].Limit(s.now)
+		s.participants[m.n] = NewParticipant(s.now, testSettings, testGateways[m.n].Name, s.participants[m.n].incarnation+100, testGateways[m.n].Part)
+		s.limits[m.n] = s.participants[m.n].Limit(s.now)
 	case "restart the steward":
 		s.restarts--
-		s.steward = NewSteward(s.now, smallSet, "a", s.steward.incarnation+100, smallPlan)
-	case "turn the demands":
-		s.turns--
+		s.steward = NewSteward(s.now, testSettings, "a", s.steward.incarnation+100, testGateways)
+	case "rotate the demands":
+		s.demandChanges--
 		s.demands[0], s.demands[1], s.demands[2] = s.demands[1], s.demands[2], s.demands[0]
 	case "wait":
 		s.now += time.Duration(m.n) * time.Millisecond
@@ -137,73 +137,73 @@
 		sum += l.At(s.now)
 	}
 	if sum > Whole {
-		return s, errOver
+		return s, errExceeded
 	}
 	return s, nil
 }
 
-func (s *small) tick(i int) {
-	r, ok := s.holders[i].Tick(s.now, s.demands[i], []string{"a"})
-	s.limits[i] = s.holders[i].Limit(s.now)
+func (s *model) tick(i int) {
+	r, ok := s.participants[i].Tick(s.now, s.demands[i], []string{"a"})
+	s.limits[i] = s.participants[i].Limit(s.now)
 	if ok {
 		s.send(r)
 	}
 }
 
-// send puts a message on its way; what there is no room for is lost.
-func (s *small) send(m any) {
-	if len(s.flight) < mostFlight {
-		s.flight = append(s.flight, m)
+// send puts a message in flight; it is lost if too many are.
+func (s *model) send(m any) {
+	if len(s.inFlight) < maxInFlight {
+		s.inFlight = append(s.inFlight, m)
 	}
 }
 
-func (s *small) take(m any) {
+func (s *model) deliver(m any) {
 	switch m := m.(type) {
 	case Report:
 		for _, r := range s.steward.HandleReport(s.now, m) {
 			s.send(r)
 		}
 	case Reply:
-		for i, h := range s.holders {
+		for i, h := range s.participants {
 			if h.name != m.To {
 				continue
 			}
-			hurry := h.HandleReply(s.now, m)
-			if s.limits[i] = h.Limit(s.now); hurry {
+			urgent := h.HandleReply(s.now, m)
+			if s.limits[i] = h.Limit(s.now); urgent {
 				s.tick(i)
 			}
 		}
 	}
 }
 
-// lent is the system once two have lent to the third, with nothing on its way.
-func lent() small {
-	s := small{steward: NewSteward(0, smallSet, "a", 1, smallPlan), demands: [3]Part{0, 0, Whole}, restarts: 1, turns: 1}
-	for i, g := range smallPlan {
-		s.holders[i] = NewParticipant(0, smallSet, g.Name, 1, g.Part)
+// lentModel returns the system once two gateways have lent to the third, with nothing in flight.
+func lentModel() model {
+	s := model{steward: NewSteward(0, testSettings, "a", 1, testGateways), demands: [3]Part{0, 0, Whole}, restarts: 1, demandChanges: 1}
+	for i, g := range testGateways {
+		s.participants[i] = NewParticipant(0, testSettings, g.Name, 1, g.Part)
 	}
 	for range 12 {
-		s.now += smallSet.Period
-		for i := range s.holders {
+		s.now += testSettings.Period
+		for i := range s.participants {
 			s.tick(i)
-			for len(s.flight) > 0 {
-				x := s.flight[0]
-				s.flight = s.flight[1:]
-				s.take(x)
+			for len(s.inFlight) > 0 {
+				x := s.inFlight[0]
+				s.inFlight = s.inFlight[1:]
+				s.deliver(x)
 			}
 		}
 	}
 	return s
 }
 
-// Every order of reports, replies, losses, repeats, waits, a restart and a change of
-// demands: the sum holds after each.
+// Explores every order of reports, replies, losses, duplicates, waits, a restart and a change of
+// demands: the sum of all limits must hold after each event.
 func TestEveryOrderOfLeases(t *testing.T) {
-	start := lent()
+	start := lentModel()
 	if start.limits[2].At(start.now) < Whole*9/10 {
-		t.Fatalf("nothing is lent to begin with: %+v", start.limits)
+		t.Fatalf("nothing is lent at the start: %+v", start.limits)
 	}
-	m := explore.Model[small, move]{Start: start, Events: small.events, Step: small.step, Key: small.key, Depth: *exploreDepth}
+	m := explore.Model[model, event]{Start: start, Events: model.events, Step: model.step, Key: model.key, Depth: *exploreDepth}
 	r, err := m.Explore(runtime.GOMAXPROCS(0))
 	t.Log(r)
 	if err != nil {
--- a/internal/fleet/quota/node.go
+++ b/internal/fleet/quota/node.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Outgoing is a message that a gateway has to send. One of Report and Reply is told.
+// Outgoing is a message that a gateway has to send. Exactly one of Report and Reply is set.
 type Outgoing struct {
 	To     string
 	Report *Report
 	Reply  *Reply
 }
 
-// Node is both sides of a gateway on one quota: what it holds, and what it is steward of
-// while others report to it.
+// Node is both sides of a gateway for one quota: a participant, and a steward while others report
+// to it.
 type Node struct {
 	*Participant
-	set         Settings
-	steward     *Steward // nil: nobody reports here
+	settings    Settings
+	steward     *Steward // nil: nobody reports to this gateway
 	incarnation uint64   // of the next steward
-	plan        []Gateway
+	gateways    []Gateway
 }
 
-// NewNode makes a gateway that has just started, one of the plan. incarnation is to be
-// drawn at random, and below 2^32.
-func NewNode(now time.Duration, set Settings, name string, incarnation uint64, plan []Gateway) *Node {
-	n := &Node{set: set, incarnation: incarnation, plan: plan}
-	n.Participant = NewParticipant(now, set, name, incarnation, n.part(name))
+// NewNode returns a node of a gateway that has just started and is among gateways. incarnation
+// must be drawn at random, and be below 2^32.
+func NewNode(now time.Duration, settings Settings, name string, incarnation uint64, gateways []Gateway) *Node {
+	n := &Node{settings: settings, incarnation: incarnation, gateways: gateways}
+	n.Participant = NewParticipant(now, settings, name, incarnation, n.part(name))
 	return n
 }
 
-// part is what a gateway of the plan owns.
+// part returns the part that a configured gateway owns.
 func (n *Node) part(name string) Part {
-	for _, g := range n.plan {
+	for _, g := range n.gateways {
 		if g.Name == name {
 			return g.Part
 		}
@@ -37,29 +37,29 @@
 	return 0
 }
 
-// SetGateways takes other gateways or parts, its own among them.
-func (n *Node) SetGateways(now time.Duration, plan []Gateway) {
-	n.plan = plan
+// SetGateways sets the gateways and their parts, including its own.
+func (n *Node) SetGateways(now time.Duration, gateways []Gateway) {
+	n.gateways = gateways
 	n.SetPart(n.part(n.name))
 	if n.steward != nil {
-		n.steward.SetGateways(now, plan)
+		n.steward.SetGateways(now, gateways)
 	}
 }
 
-// Tick is to be called each period: it takes the demand, and those that may be steward,
-// the best first. The limit is to be put in force before what it returns is sent.
+// Tick must be called each period. It takes the demand and the names of possible stewards, the
+// best first. The limit must be enforced before the returned messages are sent.
 func (n *Node) Tick(now time.Duration, demand Part, candidates []string) []Outgoing {
 	if n.steward != nil && n.steward.Expired(now) {
 		n.steward = nil
 	}
 	r, ok := n.Participant.Tick(now, demand, candidates)
-	return report(r, ok)
+	return reportMessages(r, ok)
 }
 
 // HandleReport takes a report as steward.
 func (n *Node) HandleReport(now time.Duration, r Report) (out []Outgoing) {
-	if n.steward == nil { // an incarnation of its own: what another one said counts for nothing
-		n.steward = NewSteward(now, n.set, n.name, n.incarnation, n.plan)
+	if n.steward == nil { // with an incarnation of its own: acknowledgements of an earlier steward's replies don't count
+		n.steward = NewSteward(now, n.settings, n.name, n.incarnation, n.gateways)
 		n.incarnation += 1 << 32
 	}
 	for _, reply := range n.steward.HandleReport(now, r) {
@@ -68,17 +68,17 @@
 	return out
 }
 
-// HandleReply takes a steward's reply. The limit is to be put in force before what it returns
-// is sent.
+// HandleReply takes a steward's reply. The limit must be enforced before the returned messages
+// are sent.
 func (n *Node) HandleReply(now time.Duration, r Reply) []Outgoing {
 	if !n.Participant.HandleReply(now, r) {
 		return nil
 	}
-	again, ok := n.Participant.NextReport(now)
-	return report(again, ok)
+	next, ok := n.Participant.NextReport(now)
+	return reportMessages(next, ok)
 }
 
-func report(r Report, ok bool) []Outgoing {
+func reportMessages(r Report, ok bool) []Outgoing {
 	if !ok {
 		return nil
 	}
--- a/internal/fleet/quota/partner_test.go
+++ b/internal/fleet/quota/partner_test.go
@@ -6,76 +6,75 @@
 	"time"
 )
 
-// pool is a federation without a network: messages arrive at once, and the first gateway is
-// steward.
+// pool is a fleet without a network: messages arrive at once, and the first gateway is steward.
 type pool struct {
-	t       *testing.T
-	now     time.Duration
-	plan    []Gateway
-	holders []*Participant
-	steward *Steward
-	demands []Part
-	change  func(i int, r Report) Report // of a gateway that lies; nil: none does
+	t            *testing.T
+	now          time.Duration
+	gateways     []Gateway
+	participants []*Participant
+	steward      *Steward
+	demands      []Part
+	change       func(i int, r Report) Report // alters the reports of a lying gateway; nil: none lies
 }
 
-func newPool(t *testing.T, plan ...Gateway) *pool {
-	p := &pool{t: t, plan: plan, steward: NewSteward(0, smallSet, plan[0].Name, 1, plan), demands: make([]Part, len(plan))}
-	for _, g := range plan {
-		p.holders = append(p.holders, NewParticipant(0, smallSet, g.Name, 1, g.Part))
+func newPool(t *testing.T, gateways ...Gateway) *pool {
+	p := &pool{t: t, gateways: gateways, steward: NewSteward(0, testSettings, gateways[0].Name, 1, gateways), demands: make([]Part, len(gateways))}
+	for _, g := range gateways {
+		p.participants = append(p.participants, NewParticipant(0, testSettings, g.Name, 1, g.Part))
 	}
 	return p
 }
 
-// run plays for a time, and tells the mean of what each may admit.
+// run simulates a duration and returns the mean limit of each gateway.
 func (p *pool) run(d time.Duration) (mean []float64) {
-	mean = make([]float64, len(p.plan))
-	rounds := int(d / smallSet.Period)
+	mean = make([]float64, len(p.gateways))
+	rounds := int(d / testSettings.Period)
 	for range rounds {
-		p.now += smallSet.Period
-		for i, h := range p.holders {
-			r, _ := h.Tick(p.now, p.demands[i], []string{p.plan[0].Name})
+		p.now += testSettings.Period
+		for i, h := range p.participants {
+			r, _ := h.Tick(p.now, p.demands[i], []string{p.gateways[0].Name})
 			if p.change != nil {
 				r = p.change(i, r)
 			}
-			p.hear(r, 0)
+			p.deliver(r, 0)
 		}
 		sum := Part(0)
-		for i, h := range p.holders {
+		for i, h := range p.participants {
 			limit := h.Limit(p.now).At(p.now)
 			sum += limit
 			mean[i] += limit.Fraction() / float64(rounds)
 		}
 		if sum > Whole {
-			p.t.Fatalf("at %v all may admit %.4f", p.now, sum.Fraction())
+			p.t.Fatalf("at %v the limits sum to %.4f", p.now, sum.Fraction())
 		}
 	}
 	return mean
 }
 
-func (p *pool) hear(r Report, depth int) {
+func (p *pool) deliver(r Report, depth int) {
 	for _, reply := range p.steward.HandleReport(p.now, r) {
-		for i, h := range p.holders {
-			if p.plan[i].Name == reply.To && h.HandleReply(p.now, reply) && depth < 8 {
-				if again, ok := h.NextReport(p.now); ok {
-					p.hear(again, depth+1)
+		for i, h := range p.participants {
+			if p.gateways[i].Name == reply.To && h.HandleReply(p.now, reply) && depth < 8 {
+				if next, ok := h.NextReport(p.now); ok {
+					p.deliver(next, depth+1)
 				}
 			}
 		}
 	}
 }
 
-// gateways are those of partners with a part each, named by partner and number.
-func partnersOf(parts map[string]Part, each map[string]int, order ...string) (plan []Gateway) {
+// partnersOf returns the gateways of partners with a part each, named by partner and number.
+func partnersOf(parts map[string]Part, each map[string]int, order ...string) (gateways []Gateway) {
 	for _, name := range order {
 		for i := range each[name] {
-			plan = append(plan, Gateway{Name: fmt.Sprint(name, i), Partner: name, Part: parts[name] / Part(each[name])})
+			gateways = append(gateways, Gateway{Name: fmt.Sprint(name, i), Partner: name, Part: parts[name] / Part(each[name])})
 		}
 	}
-	return plan
+	return gateways
 }
 
-func sumOf(plan []Gateway, mean []float64, partner string) (sum float64) {
-	for i, g := range plan {
+func sumOf(gateways []Gateway, mean []float64, partner string) (sum float64) {
+	for i, g := range gateways {
 		if g.Partner == partner {
 			sum += mean[i]
 		}
@@ -83,11 +82,11 @@
 	return sum
 }
 
-// A partner that doubles its gateways gains nothing by it, neither in a surge of all nor
-// of what an idle one lends.
+// A partner must not gain by doubling its gateways, neither when all have demand nor of what an
+// idle partner lends.
 func TestDoubledGateways(t *testing.T) {
 	parts := map[string]Part{"a": PartOf(0.3), "b": PartOf(0.3), "c": PartOf(0.4)}
-	for name, idle := range map[string]bool{"all want all": false, "one lends": true} {
+	for name, idle := range map[string]bool{"all have demand": false, "one lends": true} {
 		var got []float64
 		for _, n := range []int{2, 4, 8} {
 			plan := partnersOf(parts, map[string]int{"a": 2, "b": n, "c": 1}, "a", "b", "c")
@@ -109,25 +108,26 @@
 	}
 }
 
-// One gateway of a partner has nine tenths of its demand: it has what the partner owns.
-func TestUnevenWithinPartner(t *testing.T) {
+// If one gateway of a partner has nine tenths of the partner's demand, it must get what the
+// partner owns.
+func TestUnevenDemandWithinPartner(t *testing.T) {
 	plan := partnersOf(map[string]Part{"a": PartOf(0.5), "b": PartOf(0.5)}, map[string]int{"a": 3, "b": 2}, "a", "b")
 	p := newPool(t, plan...)
 	p.demands = []Part{PartOf(0.02), PartOf(0.45), PartOf(0.02), Whole, Whole}
 	p.run(5 * time.Second)
 	if mean := p.run(10 * time.Second); mean[1] < 0.43 {
-		t.Errorf("it has %.3f", mean[1])
+		t.Errorf("its limit is %.3f", mean[1])
 	}
 }
 
-// Who has lived on another's part comes after those who lent, where there is something
-// left that both want; over a minute it evens out.
-func TestDebtors(t *testing.T) {
+// Where two partners want the same unused amount, one that has borrowed must come after one that
+// has lent; over a minute this evens out.
+func TestBorrowersComeLast(t *testing.T) {
 	plan := partnersOf(map[string]Part{"a": PartOf(0.25), "b": PartOf(0.25), "c": PartOf(0.5)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
 	p := newPool(t, plan...)
-	p.demands = []Part{0, Whole, 0} // b lives on a and c
+	p.demands = []Part{0, Whole, 0} // b borrows from a and c
 	p.run(60 * time.Second)
-	p.demands = []Part{Whole, Whole, 0} // a wants of c's as well
+	p.demands = []Part{Whole, Whole, 0} // a also wants some of c's
 	p.run(2 * time.Second)
 	first := p.run(8 * time.Second)
 	if first[0] < first[1]+0.1 {
@@ -139,16 +139,16 @@
 	}
 }
 
-// A gateway that lies gets at most what the others do not use: all that it can say of its
-// demand takes nothing from an owner that wants its part.
+// A lying gateway must get no more than what the others do not use: whatever demand it reports,
+// it takes nothing from an owner that wants its part.
 func TestLiar(t *testing.T) {
 	plan := partnersOf(map[string]Part{"a": PartOf(0.4), "b": PartOf(0.3), "c": PartOf(0.3)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
 	lies := map[string]func(Report) Report{
-		"wants all":           func(r Report) Report { r.Demand = Whole; return r },
-		"wants the same late": func(r Report) Report { r.Demand, r.Ack = Whole, r.Ack/2; return r },
-		"impossible":          func(r Report) Report { r.Demand, r.Lend, r.Ack = 1<<62, 1<<62, 1<<62; return r },
-		"under 0":             func(r Report) Report { r.Demand, r.Lend = -1<<62, -1<<62; return r },
-		"a later life":        func(r Report) Report { r.Incarnation = 1 << 62; return r },
+		"wants all":                func(r Report) Report { r.Demand = Whole; return r },
+		"delayed acknowledgements": func(r Report) Report { r.Demand, r.Ack = Whole, r.Ack/2; return r },
+		"impossible":               func(r Report) Report { r.Demand, r.Lend, r.Ack = 1<<62, 1<<62, 1<<62; return r },
+		"negative amounts":         func(r Report) Report { r.Demand, r.Lend = -1<<62, -1<<62; return r },
+		"a later incarnation":      func(r Report) Report { r.Incarnation = 1 << 62; return r },
 	}
 	for name, lie := range lies {
 		t.Run(name, func(t *testing.T) {
@@ -163,17 +163,17 @@
 			p.run(5 * time.Second)
 			mean := p.run(10 * time.Second)
 			if mean[0] < 0.35 || mean[1] < 0.25 {
-				t.Errorf("the others have %.3f and %.3f", mean[0], mean[1])
+				t.Errorf("the others' limits are %.3f and %.3f", mean[0], mean[1])
 			}
-			if used := p.holders[2].Limit(p.now).At(p.now); used > PartOf(0.42) {
-				t.Errorf("it has %.3f", used.Fraction())
+			if used := p.participants[2].Limit(p.now).At(p.now); used > PartOf(0.42) {
+				t.Errorf("its limit is %.3f", used.Fraction())
 			}
 		})
 	}
 }
 
-// A flood of reports of one gateway, and of strangers, takes up no room and nothing from
-// the others.
+// A flood of reports from one gateway, and from unknown ones, must use no memory and take nothing
+// from the others.
 func TestFlood(t *testing.T) {
 	plan := partnersOf(map[string]Part{"a": PartOf(0.5), "b": PartOf(0.5)}, map[string]int{"a": 1, "b": 1}, "a", "b")
 	p := newPool(t, plan...)
@@ -192,11 +192,11 @@
 	p.run(2 * time.Second)
 	mean := p.run(10 * time.Second)
 	if mean[0] < 0.1 {
-		t.Errorf("the other has %.3f", mean[0])
+		t.Errorf("the other's limit is %.3f", mean[0])
 	}
 	for _, a := range p.steward.accounts {
-		if len(a.cessions) > mostEntries || len(a.grants) > mostEntries {
-			t.Errorf("%s: %d and %d entries", a.Name, len(a.cessions), len(a.grants))
+		if len(a.loans) > maxEntries || len(a.grants) > maxEntries {
+			t.Errorf("%s: %d and %d entries", a.Name, len(a.loans), len(a.grants))
 		}
 	}
 	if len(p.steward.accounts) != 2 {
@@ -204,12 +204,12 @@
 	}
 }
 
-// Two processes of one name find out, and each of the others keeps its part.
-func TestNameTwice(t *testing.T) {
+// Two processes with the same name must detect it, and each other gateway must keep its part.
+func TestDuplicateName(t *testing.T) {
 	plan := partnersOf(map[string]Part{"a": PartOf(0.5), "b": PartOf(0.5)}, map[string]int{"a": 1, "b": 1}, "a", "b")
-	s := NewSteward(0, smallSet, "a0", 1, plan)
-	one, two, other := NewParticipant(0, smallSet, "b0", 10, PartOf(0.5)), NewParticipant(0, smallSet, "b0", 20, PartOf(0.5)), NewParticipant(0, smallSet, "a0", 1, PartOf(0.5))
-	for now := time.Duration(0); now < 20*time.Second; now += smallSet.Period {
+	s := NewSteward(0, testSettings, "a0", 1, plan)
+	one, two, other := NewParticipant(0, testSettings, "b0", 10, PartOf(0.5)), NewParticipant(0, testSettings, "b0", 20, PartOf(0.5)), NewParticipant(0, testSettings, "a0", 1, PartOf(0.5))
+	for now := time.Duration(0); now < 20*time.Second; now += testSettings.Period {
 		for _, h := range []*Participant{one, two, other} {
 			r, _ := h.Tick(now, Whole, []string{"a0"})
 			for _, reply := range s.HandleReport(now, r) {
@@ -217,64 +217,64 @@
 			}
 		}
 		if now > 2*time.Second && other.Limit(now).At(now) < PartOf(0.5) {
-			t.Fatalf("at %v another has %.3f of its 0.5", now, other.Limit(now).At(now).Fraction())
+			t.Fatalf("at %v the other gateway has %.3f of its 0.5", now, other.Limit(now).At(now).Fraction())
 		}
 	}
 	if one.IncarnationBumps() < 2 || two.IncarnationBumps() < 2 {
-		t.Errorf("they found out %d and %d times", one.IncarnationBumps(), two.IncarnationBumps())
+		t.Errorf("they detected it %d and %d times", one.IncarnationBumps(), two.IncarnationBumps())
 	}
 }
 
-// An owner that comes back is told that what it ceded is not used any more, and has its
-// part by itself, well before the lease has ended.
-func TestGivenBack(t *testing.T) {
+// An owner whose demand returns must be told that its loans are no longer used, and get its part
+// back well before the lease ends.
+func TestLoanReturned(t *testing.T) {
 	plan := partnersOf(map[string]Part{"a": PartOf(0.5), "b": PartOf(0.25), "c": PartOf(0.25)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
 	p := newPool(t, plan...)
 	p.demands = []Part{0, 0, Whole}
 	p.run(5 * time.Second)
-	if l := p.holders[1].Limit(p.now); l.Own > PartOf(0.01) {
+	if l := p.participants[1].Limit(p.now); l.Own > PartOf(0.01) {
 		t.Fatalf("it has not lent its part: %v", l)
 	}
 	p.demands[1] = PartOf(0.24)
-	p.run(3 * smallSet.Period)
-	if l := p.holders[1].Limit(p.now); l.Own < PartOf(0.24) {
-		t.Errorf("0.6 s after it has come back, of a lease of 1 s, it has %.3f by itself and %.3f granted", l.Own.Fraction(), l.Grant.Fraction())
+	p.run(3 * testSettings.Period)
+	if l := p.participants[1].Limit(p.now); l.Own < PartOf(0.24) {
+		t.Errorf("0.6 s after its demand returned, with a lease of 1 s, it has %.3f of its own and %.3f granted", l.Own.Fraction(), l.Grant.Fraction())
 	}
 }
 
-// A plan that changes keeps what is known of those that stay, in whatever order it names
-// them, and counts what those that left were granted to its end.
-func TestPlanChanges(t *testing.T) {
-	plan := partnersOf(map[string]Part{"a": PartOf(0.4), "b": PartOf(0.3), "c": PartOf(0.3)}, map[string]int{"a": 2, "b": 1, "c": 1}, "a", "b", "c")
-	p := newPool(t, plan...)
+// A change of the gateways must keep the state of those that stay, in whatever order they are
+// named, and count what was granted to removed ones until it expires.
+func TestGatewayChanges(t *testing.T) {
+	gateways := partnersOf(map[string]Part{"a": PartOf(0.4), "b": PartOf(0.3), "c": PartOf(0.3)}, map[string]int{"a": 2, "b": 1, "c": 1}, "a", "b", "c")
+	p := newPool(t, gateways...)
 	p.demands = []Part{0, Whole, PartOf(0.1), 0}
 	p.run(5 * time.Second)
 	granted := p.steward.granted
 	next := []Gateway{{"d0", "d", PartOf(0.1)}, {"c0", "c", PartOf(0.3)}, {"a0", "a", PartOf(0.2)}, {"0", "e", 0}, {"b0", "b", PartOf(0.3)}}
-	p.steward.SetGateways(p.now, next) // the one that holds the grant has left
+	p.steward.SetGateways(p.now, next) // the gateway that holds the grant is removed
 	if p.steward.granted != granted {
 		t.Errorf("granted %v, before %v", p.steward.granted, granted)
 	}
 	names := map[string]int{}
 	for _, a := range p.steward.accounts {
 		names[a.Name]++
-		if a.left != (a.Name == "a1") || a.Name == "c0" && a.heard == 0 {
+		if a.removed != (a.Name == "a1") || a.Name == "c0" && a.lastReport == 0 {
 			t.Errorf("%+v", *a)
 		}
 	}
-	for _, g := range append(next, plan[1]) {
+	for _, g := range append(next, gateways[1]) {
 		if names[g.Name] != 1 || p.steward.account(g.Name) == nil {
-			t.Errorf("%s stands there %d times", g.Name, names[g.Name])
+			t.Errorf("%s has %d accounts", g.Name, names[g.Name])
 		}
 	}
-	p.steward.SetGateways(p.now+2*smallSet.Lease, next)
+	p.steward.SetGateways(p.now+2*testSettings.Lease, next)
 	if len(p.steward.accounts) != len(next) {
 		t.Errorf("%d accounts, %d gateways", len(p.steward.accounts), len(next))
 	}
 }
 
-// Hours of use leave nothing behind.
-func TestSoakOfLeases(t *testing.T) {
+// Hours of use must leave no state behind.
+func TestLongRun(t *testing.T) {
 	plan := partnersOf(map[string]Part{"a": PartOf(0.4), "b": PartOf(0.3), "c": PartOf(0.3)}, map[string]int{"a": 2, "b": 2, "c": 2}, "a", "b", "c")
 	p := newPool(t, plan...)
 	for i := range 3 * 60 {
@@ -283,20 +283,20 @@
 		}
 		p.run(time.Minute)
 	}
-	for _, h := range p.holders {
+	for _, h := range p.participants {
 		n := 0
-		for _, c := range h.ceded {
+		for _, c := range h.loans {
 			n += len(c.entries)
 		}
-		if len(h.ceded) > 1 || n > mostEntries || h.steward.NumSilent() > 0 {
-			t.Errorf("%s: %d stewards, %d entries, %d shunned", h.name, len(h.ceded), n, h.steward.NumSilent())
+		if len(h.loans) > 1 || n > maxEntries || h.steward.NumSilent() > 0 {
+			t.Errorf("%s: %d stewards, %d entries, %d avoided", h.name, len(h.loans), n, h.steward.NumSilent())
 		}
 	}
 	p.demands = make([]Part, len(plan))
-	p.run(3 * smallSet.Lease)
+	p.run(3 * testSettings.Lease)
 	for k := range window {
 		if p.steward.granted[k] != 0 {
-			t.Fatalf("nobody wants anything, and in slot %d %d is granted", k, p.steward.granted[k])
+			t.Fatalf("without demand, slot %d has %d granted", k, p.steward.granted[k])
 		}
 	}
 }
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -1,26 +1,26 @@
-// Package quota has many gateways draw on one quota, each by itself, with the sum of
-// what all may admit at most the quota at each instant: whatever is dropped, delayed,
-// repeated or cut, whoever crashes, stands still or starts anew. It is pure: time and
+// Package quota lets many gateways draw on one quota, each on its own, while the sum of what all
+// may admit never exceeds the quota, whichever messages are dropped, delayed, duplicated or cut
+// off by a partition, and whichever gateways crash, stall or restart. It is pure: time and
 // messages come in, messages and limits go out; there is no I/O, no clock, no goroutine.
 //
-// Each gateway owns a part of the quota, and the parts sum to it. What it does not use
-// it cedes, for a time, to a contract's steward, which grants it on to those that want
-// more. The argument for the sum is local, and needs no agreement on who is steward:
+// Each gateway owns a part of the quota, and the parts sum to the quota. What a gateway does not
+// use it lends for a limited time to the contract's steward, which grants it to gateways that
+// need more. The argument for the sum is local and needs no agreement on who is steward:
 //
-//   - An owner uses its part less all that it has ceded and that has not surely ended or
-//     been given back (Participant).
-//   - A steward grants no more than was ceded to it, and for no longer (Steward). Two
-//     stewards at once have each been ceded something else.
-//   - A holder of a grant uses it to its end and no longer.
+//   - An owner uses its part less all it has lent that has neither certainly expired nor been
+//     returned (Participant).
+//   - A steward grants no more than it was lent, and for no longer (Steward). Two stewards at the
+//     same time were each lent separate amounts.
+//   - The recipient of a grant uses it until it expires, and no longer.
 //
-// No clock is compared with another. An end is counted from a message of the receiver's
-// own: a grant from the report that it answers, as its holder sent it; a cession from the
-// reply that it answers, as the steward sent it. The giver counts from later, when its
-// own message went out, and longer, by what clocks may differ in rate. So a message that
-// is late, repeated or out of order can only end sooner than its giver believes.
+// No clock is compared with another. The receiver counts a duration from a message of its own: a
+// grant from the report that it answers, as its recipient sent that; a loan from the reply that
+// the report acknowledges, as the steward sent that. The giver counts from later, when it sent
+// its own message, and for longer, by the maximum drift between the clocks. So a message that is
+// delayed, duplicated or reordered can only end a grant or loan earlier than its giver assumes.
 //
-// After a start what the former self may have ceded is not known. A gateway uses a floor
-// until that has ended; a steward has nothing that was ceded to it, and so gives nothing.
+// After a restart a gateway does not know what its previous incarnation lent: it uses a minimum
+// until that has expired. A restarted steward holds no loans, so it grants nothing.
 package quota
 
 import (
@@ -31,19 +31,19 @@
 	"spokegw/internal/fleet/lease"
 )
 
-// Part is a part of the quota, in billionths: sums are exact.
+// Part is a part of the quota in billionths, so that sums are exact.
 type Part int64
 
-// MaxGateways and MaxContracts bound a fleet, and the state of each of its members.
+// MaxGateways and MaxContracts bound a fleet, and the state of each of its gateways.
 const (
 	MaxGateways  = 512
 	MaxContracts = 64
 )
 
-// Whole is all of the quota.
+// Whole is the whole quota.
 const Whole Part = 1e9
 
-// PartOf turns a fraction into a part; what is none is the nearest.
+// PartOf converts a fraction of the quota to the nearest Part between 0 and Whole.
 func PartOf(fraction float64) Part {
 	if !(fraction > 0) {
 		return 0
@@ -51,83 +51,85 @@
 	return Part(min(fraction, 1) * float64(Whole))
 }
 
-// Fraction is a part as a fraction of the quota.
+// Fraction returns p as a fraction of the quota.
 func (p Part) Fraction() float64 { return float64(p) / float64(Whole) }
 
 func clamp(p Part) Part { return max(0, min(p, Whole)) }
 
-// Settings are those of all gateways of a federation.
+// Settings are the same at all gateways of a fleet.
 type Settings struct {
-	Lease  time.Duration // that a cession lasts; a grant ends sooner
+	Lease  time.Duration // duration of a loan; a grant ends sooner
 	Period time.Duration // between reports
-	Drift  float64       // by which a clock's rate may differ from the true one, at most
+	Drift  float64       // maximum relative error of a clock's rate
 }
 
 const (
-	// leastPeriods are how many reports have to fit a lease: some are lost.
-	leastPeriods = 5
-	// floorPart is what an owner never cedes: what it has right after a start.
+	// minPeriods is the minimum number of reports within a lease, because some are lost.
+	minPeriods = 5
+	// floorPart is the fraction of its part that an owner never lends, and all it may use right
+	// after a start.
 	floorPart = 0.02
-	// spareDemand is what an owner keeps beyond its demand.
+	// spareDemand is the factor on its demand that an owner retains.
 	spareDemand = 1.03
-	// grantPart is the part of a lease that a grant lasts, where cessions last so long.
+	// grantPart is the duration of a grant as a fraction of the lease, provided that the loans
+	// last that long.
 	grantPart = 0.6
 )
 
-// Check tells what is wrong with settings.
+// Check returns an error for settings that are out of range.
 func (s Settings) Check() error {
 	switch {
 	case s.Lease < 100*time.Millisecond || s.Lease > time.Minute:
 		return fmt.Errorf("a lease of 100ms to 1m is expected, not %v", s.Lease)
-	case s.Period < 10*time.Millisecond || s.Period*leastPeriods > s.Lease:
-		return fmt.Errorf("a period of 10ms to a %dth of the lease is expected, not %v", leastPeriods, s.Period)
+	case s.Period < 10*time.Millisecond || s.Period*minPeriods > s.Lease:
+		return fmt.Errorf("a period of 10ms to a %dth of the lease is expected, not %v", minPeriods, s.Period)
 	case !(s.Drift >= 0 && s.Drift <= 0.1):
 		return errors.New("a drift of 0 to 0.1 is expected")
 	}
 	return nil
 }
 
-// surely is how long a giver waits until a time has passed on another's clock.
-func (s Settings) surely(d time.Duration) time.Duration { return lease.SafeWait(d, s.Drift) }
+// safeWait returns how long a giver waits until d has passed on another gateway's clock.
+func (s Settings) safeWait(d time.Duration) time.Duration { return lease.SafeWait(d, s.Drift) }
 
-// times is so many times a duration.
+// times returns d multiplied by n.
 func times(d time.Duration, n float64) time.Duration { return time.Duration(float64(d) * n) }
 
-// Report is what a gateway tells the steward.
+// Report is what a gateway sends to the steward.
 type Report struct {
 	From          string
 	Incarnation   uint64
-	Seq           uint64 // of this incarnation's reports, from 1
+	Seq           uint64 // number of the report within this incarnation, from 1
 	To            string
 	ToIncarnation uint64 // 0: not known yet
-	Ack           uint64 // the latest Reply taken from that incarnation; 0: none
+	Ack           uint64 // Seq of the latest Reply accepted from that incarnation; 0: none
 	Demand        Part   // what the gateway could use
-	Lend          Part   // until a lease after Ack was sent
+	Lend          Part   // lent until a lease after the reply Ack was sent
 }
 
-// Reply is what a steward tells a gateway.
+// Reply is what a steward sends to a gateway.
 type Reply struct {
 	From             string
 	Incarnation      uint64
-	Seq              uint64 // of the replies to this gateway, from 1
+	Seq              uint64 // number of the reply to this gateway, from 1
 	To               string
 	ToIncarnation    uint64
-	Ack              uint64        // the latest Report taken
-	Grant            Part          // for
-	GrantTTL         time.Duration // after Ack was sent
-	LendTarget       Part          // what the steward would have ceded
-	LoanInUse        Part          // of the cessions up to Ack no more is used any more
-	KnownIncarnation uint64        // over 0: so late an incarnation of To is known, and nothing else is told
+	Ack              uint64        // Seq of the latest Report accepted
+	Grant            Part          // valid for GrantTTL
+	GrantTTL         time.Duration // after the report Ack was sent
+	LendTarget       Part          // what the steward asks the gateway to lend
+	LoanInUse        Part          // maximum still in use of the loans up to report Ack
+	KnownIncarnation uint64        // above 0: the latest known incarnation of To, and no other field is valid
 }
 
-// Limit is what a gateway may admit: Own, and until a time Grant beside it. It may only
-// grow until the next event.
+// Limit is what a gateway may admit: Own, and until a time Grant in addition. Until the next
+// event the true limit can only grow.
 type Limit struct {
 	Own, Grant Part
 	Until      time.Duration
 }
 
-// At is the limit at a time.
+// At returns the limit at a time.
 func (l Limit) At(now time.Duration) Part {
 	if now < l.Until {
 		return l.Own + l.Grant
@@ -135,18 +137,18 @@
 	return l.Own
 }
 
-// entry is a part that was given with a message and may be used until an end.
+// entry is an amount given with a message and usable until it expires.
 type entry struct {
 	incarnation, seq uint64
 	amount           Part
 	end              int64 // in the unit of the list's owner
 }
 
-// entries are what was given to one other, of which the largest that has not ended counts.
+// entries are the amounts given to one gateway, of which the largest unexpired one counts.
 type entries []entry
 
-// most is the largest amount that has not ended at a time.
-func (e entries) most(now int64) (m Part) {
+// maxAt returns the largest amount that is unexpired at a time.
+func (e entries) maxAt(now int64) (m Part) {
 	for _, x := range e {
 		if x.end > now {
 			m = max(m, x.amount)
@@ -155,20 +157,20 @@
 	return m
 }
 
-// drop leaves those out that a function tells.
-func (e entries) drop(out func(entry) bool) entries {
+// remove removes the entries for which a function returns true.
+func (e entries) remove(match func(entry) bool) entries {
 	kept := e[:0]
 	for _, x := range e {
-		if !out(x) {
+		if !match(x) {
 			kept = append(kept, x)
 		}
 	}
 	return kept
 }
 
-// add appends one, and leaves those out that it stands for as well.
+// add appends an entry and removes those that it covers.
 func (e entries) add(x entry) entries {
-	return append(e.drop(func(o entry) bool {
+	return append(e.remove(func(o entry) bool {
 		return o.amount <= x.amount && o.end <= x.end && o.seq <= x.seq && o.incarnation == x.incarnation
 	}), x)
 }
--- a/internal/fleet/quota/schedule_test.go
+++ b/internal/fleet/quota/schedule_test.go
@@ -10,14 +10,14 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 60, "fault schedules to be played")
-	large     = flag.Uint64("large", 0, "one schedule in so many is of a large federation; 0: none")
-	from      = flag.Uint64("from", 1, "the first one's seed")
+	schedules = flag.Int("schedules", 60, "number of fault schedules to run")
+	large     = flag.Uint64("large", 0, "one in this many schedules has a large fleet; 0: none")
+	from      = flag.Uint64("from", 1, "seed of the first schedule")
 )
 
-// worldOf is the federation of a seed, and its schedule.
+// worldOf returns the fleet of a seed, and its fault schedule.
 func worldOf(seed uint64, lasts time.Duration) (*gateways.World, []gateways.Fault) {
-	set := usual
+	set := testSettings
 	if seed%3 == 1 {
 		set = quota.Settings{Lease: 500 * time.Millisecond, Period: 50 * time.Millisecond, Drift: 0.01}
 	}
@@ -33,8 +33,8 @@
 	return w, gateways.Draw(w, lasts)
 }
 
-// playSchedule plays faults and then heals all; it returns how much of what could be used
-// is used again after that.
+// playSchedule plays faults and then heals all. It returns the fraction of usable quota that is
+// used afterwards.
 func playSchedule(w *gateways.World, faults []gateways.Fault) (share float64, err error) {
 	if err := w.Play(faults); err != nil {
 		return 0, err
@@ -46,7 +46,7 @@
 			w.Start(n)
 		}
 	}
-	if err := w.Run(w.Now + time.Minute); err != nil { // those that stand still go on in that time
+	if err := w.Run(w.Now + time.Minute); err != nil { // stalled gateways continue during this time
 		return 0, err
 	}
 	w.Nodes[0].Demand = quota.Whole
@@ -56,25 +56,25 @@
 	return w.Share(5 * time.Second)
 }
 
-// Whatever happens, all together may never admit more than the quota; and when it is over
-// the quota is used again.
+// Under any fault schedule all together must never admit more than the quota, and once the faults
+// end the quota must be used again.
 func TestSchedules(t *testing.T) {
 	const lasts = 40 * time.Second
-	least := 1.0
+	minShare := 1.0
 	for seed := *from; seed < *from+uint64(*schedules); seed++ {
 		w, faults := worldOf(seed, lasts)
 		share, err := playSchedule(w, faults)
 		if err != nil {
 			t.Fatalf("seed %d:\n%sthen: %v\n%v", seed, shrink(seed, lasts), gateways.ErrOver, err)
 		}
-		if least = min(least, share); share < 0.95 {
-			t.Errorf("seed %d: %.3f of what could be used is used afterwards", seed, share)
+		if minShare = min(minShare, share); share < 0.95 {
+			t.Errorf("seed %d: %.3f of the usable quota is used afterwards", seed, share)
 		}
 	}
-	t.Logf("%d schedules, the least use afterwards %.3f", *schedules, least)
+	t.Logf("%d schedules, minimum use afterwards %.3f", *schedules, minShare)
 }
 
-// shrink is the least of a schedule that breaks the sum still.
+// shrink returns the shortest part of a schedule that still fails.
 func shrink(seed uint64, lasts time.Duration) string {
 	_, all := worldOf(seed, lasts)
 	return gateways.Text(all, gateways.Shrink(len(all), func(kept func(int) bool) bool {
--- a/internal/fleet/quota/steward.go
+++ b/internal/fleet/quota/steward.go
@@ -8,102 +8,103 @@
 	"spokegw/internal/fleet/lease"
 )
 
-// Gateway is one of those that draw on a quota.
+// Gateway is a gateway that draws on a quota.
 type Gateway struct {
 	Name    string
 	Partner string
-	Part    Part // that it owns
+	Part    Part // owned by the gateway
 }
 
 const (
-	slotsOfLease = 32
-	window       = slotsOfLease + 8     // slots that are looked at
-	grantSlots   = slotsOfLease * 3 / 5 // that a grant lasts, about
-	askMargin    = 1.25                 // of what is wanted, more is asked for
-	// divideEvery is the part of a period after which demands are looked at anew.
-	divideEvery = 0.25
-	// creditSpan is the time over which a partner that lived on others comes after those
-	// that did not, where there is too little for all.
-	creditSpan  = 30 * time.Second
-	leastCredit = 0.05
+	slotsPerLease = 32
+	window        = slotsPerLease + 8     // number of slots tracked
+	grantSlots    = slotsPerLease * 3 / 5 // approximate duration of a grant
+	askMargin     = 1.25                  // factor on the wanted amount when asking for loans
+	// divideInterval is the minimum time between two divisions, as a fraction of a period.
+	divideInterval = 0.25
+	// creditDuration is the time over which a partner that borrowed has lower priority than those
+	// that did not, if there is too little for all.
+	creditDuration = 30 * time.Second
+	minCredit      = 0.05
 )
 
 // account is what a steward knows of one gateway.
 type account struct {
 	Gateway
-	partner     int
-	incarnation uint64
-	heard       uint64
-	heardAt     time.Duration
-	known       bool // heard of in the last lease
-	demand      Part
-	offered     Part // by the latest report
-	asked       Part // by the latest reply
-	target      Part
-	sent        lease.SendTimes
-	cessions    entries // ends in slots, rounded down
-	grants      entries // ends in slots, rounded up
-	owed        bool    // it has been told of more than it offers now
-	left        bool    // it is no longer in the plan
+	partner      int
+	incarnation  uint64
+	lastReport   uint64
+	lastReportAt time.Duration
+	active       bool // a report arrived within the last lease
+	demand       Part
+	offered      Part // by the latest report
+	lendTarget   Part // by the latest reply
+	target       Part
+	sendTimes    lease.SendTimes
+	loans        entries // ends in slots, rounded down
+	grants       entries // ends in slots, rounded up
+	awaitsReturn bool    // LoanInUse of the latest reply exceeds what the gateway offers now
+	removed      bool    // it is no longer configured
 }
 
-// Steward is what grants on what the gateways cede to it.
+// Steward grants what the gateways lend to it.
 type Steward struct {
-	set         Settings
-	name        string
-	incarnation uint64
-	slot        time.Duration
-	now         int64         // slot
-	heardAt     time.Duration // anybody, last
-	ceded       [window]Part  // by slot: what may be granted
-	granted     [window]Part  // and what is
-	accounts    []*account    // by name
-	partners    []partner     // by name
-	divided     time.Duration // when targets were last set
-	due         bool          // demands have changed since
-	wanted      Part          // by all that are to have more than they own
-	idle        Part          // of those that are to have less
-	freed       bool          // grants or targets have changed since others were told
+	settings       Settings
+	name           string
+	incarnation    uint64
+	slotLength     time.Duration
+	nowSlot        int64         // current slot
+	lastReportAt   time.Duration // of the last report from any gateway
+	lent           [window]Part  // amounts lent, by slot: the most that may be granted
+	granted        [window]Part  // amounts granted, by slot
+	accounts       []*account    // by name
+	partners       []partner     // by name
+	lastDivide     time.Duration // when targets were last set
+	demandsChanged bool          // demands have changed since
+	wanted         Part          // total beyond their own parts that gateways are to have
+	unused         Part          // total of their own parts that gateways are not to have
+	notifyDue      bool          // grants or targets have changed since other gateways were notified
 }
 
-// partner is what a steward knows of those whose gateways have a part together.
+// partner is what a steward knows of a partner, whose gateways share a weight.
 type partner struct {
 	name     string
-	borrowed float64 // parts times seconds, fading over creditSpan; under 0: lent
+	borrowed float64 // parts times seconds, decaying over creditDuration; below 0: lent
 }
 
-// NewSteward makes a steward to which nothing has been ceded yet.
-func NewSteward(now time.Duration, set Settings, name string, incarnation uint64, plan []Gateway) *Steward {
-	s := &Steward{set: set, name: name, incarnation: max(incarnation, 1), slot: set.Lease / slotsOfLease, divided: now, heardAt: now}
-	s.now = int64(now / s.slot)
-	s.SetGateways(now, plan)
+// NewSteward returns a steward without loans.
+func NewSteward(now time.Duration, settings Settings, name string, incarnation uint64, gateways []Gateway) *Steward {
+	s := &Steward{settings: settings, name: name, incarnation: max(incarnation, 1), slotLength: settings.Lease / slotsPerLease, lastDivide: now, lastReportAt: now}
+	s.nowSlot = int64(now / s.slotLength)
+	s.SetGateways(now, gateways)
 	return s
 }
 
-// Expired reports whether nobody has told the steward anything for so long that all that it
-// was ceded and has granted has ended: it may be forgotten, and made anew under another
-// incarnation.
-func (s *Steward) Expired(now time.Duration) bool { return now-s.heardAt > 3*s.set.surely(s.set.Lease) }
+// Expired reports whether no report has arrived for so long that all loans and grants have
+// expired. The steward may then be discarded, and created anew with another incarnation.
+func (s *Steward) Expired(now time.Duration) bool {
+	return now-s.lastReportAt > 3*s.settings.safeWait(s.settings.Lease)
+}
 
-// SetGateways takes other gateways or parts. What was granted to those that have left is
-// counted to its end.
-func (s *Steward) SetGateways(now time.Duration, plan []Gateway) {
+// SetGateways sets the gateways and their parts. What was granted to removed gateways is counted
+// until it expires.
+func (s *Steward) SetGateways(now time.Duration, gateways []Gateway) {
 	s.advance(now)
-	named := make(map[string]*account, len(s.accounts))
+	byName := make(map[string]*account, len(s.accounts))
 	for _, a := range s.accounts {
-		a.left, a.Part = true, 0
-		named[a.Name] = a
+		a.removed, a.Part = true, 0
+		byName[a.Name] = a
 	}
-	for _, g := range plan {
-		a := named[g.Name]
+	for _, g := range gateways {
+		a := byName[g.Name]
 		if a == nil {
 			a = &account{}
 			s.accounts = append(s.accounts, a)
 		}
-		a.Gateway, a.left = g, false
+		a.Gateway, a.removed = g, false
 	}
 	s.accounts = slices.DeleteFunc(s.accounts, func(a *account) bool {
-		return a.left && a.grants.most(s.now) == 0 && a.cessions.most(s.now) == 0
+		return a.removed && a.grants.maxAt(s.nowSlot) == 0 && a.loans.maxAt(s.nowSlot) == 0
 	})
 	slices.SortFunc(s.accounts, func(a, b *account) int { return strings.Compare(a.Name, b.Name) })
 	old := s.partners
@@ -119,7 +120,7 @@
 			s.partners = append(s.partners, p)
 		}
 	}
-	s.due = true
+	s.demandsChanged = true
 }
 
 func (s *Steward) account(name string) *account {
@@ -130,18 +131,18 @@
 	return s.accounts[i]
 }
 
-// advance forgets the slots that have passed.
+// advance clears the slots that have passed.
 func (s *Steward) advance(now time.Duration) {
-	to := max(int64(now/s.slot), s.now)
-	for n := 0; s.now < to && n < window; n++ {
-		s.ceded[s.now%window], s.granted[s.now%window] = 0, 0
-		s.now++
+	slot := max(int64(now/s.slotLength), s.nowSlot)
+	for n := 0; s.nowSlot < slot && n < window; n++ {
+		s.lent[s.nowSlot%window], s.granted[s.nowSlot%window] = 0, 0
+		s.nowSlot++
 	}
-	s.now = to
+	s.nowSlot = slot
 }
 
-// HandleReport takes a report. It returns the replies that are to be sent at once, the first
-// to whom it came from.
+// HandleReport takes a report. It returns the replies to be sent at once, the first to the
+// gateway that the report came from.
 func (s *Steward) HandleReport(now time.Duration, r Report) (replies []Reply) {
 	s.advance(now)
 	a := s.account(r.From)
@@ -151,202 +152,202 @@
 	if r.Incarnation < a.incarnation {
 		return []Reply{{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, KnownIncarnation: a.incarnation}}
 	}
-	if r.Incarnation > a.incarnation { // what its former self has is counted to its end
-		a.incarnation, a.heard = r.Incarnation, 0
-		a.sent.Reset() // and what was told that one counts for nothing
+	if r.Incarnation > a.incarnation { // what its previous incarnation holds is counted until it expires
+		a.incarnation, a.lastReport = r.Incarnation, 0
+		a.sendTimes.Reset() // acknowledgements of replies to the previous incarnation don't count
 	}
-	if r.Seq <= a.heard {
+	if r.Seq <= a.lastReport {
 		return nil
 	}
-	a.heard, a.heardAt, s.heardAt = r.Seq, now, now
-	s.due = s.due || !a.known || a.demand != clamp(r.Demand)
-	a.known, a.demand = true, clamp(r.Demand)
-	s.ack(a, r)
+	a.lastReport, a.lastReportAt, s.lastReportAt = r.Seq, now, now
+	s.demandsChanged = s.demandsChanged || !a.active || a.demand != clamp(r.Demand)
+	a.active, a.demand = true, clamp(r.Demand)
+	s.applyAck(a, r)
 	s.divide(now)
 	replies = append(replies, s.reply(now, a))
-	return s.hurry(now, a, replies)
+	return s.notifyWaiting(now, a, replies)
 }
 
-// ack takes what a report says of the replies before it, and what it cedes.
-func (s *Steward) ack(a *account, r Report) {
-	at, known := a.sent.At(r.Ack)
+// applyAck applies what a report acknowledges, and what it lends.
+func (s *Steward) applyAck(a *account, r Report) {
+	sentAt, known := a.sendTimes.At(r.Ack)
 	if !known || r.ToIncarnation != s.incarnation {
 		a.offered = 0
 		return
 	}
-	most := a.grants.most(s.now)
-	s.change(a, func() { // it holds that reply's grant, and none before
-		a.grants = a.grants.drop(func(e entry) bool { return e.incarnation == r.Incarnation && e.seq < r.Ack })
+	before := a.grants.maxAt(s.nowSlot)
+	s.update(a, func() { // the gateway holds the grant of that reply, and no earlier one
+		a.grants = a.grants.remove(func(e entry) bool { return e.incarnation == r.Incarnation && e.seq < r.Ack })
 	})
-	s.freed = s.freed || a.grants.most(s.now) < most
+	s.notifyDue = s.notifyDue || a.grants.maxAt(s.nowSlot) < before
 	a.offered = min(clamp(r.Lend), a.Part)
-	if a.offered > 0 && len(a.cessions) < mostEntries {
-		s.change(a, func() {
-			a.cessions = a.cessions.add(entry{r.Incarnation, r.Seq, a.offered, int64((at + s.set.Lease) / s.slot)})
+	if a.offered > 0 && len(a.loans) < maxEntries {
+		s.update(a, func() {
+			a.loans = a.loans.add(entry{r.Incarnation, r.Seq, a.offered, int64((sentAt + s.settings.Lease) / s.slotLength)})
 		})
 	}
 }
 
-// change has something change in an account, and keeps the sums true.
-func (s *Steward) change(a *account, do func()) {
-	var ceded, granted [window]Part
+// update applies a change to an account and keeps the sums by slot consistent.
+func (s *Steward) update(a *account, apply func()) {
+	var lent, granted [window]Part
 	for k := range window {
-		ceded[k], granted[k] = a.cessions.most(s.now+int64(k)), a.grants.most(s.now+int64(k))
+		lent[k], granted[k] = a.loans.maxAt(s.nowSlot+int64(k)), a.grants.maxAt(s.nowSlot+int64(k))
 	}
-	do()
-	ended := func(e entry) bool { return e.end <= s.now }
-	a.cessions, a.grants = a.cessions.drop(ended), a.grants.drop(ended)
+	apply()
+	ended := func(e entry) bool { return e.end <= s.nowSlot }
+	a.loans, a.grants = a.loans.remove(ended), a.grants.remove(ended)
 	for k := range window {
-		i := (s.now + int64(k)) % window
-		s.ceded[i] += a.cessions.most(s.now+int64(k)) - ceded[k]
-		s.granted[i] += a.grants.most(s.now+int64(k)) - granted[k]
+		i := (s.nowSlot + int64(k)) % window
+		s.lent[i] += a.loans.maxAt(s.nowSlot+int64(k)) - lent[k]
+		s.granted[i] += a.grants.maxAt(s.nowSlot+int64(k)) - granted[k]
 	}
 }
 
-// spare is the least that is ceded and not granted from now until a slot.
+// spare returns the minimum that is lent and not granted from now until a slot.
 func (s *Steward) spare(end int64) Part {
-	least := Whole
-	for k := s.now; k < min(end, s.now+window); k++ {
-		least = min(least, s.ceded[k%window]-s.granted[k%window])
+	minimum := Whole
+	for k := s.nowSlot; k < min(end, s.nowSlot+window); k++ {
+		minimum = min(minimum, s.lent[k%window]-s.granted[k%window])
 	}
-	return least
+	return minimum
 }
 
-// reply makes the next reply to a gateway.
+// reply returns the next reply to a gateway.
 func (s *Steward) reply(now time.Duration, a *account) Reply {
-	s.giveBack(a)
+	s.releaseLoans(a)
 	r := Reply{
-		From: s.name, Incarnation: s.incarnation, To: a.Name, ToIncarnation: a.incarnation, Ack: a.heard,
-		LendTarget: s.asks(a), LoanInUse: a.cessions.most(s.now),
+		From: s.name, Incarnation: s.incarnation, To: a.Name, ToIncarnation: a.incarnation, Ack: a.lastReport,
+		LendTarget: s.lendTarget(a), LoanInUse: a.loans.maxAt(s.nowSlot),
 	}
-	a.owed, a.asked = r.LoanInUse > a.offered, r.LendTarget
-	r.Seq = a.sent.Record(now)
-	if want := a.target - (a.Part - r.LoanInUse); want > 0 && !a.left {
+	a.awaitsReturn, a.lendTarget = r.LoanInUse > a.offered, r.LendTarget
+	r.Seq = a.sendTimes.Record(now)
+	if want := a.target - (a.Part - r.LoanInUse); want > 0 && !a.removed {
 		r.Grant, r.GrantTTL = s.grant(a, want, r.Seq)
 	}
 	return r
 }
 
-// needed is the least to which what a gateway has ceded can be cut: what it offers now,
-// and what is granted on more than that.
-func (s *Steward) needed(a *account) Part {
-	to := a.offered
-	for k := s.now; k < s.now+window; k++ {
-		if most := a.cessions.most(k); most > a.offered {
-			to = max(to, most-(s.ceded[k%window]-s.granted[k%window]))
+// minLoan returns the least to which a gateway's loans can be reduced: what it offers now, and
+// what is granted on top of that.
+func (s *Steward) minLoan(a *account) Part {
+	minimum := a.offered
+	for k := s.nowSlot; k < s.nowSlot+window; k++ {
+		if amount := a.loans.maxAt(k); amount > a.offered {
+			minimum = max(minimum, amount-(s.lent[k%window]-s.granted[k%window]))
 		}
 	}
-	return to
+	return minimum
 }
 
-// giveBack uses no more of what a gateway has ceded than is needed.
-func (s *Steward) giveBack(a *account) {
-	to := s.needed(a)
-	if to >= a.cessions.most(s.now) {
+// releaseLoans stops using more of a gateway's loans than is needed.
+func (s *Steward) releaseLoans(a *account) {
+	minimum := s.minLoan(a)
+	if minimum >= a.loans.maxAt(s.nowSlot) {
 		return
 	}
-	s.change(a, func() {
-		for i := range a.cessions {
-			a.cessions[i].amount = min(a.cessions[i].amount, to)
+	s.update(a, func() {
+		for i := range a.loans {
+			a.loans[i].amount = min(a.loans[i].amount, minimum)
 		}
 	})
 }
 
-// grant grants what is wanted, as far as there is spare for it, and for how long after
-// the report that is answered was sent.
-func (s *Steward) grant(a *account, want Part, seq uint64) (amount Part, lasts time.Duration) {
-	if len(a.grants) >= mostEntries {
+// grant grants what is wanted as far as the spare amount allows, and returns for how long after
+// the report was sent that the reply answers.
+func (s *Steward) grant(a *account, want Part, seq uint64) (amount Part, ttl time.Duration) {
+	if len(a.grants) >= maxEntries {
 		return 0, 0
 	}
 	var end int64
-	for _, part := range []float64{grantPart, grantPart / 2, grantPart / 4} {
-		d := times(s.set.Lease, part)
-		last := int64((a.heardAt+s.set.surely(d))/s.slot) + 1
-		room := want
-		for k := s.now; k < min(last, s.now+window); k++ {
-			room = min(room, a.grants.most(k)+s.ceded[k%window]-s.granted[k%window])
+	for _, fraction := range []float64{grantPart, grantPart / 2, grantPart / 4} {
+		d := times(s.settings.Lease, fraction)
+		endSlot := int64((a.lastReportAt+s.settings.safeWait(d))/s.slotLength) + 1
+		available := want
+		for k := s.nowSlot; k < min(endSlot, s.nowSlot+window); k++ {
+			available = min(available, a.grants.maxAt(k)+s.lent[k%window]-s.granted[k%window])
 		}
-		if last > s.now && room > amount+amount/10 { // a shorter one for the more that it brings
-			amount, lasts, end = room, d, last
+		if endSlot > s.nowSlot && available > amount+amount/10 { // a shorter grant must be more than a tenth larger
+			amount, ttl, end = available, d, endSlot
 		}
 	}
 	if amount <= 0 {
 		return 0, 0
 	}
-	s.change(a, func() { a.grants = a.grants.add(entry{a.incarnation, seq, amount, end}) })
-	return amount, lasts
+	s.update(a, func() { a.grants = a.grants.add(entry{a.incarnation, seq, amount, end}) })
+	return amount, ttl
 }
 
-// asks is what a gateway is to cede: its part of what the others want, of what it does
-// not use.
-func (s *Steward) asks(a *account) Part {
-	own := max(0, a.Part-a.target)
-	if s.idle == 0 || s.wanted == 0 || own == 0 {
+// lendTarget returns what a gateway is to lend: its share, by its unused part, of what others
+// want.
+func (s *Steward) lendTarget(a *account) Part {
+	unusedPart := max(0, a.Part-a.target)
+	if s.unused == 0 || s.wanted == 0 || unusedPart == 0 {
 		return 0
 	}
-	return min(own, Part(askMargin*float64(s.wanted)*float64(own)/float64(s.idle))+1)
+	return min(unusedPart, Part(askMargin*float64(s.wanted)*float64(unusedPart)/float64(s.unused))+1)
 }
 
-// mostHurried bounds the replies that one report brings about: the rest wait for their own
-// reports.
-const mostHurried = 16
+// maxUnsolicited bounds the additional replies that one report causes. Other gateways wait for
+// their own next reports.
+const maxUnsolicited = 16
 
-// hurry replies to those that others wait for, or that wait for others, once targets have
-// changed or a grant was given back: a grant that is to become less where an owner waits
-// for it, an owner that is given back what it ceded, one that is to cede more, and one
-// that can be granted more.
-func (s *Steward) hurry(now time.Duration, from *account, replies []Reply) []Reply {
-	if !s.freed {
+// notifyWaiting replies to gateways that others wait for, or that wait for others, once targets
+// have changed or a grant was returned: a grant that is to shrink because an owner waits for it,
+// an owner whose loan is returned, a gateway that is to lend more, and one that can be granted
+// more.
+func (s *Steward) notifyWaiting(now time.Duration, from *account, replies []Reply) []Reply {
+	if !s.notifyDue {
 		return replies
 	}
-	s.freed = false
-	waits := false
+	s.notifyDue = false
+	ownerWaits := false
 	for _, a := range s.accounts {
-		waits = waits || a.owed
+		ownerWaits = ownerWaits || a.awaitsReturn
 	}
 	for _, a := range s.accounts {
-		if len(replies) > mostHurried {
-			s.freed = true // with the next report
+		if len(replies) > maxUnsolicited {
+			s.notifyDue = true // continue with the next report
 			break
 		}
-		if a != from && a.known && s.hurries(a, waits) {
+		if a != from && a.active && s.needsReply(a, ownerWaits) {
 			replies = append(replies, s.reply(now, a))
 		}
 	}
 	return replies
 }
 
-// hurries reports whether a gateway is better told at once; waits tells that an owner waits
-// for what it has ceded.
-func (s *Steward) hurries(a *account, waits bool) bool {
-	held, last := a.grants.most(s.now), Part(0)
+// needsReply reports whether a gateway should be replied to at once; ownerWaits means that
+// an owner waits for what it has lent.
+func (s *Steward) needsReply(a *account, ownerWaits bool) bool {
+	granted, lastGrant := a.grants.maxAt(s.nowSlot), Part(0)
 	if n := len(a.grants); n > 0 {
-		last = a.grants[n-1].amount
+		lastGrant = a.grants[n-1].amount
 	}
-	want := max(0, a.target-(a.Part-a.cessions.most(s.now)))
-	switch spare := s.spare(s.now + grantSlots); {
-	case waits && held > 0 && want < last: // told once: the next report shows that it was taken
+	want := max(0, a.target-(a.Part-a.loans.maxAt(s.nowSlot)))
+	switch spare := s.spare(s.nowSlot + grantSlots); {
+	case ownerWaits && granted > 0 && want < lastGrant: // notified once: the next report shows that the reply was accepted
 		return true
-	case a.owed && s.needed(a) < a.cessions.most(s.now):
+	case a.awaitsReturn && s.minLoan(a) < a.loans.maxAt(s.nowSlot):
 		return true
-	case !waits && want > held && min(want-held, spare) > want/8:
+	case !ownerWaits && want > granted && min(want-granted, spare) > want/8:
 		return true
 	}
-	return s.asks(a) > a.asked+a.Part/8
+	return s.lendTarget(a) > a.lendTarget+a.Part/8
 }
 
-// divide sets what each gateway is to have, now and then.
+// divide sets the target of each gateway, at bounded intervals.
 func (s *Steward) divide(now time.Duration) {
-	if since := now - s.divided; since > 0 && since < times(s.set.Period, divideEvery) || !s.due && since < s.set.Period {
+	if elapsed := now - s.lastDivide; elapsed > 0 && elapsed < times(s.settings.Period, divideInterval) || !s.demandsChanged && elapsed < s.settings.Period {
 		return
 	}
-	s.credit(now - s.divided)
-	s.divided, s.due = now, false
+	s.updateCredit(now - s.lastDivide)
+	s.lastDivide, s.demandsChanged = now, false
 	claims := make([]claim, len(s.accounts))
 	for i, a := range s.accounts {
-		a.known = a.known && now-a.heardAt < s.set.Lease
+		a.active = a.active && now-a.lastReportAt < s.settings.Lease
 		claims[i] = claim{part: a.Part, demand: a.demand, partner: a.partner}
-		if !a.known { // it lives on what it owns
+		if !a.active { // it uses only its own part
 			claims[i].demand = a.Part
 		}
 	}
@@ -354,38 +355,38 @@
 	for i := range s.partners {
 		weights[i] = s.weight(i)
 	}
-	s.wanted, s.idle, s.freed = 0, 0, true
+	s.wanted, s.unused, s.notifyDue = 0, 0, true
 	for i, t := range Divide(claims, weights) {
 		a := s.accounts[i]
 		a.target = t
 		s.wanted += max(0, t-a.Part)
-		if a.known {
-			s.idle += max(0, a.Part-t)
+		if a.active {
+			s.unused += max(0, a.Part-t)
 		}
 	}
 }
 
-// credit keeps what partners have had of others, and lent.
-func (s *Steward) credit(passed time.Duration) {
-	sec := passed.Seconds()
+// updateCredit updates what partners have borrowed and lent.
+func (s *Steward) updateCredit(elapsed time.Duration) {
+	seconds := elapsed.Seconds()
 	for i := range s.partners {
-		s.partners[i].borrowed *= max(0, 1-sec/creditSpan.Seconds())
+		s.partners[i].borrowed *= max(0, 1-seconds/creditDuration.Seconds())
 	}
 	for _, a := range s.accounts {
-		s.partners[a.partner].borrowed += (a.grants.most(s.now) - a.cessions.most(s.now)).Fraction() * sec
+		s.partners[a.partner].borrowed += (a.grants.maxAt(s.nowSlot) - a.loans.maxAt(s.nowSlot)).Fraction() * seconds
 	}
 }
 
-// weight is what a partner counts for beyond its part: less, the more it has lived on
-// others of late.
+// weight returns a partner's weight in dividing what is beyond the parts: it is lower the more
+// the partner has borrowed lately.
 func (s *Steward) weight(partner int) float64 {
-	own := Part(0)
+	owned := Part(0)
 	for _, a := range s.accounts {
 		if a.partner == partner {
-			own += a.Part
+			owned += a.Part
 		}
 	}
-	p := own.Fraction()
-	debt := max(0, s.partners[partner].borrowed) / (creditSpan.Seconds() * max(p, 0.01))
-	return max(p, 0.001) * max(leastCredit, 1-debt)
+	fraction := owned.Fraction()
+	debt := max(0, s.partners[partner].borrowed) / (creditDuration.Seconds() * max(fraction, 0.01))
+	return max(fraction, 0.001) * max(minCredit, 1-debt)
 }
