--- a/internal/fleet/election/election.go
+++ b/internal/fleet/election/election.go
@@ -1,26 +1,28 @@
-// Package election has one of many gateways hold a duty for all, such as computing a table that
-// all use, with at most one of them at each instant: whatever is dropped, delayed, repeated
-// or cut, whoever crashes, stands still or starts anew. It is pure: time and messages come
-// in, messages go out; there is no I/O, no clock, no goroutine.
+// Package election elects one of many gateways as leader, for work that is done once for all of
+// them, such as computing a shared table. There is at most one leader at any instant, whichever
+// messages are dropped, delayed, duplicated or cut off by a partition, and whichever gateways
+// crash, stall or restart. The package is pure: time and messages come in, messages go out; there
+// is no I/O, no clock, no goroutine.
 //
-// Each gateway promises itself to one other at a time (Voter). One holds the duty while more
-// than half of all gateways of the plan are promised to it (Candidate). The argument needs no
-// clock to be compared with another:
+// Each gateway votes for one gateway at a time (Voter). A gateway is leader while it holds the
+// votes of more than half of all gateways of the configuration (Candidate). The safety argument
+// never compares one gateway's clock with another's:
 //
-//   - A voter that promised itself in a report promises nobody else anything until a lease
-//     after it sent that report has surely passed.
-//   - A seat counts a promise until a lease after it sent the reply that the report answers,
-//     which was earlier.
-//   - Two sets of more than half of the same gateways have one in common, and so do those of
-//     n and of n+1: a plan in which one gateway more or less stands is taken over safely. Where
-//     it can do harm: plans that differ by more, while both are in force, may have a holder
-//     each. Whoever uses the duty has to bear that for a lease.
+//   - A voter that voted in a report votes for nobody else until a lease has certainly passed since
+//     it sent that report, even with the maximum drift of the clocks (lease.SafeWait).
+//   - A candidate counts a vote until one lease after it sent the reply that the report
+//     acknowledges. That reply was sent before the report, so the candidate stops counting the
+//     vote before the voter may give it to another.
+//   - Two majorities of the same gateways have a voter in common, and so have a majority of n
+//     gateways and one of n+1: a configuration with one gateway added or removed is safe to roll
+//     out. The argument does not hold for configurations that differ by more: while both are in
+//     force, each may have a leader. Users of the leadership must tolerate that for one lease.
 //
-// After a start it is not known to whom the former self was promised: a voter promises
-// nothing until that has ended.
+// After a restart a voter does not know whom its previous incarnation voted for, so it casts no
+// vote until that vote has expired.
 //
-// Each holder has a term, higher than any that those promised to it knew of, so that what an
-// earlier one left behind is told from what the present one says.
+// Each leader has a term, higher than any known to its voters, so that what an earlier leader
+// left behind can be told from what the current one sends.
 package election
 
 import (
@@ -32,157 +34,160 @@
 	"spokegw/internal/fleet/lease"
 )
 
-// Settings are those of all gateways.
+// Settings are the same at all gateways.
 type Settings struct {
-	Lease time.Duration // that a promise lasts
-	Drift float64       // by which a clock's rate may differ from the true one, at most
+	Lease time.Duration // duration of a vote
+	Drift float64       // maximum relative error of a clock's rate
 }
 
-func (s Settings) surely() time.Duration { return lease.SafeWait(s.Lease, s.Drift) }
+func (s Settings) safeLease() time.Duration { return lease.SafeWait(s.Lease, s.Drift) }
 
-// Term numbers holders: a round, and below it what tells one holder of a round from another.
+// Term numbers leaders: a round in the high bits, and in the low bits an identifier of the
+// leader, which tells leaders of the same round apart.
 type Term uint64
 
 const (
 	idBits = 32
-	// mostRounds bounds what a member can claim to know of.
-	mostRounds = 1 << 30
+	// maxRounds bounds the term that a gateway can claim to know.
+	maxRounds = 1 << 30
 )
 
 func (t Term) round() uint64 { return uint64(t) >> idBits }
 
-// Valid reports whether a term can be one.
-func (t Term) Valid() bool { return t.round() <= mostRounds }
+// Valid reports whether t is within the bounds of a term.
+func (t Term) Valid() bool { return t.round() <= maxRounds }
 
-// Report is what a gateway tells the one that it would have hold the duty.
+// Report is what a gateway sends to the one that it wants as leader.
 type Report struct {
 	From          string
 	Incarnation   uint64
-	Seq           uint64 // of this incarnation's reports, from 1
+	Seq           uint64 // number of the report within this incarnation, from 1
 	To            string
 	ToIncarnation uint64 // 0: not known yet
-	Ack           uint64 // the latest Reply taken from that incarnation; 0: none
-	Vote          bool   // nobody else is promised anything for a lease
-	Term          Term   // the highest that is known
+	Ack           uint64 // Seq of the latest Reply accepted from that incarnation; 0: none
+	Vote          bool   // the sender votes for nobody else for a lease
+	Term          Term   // the highest known
 }
 
-// Reply is what it is answered.
+// Reply is the response to a Report.
 type Reply struct {
 	From             string
 	Incarnation      uint64
-	Seq              uint64 // of the replies to this gateway, from 1
+	Seq              uint64 // number of the reply to this gateway, from 1
 	To               string
 	ToIncarnation    uint64
-	Ack              uint64 // the latest Report taken
-	Term             Term   // in which From holds the duty; 0: it does not
-	Leader           string // who does, as far as From knows; a hint of whom to ask
-	KnownIncarnation uint64 // over 0: so late an incarnation of To is known, and nothing else is told
+	Ack              uint64 // Seq of the latest Report accepted
+	Term             Term   // term in which From is leader; 0: it is not
+	Leader           string // the leader as far as From knows; only a hint whom to ask
+	KnownIncarnation uint64 // above 0: the latest known incarnation of To, and no other field is valid
 }
 
-// Voter is the side of a gateway that promises itself.
+// Voter is the voting side of a gateway.
 type Voter struct {
-	set         Settings
+	settings    Settings
 	name        string
 	incarnation uint64
-	fresh       time.Duration // until then a former self may be promised
+	noVoteUntil time.Duration // until then a vote of the previous incarnation may be valid
 
-	choice  lease.PeerSelector
-	replies lease.ReplyFilter // the choice's
-	sent    lease.SendTimes
-	term    Term // the highest known
+	peer      lease.PeerSelector
+	replies   lease.ReplyFilter // of peer
+	sendTimes lease.SendTimes
+	term      Term // the highest known
 
-	promisedTo string // the latest, and until when
-	promisedIs uint64
-	promised   time.Duration
+	votedFor         string // the latest vote, and when it expires
+	votedIncarnation uint64
+	voteExpires      time.Duration
 
-	holds Term          // in which the choice holds the duty, as it said
-	until time.Duration // and for how long that is believed
+	leaderTerm  Term          // in which peer is leader, as it stated
+	leaderUntil time.Duration // when that statement expires
 
-	candidates []string      // the latest
-	asked      int           // of them, who holds the duty
-	hinted     time.Duration // the choice is one that was named, until then
+	candidates []string      // of the latest Tick
+	probed     int           // index of the candidate probed last
+	hintUntil  time.Duration // until then peer is the leader named by a hint
 }
 
-// NewVoter makes the side of a gateway that has just started. incarnation is to be drawn at
-// random.
-func NewVoter(now time.Duration, set Settings, name string, incarnation uint64) *Voter {
-	return &Voter{set: set, name: name, incarnation: max(incarnation, 1), fresh: now + set.surely(), choice: lease.NewPeerSelector(set.Lease)}
+// NewVoter returns the voting side of a gateway that has just started. incarnation must be drawn
+// at random.
+func NewVoter(now time.Duration, settings Settings, name string, incarnation uint64) *Voter {
+	return &Voter{settings: settings, name: name, incarnation: max(incarnation, 1), noVoteUntil: now + settings.safeLease(), peer: lease.NewPeerSelector(settings.Lease)}
 }
 
-// Incarnation is the gateway's: later than that of any former self that others know of.
+// Incarnation returns the gateway's incarnation, which is later than that of any previous process
+// known to others.
 func (v *Voter) Incarnation() uint64 { return v.incarnation }
 
-// Term is the highest that is known.
+// Term returns the highest known term.
 func (v *Voter) Term() Term { return v.term }
 
-// Leader is who holds the duty, as far as this gateway knows, and its term; "": nobody.
+// Leader returns the leader as far as this gateway knows, and its term; "" if none is known.
 func (v *Voter) Leader(now time.Duration) (string, Term) {
-	if v.holds == 0 || now >= v.until {
+	if v.leaderTerm == 0 || now >= v.leaderUntil {
 		return "", 0
 	}
-	return v.choice.Name, v.holds
+	return v.peer.Name, v.leaderTerm
 }
 
-// Tick is to be called each period. It takes those that may hold the duty, the best first,
-// and returns the next reports: to whom this gateway would have hold it, and, while it has
-// known for a lease of nobody that does, to one more that may. Who holds it stays so while it
-// says so, whoever would be better: a gateway that was away finds out whom the others have.
+// Tick must be called each period. It takes the names of possible leaders, the best first, and
+// returns the next reports: one to the gateway that this one wants as leader and, once no leader
+// has been known for a lease, one to a further candidate. An active leader is kept even if a
+// better candidate appears. Probing lets a gateway that was cut off find out which leader the
+// others have.
 func (v *Voter) Tick(now time.Duration, candidates []string) (all []Report) {
 	v.candidates = candidates
-	holder, _ := v.Leader(now)
-	if away := !slices.Contains(candidates, v.choice.Name); away || holder == "" && now >= v.hinted {
-		if v.choice.Select(now, candidates) {
-			v.turn()
+	leader, _ := v.Leader(now)
+	if unlisted := !slices.Contains(candidates, v.peer.Name); unlisted || leader == "" && now >= v.hintUntil {
+		if v.peer.Select(now, candidates) {
+			v.resetPeer()
 		}
 	}
-	if v.choice.Name == "" {
+	if v.peer.Name == "" {
 		return nil
 	}
-	r := Report{From: v.name, Incarnation: v.incarnation, To: v.choice.Name, ToIncarnation: v.replies.Incarnation, Ack: v.replies.Latest, Term: v.term}
-	r.Vote = v.promise(now)
-	r.Seq = v.sent.Record(now)
+	r := Report{From: v.name, Incarnation: v.incarnation, To: v.peer.Name, ToIncarnation: v.replies.Incarnation, Ack: v.replies.Latest, Term: v.term}
+	r.Vote = v.vote(now)
+	r.Seq = v.sendTimes.Record(now)
 	all = append(all, r)
-	if now-v.until > v.set.Lease && len(candidates) > 1 {
-		v.asked = (v.asked + 1) % len(candidates)
-		if to := candidates[v.asked]; to != v.choice.Name {
-			all = append(all, Report{From: v.name, Incarnation: v.incarnation, To: to, Term: v.term, Seq: v.sent.Record(now)})
+	if now-v.leaderUntil > v.settings.Lease && len(candidates) > 1 {
+		v.probed = (v.probed + 1) % len(candidates)
+		if to := candidates[v.probed]; to != v.peer.Name {
+			all = append(all, Report{From: v.name, Incarnation: v.incarnation, To: to, Term: v.term, Seq: v.sendTimes.Record(now)})
 		}
 	}
 	return all
 }
 
-// turn forgets what was of the choice before.
-func (v *Voter) turn() {
+// resetPeer discards what is known of the previous peer.
+func (v *Voter) resetPeer() {
 	v.replies.Reset()
-	v.holds = 0
+	v.leaderTerm = 0
 }
 
-// hint takes another's word of who holds the duty, while this gateway knows of nobody. It is
-// only asked: what it says itself counts.
-func (v *Voter) hint(now time.Duration, r Reply) {
+// followHint takes another gateway's statement of who is leader, while this one knows of none. It
+// only decides whom to ask: the leadership counts only as stated by the leader itself.
+func (v *Voter) followHint(now time.Duration, r Reply) {
 	name := r.Leader
 	if r.Term > 0 {
 		name = r.From
 	}
-	if holder, _ := v.Leader(now); holder != "" || name == v.choice.Name || !slices.Contains(v.candidates, name) || now < v.hinted {
+	if leader, _ := v.Leader(now); leader != "" || name == v.peer.Name || !slices.Contains(v.candidates, name) || now < v.hintUntil {
 		return
 	}
-	v.choice.Name, v.choice.LastActive, v.hinted = name, now, now+v.set.Lease
-	v.turn()
+	v.peer.Name, v.peer.LastActive, v.hintUntil = name, now, now+v.settings.Lease
+	v.resetPeer()
 }
 
-// promise reports whether the next report promises, and notes that.
-func (v *Voter) promise(now time.Duration) bool {
-	other := v.promisedTo != v.choice.Name || v.promisedIs != v.replies.Incarnation
-	if v.replies.Latest == 0 || now < v.fresh || other && now < v.promised {
+// vote reports whether the next report carries a vote, and records the vote.
+func (v *Voter) vote(now time.Duration) bool {
+	changed := v.votedFor != v.peer.Name || v.votedIncarnation != v.replies.Incarnation
+	if v.replies.Latest == 0 || now < v.noVoteUntil || changed && now < v.voteExpires {
 		return false
 	}
-	v.promisedTo, v.promisedIs, v.promised = v.choice.Name, v.replies.Incarnation, now+v.set.surely()
+	v.votedFor, v.votedIncarnation, v.voteExpires = v.peer.Name, v.replies.Incarnation, now+v.settings.safeLease()
 	return true
 }
 
-// HandleReply takes a reply. It reports whether it was used: what comes with one that is not is
-// late, or another's.
+// HandleReply takes a reply. It reports whether it was used: an unused reply is outdated, or from
+// or to another gateway or incarnation, and what came with it must not be used either.
 func (v *Voter) HandleReply(now time.Duration, r Reply) bool {
 	if r.To != v.name {
 		return false
@@ -193,149 +198,153 @@
 		}
 		return false
 	}
-	at, known := v.sent.At(r.Ack)
-	if r.ToIncarnation != v.incarnation || !known || now-at > v.set.Lease || !r.Term.Valid() {
+	sentAt, known := v.sendTimes.At(r.Ack)
+	if r.ToIncarnation != v.incarnation || !known || now-sentAt > v.settings.Lease || !r.Term.Valid() {
 		return false
 	}
-	if v.hint(now, r); r.From != v.choice.Name {
+	if v.followHint(now, r); r.From != v.peer.Name {
 		return false
 	}
 	if !v.replies.Accept(r.Incarnation, r.Seq, r.Ack) {
 		return false
 	}
-	v.choice.LastActive = now
-	if v.holds = 0; r.Term >= v.term && r.Term > 0 {
-		v.term, v.holds, v.until = r.Term, r.Term, at+v.set.Lease
+	v.peer.LastActive = now
+	if v.leaderTerm = 0; r.Term >= v.term && r.Term > 0 {
+		v.term, v.leaderTerm, v.leaderUntil = r.Term, r.Term, sentAt+v.settings.Lease
 	}
 	return true
 }
 
-// voice is what a seat knows of one voter.
-type voice struct {
+// voterState is what a candidate knows of one voter.
+type voterState struct {
 	name        string
 	incarnation uint64
-	heard       uint64
-	sent        lease.SendTimes
-	promised    time.Duration // it is, until then
+	lastReport  uint64
+	sendTimes   lease.SendTimes
+	voteExpires time.Duration // when its vote expires
 }
 
-// Candidate is the side of a gateway that others promise themselves to.
+// Candidate is the side of a gateway that receives votes.
 type Candidate struct {
-	set         Settings
-	name        string
-	incarnation uint64
-	voices      []*voice // of the plan, by name
-	heardAt     time.Duration
-	known       Term // the highest
-	term        Term // its own; 0: it never held the duty
-	held        time.Duration
-	ends        []time.Duration // scratch
+	settings     Settings
+	name         string
+	incarnation  uint64
+	voters       []*voterState // all configured gateways, by name
+	lastReportAt time.Duration
+	maxTerm      Term // the highest known
+	term         Term // its own; 0: it was never leader
+	prevUntil    time.Duration
+	expiries     []time.Duration // reused by LeaderUntil
 }
 
-// NewCandidate makes a seat that nobody has promised anything yet. incarnation is one that no
-// seat of this gateway had before.
-func NewCandidate(now time.Duration, set Settings, name string, incarnation uint64, plan []string) *Candidate {
-	s := &Candidate{set: set, name: name, incarnation: max(incarnation, 1), heardAt: now}
-	s.SetGateways(plan)
-	return s
+// NewCandidate returns a candidate without votes. incarnation must be one that no earlier
+// candidate of this gateway had.
+func NewCandidate(now time.Duration, settings Settings, name string, incarnation uint64, gateways []string) *Candidate {
+	c := &Candidate{settings: settings, name: name, incarnation: max(incarnation, 1), lastReportAt: now}
+	c.SetGateways(gateways)
+	return c
 }
 
-// SetGateways takes the names of all gateways.
-func (s *Candidate) SetGateways(plan []string) {
-	old := s.voices
-	s.voices = nil
-	for _, name := range plan {
-		v := &voice{name: name}
-		if i := slices.IndexFunc(old, func(o *voice) bool { return o.name == name }); i >= 0 {
+// SetGateways sets the names of all configured gateways.
+func (c *Candidate) SetGateways(gateways []string) {
+	old := c.voters
+	c.voters = nil
+	for _, name := range gateways {
+		v := &voterState{name: name}
+		if i := slices.IndexFunc(old, func(o *voterState) bool { return o.name == name }); i >= 0 {
 			v = old[i]
 		}
-		s.voices = append(s.voices, v)
+		c.voters = append(c.voters, v)
 	}
-	slices.SortFunc(s.voices, func(a, b *voice) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(c.voters, func(a, b *voterState) int { return strings.Compare(a.name, b.name) })
 }
 
-func (s *Candidate) voice(name string) *voice {
-	i, found := slices.BinarySearchFunc(s.voices, name, func(v *voice, n string) int { return strings.Compare(v.name, n) })
+func (c *Candidate) voter(name string) *voterState {
+	i, found := slices.BinarySearchFunc(c.voters, name, func(v *voterState, n string) int { return strings.Compare(v.name, n) })
 	if !found {
 		return nil
 	}
-	return s.voices[i]
+	return c.voters[i]
 }
 
-// Expired reports whether nobody has told the seat anything for so long that it may be forgotten.
-func (s *Candidate) Expired(now time.Duration) bool { return now-s.heardAt > 3*s.set.surely() }
+// Expired reports whether no report has arrived for so long that the candidate's state may be
+// discarded.
+func (c *Candidate) Expired(now time.Duration) bool {
+	return now-c.lastReportAt > 3*c.settings.safeLease()
+}
 
-// LeaderUntil is how long the duty is held if nothing more is heard.
-func (s *Candidate) LeaderUntil() time.Duration {
-	s.ends = s.ends[:0]
-	for _, v := range s.voices {
-		s.ends = append(s.ends, v.promised)
+// LeaderUntil returns when the leadership ends unless further votes arrive.
+func (c *Candidate) LeaderUntil() time.Duration {
+	c.expiries = c.expiries[:0]
+	for _, v := range c.voters {
+		c.expiries = append(c.expiries, v.voteExpires)
 	}
-	slices.Sort(s.ends)
-	if len(s.ends) == 0 {
+	slices.Sort(c.expiries)
+	if len(c.expiries) == 0 {
 		return 0
 	}
-	return s.ends[(len(s.ends)-1)/2] // more than half end no sooner
+	return c.expiries[(len(c.expiries)-1)/2] // the votes of more than half expire no sooner
 }
 
-// Voters is how many gateways have been heard of within a lease, with their names.
-func (s *Candidate) Voters(now time.Duration) (names []string) {
-	for _, v := range s.voices {
-		if v.promised > now {
+// Voters returns the names of the gateways whose votes are valid.
+func (c *Candidate) Voters(now time.Duration) (names []string) {
+	for _, v := range c.voters {
+		if v.voteExpires > now {
 			names = append(names, v.name)
 		}
 	}
 	return names
 }
 
-// LeaderTerm is the term in which the duty is held now; 0: it is not.
-func (s *Candidate) LeaderTerm(now time.Duration) Term {
-	if now >= s.LeaderUntil() {
+// LeaderTerm returns the term of the current leadership; 0: this gateway is not leader.
+func (c *Candidate) LeaderTerm(now time.Duration) Term {
+	if now >= c.LeaderUntil() {
 		return 0
 	}
-	return s.term
+	return c.term
 }
 
-// HandleReport takes a report. false: it is none of its own, or late.
-func (s *Candidate) HandleReport(now time.Duration, r Report) (Reply, bool) {
-	v := s.voice(r.From)
-	if v == nil || r.To != s.name || r.Seq == 0 || !r.Term.Valid() {
+// HandleReport takes a report. false: it is invalid, outdated or meant for another.
+func (c *Candidate) HandleReport(now time.Duration, r Report) (Reply, bool) {
+	v := c.voter(r.From)
+	if v == nil || r.To != c.name || r.Seq == 0 || !r.Term.Valid() {
 		return Reply{}, false
 	}
 	if r.Incarnation < v.incarnation {
-		return Reply{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, KnownIncarnation: v.incarnation}, true
+		return Reply{From: c.name, Incarnation: c.incarnation, To: r.From, ToIncarnation: r.Incarnation, KnownIncarnation: v.incarnation}, true
 	}
-	if r.Incarnation > v.incarnation { // what its former self promised lasts to its end
-		v.incarnation, v.heard = r.Incarnation, 0
-		v.sent.Reset()
+	if r.Incarnation > v.incarnation { // a vote of its previous incarnation stays valid until it expires
+		v.incarnation, v.lastReport = r.Incarnation, 0
+		v.sendTimes.Reset()
 	}
-	if r.Seq <= v.heard {
+	if r.Seq <= v.lastReport {
 		return Reply{}, false
 	}
-	v.heard, s.heardAt = r.Seq, now
-	s.known = max(s.known, r.Term)
-	if at, known := v.sent.At(r.Ack); known && r.Vote && r.ToIncarnation == s.incarnation {
-		v.promised = max(v.promised, at+s.set.Lease)
+	v.lastReport, c.lastReportAt = r.Seq, now
+	c.maxTerm = max(c.maxTerm, r.Term)
+	if sentAt, known := v.sendTimes.At(r.Ack); known && r.Vote && r.ToIncarnation == c.incarnation {
+		v.voteExpires = max(v.voteExpires, sentAt+c.settings.Lease)
 	}
-	s.settle(now)
-	reply := Reply{From: s.name, Incarnation: s.incarnation, To: r.From, ToIncarnation: r.Incarnation, Ack: r.Seq, Term: s.LeaderTerm(now)}
-	reply.Seq = v.sent.Record(now)
+	c.updateTerm(now)
+	reply := Reply{From: c.name, Incarnation: c.incarnation, To: r.From, ToIncarnation: r.Incarnation, Ack: r.Seq, Term: c.LeaderTerm(now)}
+	reply.Seq = v.sendTimes.Record(now)
 	return reply, true
 }
 
-// settle takes a term where the duty is held anew, or another one's later is known.
-func (s *Candidate) settle(now time.Duration) {
-	until := s.LeaderUntil()
-	if now < until && (now >= s.held || s.term < s.known) {
+// updateTerm starts a new term where leadership begins, or where a later term of another gateway
+// is known.
+func (c *Candidate) updateTerm(now time.Duration) {
+	until := c.LeaderUntil()
+	if now < until && (now >= c.prevUntil || c.term < c.maxTerm) {
 		h := fnv.New32a()
-		h.Write([]byte(s.name))
-		s.term = Term((s.known.round()+1)<<idBits) | Term(uint32(s.incarnation)^h.Sum32())
-		s.known = s.term
+		h.Write([]byte(c.name))
+		c.term = Term((c.maxTerm.round()+1)<<idBits) | Term(uint32(c.incarnation)^h.Sum32())
+		c.maxTerm = c.term
 	}
-	s.held = until
+	c.prevUntil = until
 }
 
-// Outgoing is a message that a gateway has to send. One of Report and Reply is told.
+// Outgoing is a message that a gateway has to send. Exactly one of Report and Reply is set.
 type Outgoing struct {
 	To     string
 	Report *Report
@@ -345,29 +354,29 @@
 // Node is both sides of a gateway.
 type Node struct {
 	*Voter
-	seat        *Candidate // nil: nobody reports here
+	candidate   *Candidate // nil: nobody reports to this gateway
 	incarnation uint64
-	plan        []string
+	gateways    []string
 }
 
-// NewNode makes a gateway that has just started, one of the plan. incarnation is to be drawn
-// at random, and below 2^32.
-func NewNode(now time.Duration, set Settings, name string, incarnation uint64, plan []string) *Node {
-	return &Node{Voter: NewVoter(now, set, name, incarnation), incarnation: incarnation, plan: plan}
+// NewNode returns a node of a gateway that has just started and is among gateways. incarnation
+// must be drawn at random, and be below 2^32.
+func NewNode(now time.Duration, settings Settings, name string, incarnation uint64, gateways []string) *Node {
+	return &Node{Voter: NewVoter(now, settings, name, incarnation), incarnation: incarnation, gateways: gateways}
 }
 
-// SetGateways takes the names of other gateways.
-func (n *Node) SetGateways(plan []string) {
-	n.plan = plan
-	if n.seat != nil {
-		n.seat.SetGateways(plan)
+// SetGateways sets the names of all configured gateways.
+func (n *Node) SetGateways(gateways []string) {
+	n.gateways = gateways
+	if n.candidate != nil {
+		n.candidate.SetGateways(gateways)
 	}
 }
 
-// Tick is to be called each period, with those that may hold the duty, the best first.
+// Tick must be called each period, with the names of possible leaders, the best first.
 func (n *Node) Tick(now time.Duration, candidates []string) (out []Outgoing) {
-	if n.seat != nil && n.seat.Expired(now) {
-		n.seat = nil
+	if n.candidate != nil && n.candidate.Expired(now) {
+		n.candidate = nil
 	}
 	for _, r := range n.Voter.Tick(now, candidates) {
 		out = append(out, Outgoing{To: r.To, Report: &r})
@@ -375,37 +384,37 @@
 	return out
 }
 
-// HandleReport takes another's report; false: it is not used.
+// HandleReport takes another gateway's report; false: it is not used.
 func (n *Node) HandleReport(now time.Duration, r Report) (Outgoing, bool) {
-	if n.seat == nil { // an incarnation of its own: what another one said counts for nothing
-		n.seat = NewCandidate(now, n.set, n.name, n.incarnation, n.plan)
+	if n.candidate == nil { // with an incarnation of its own: acknowledgements of an earlier candidate's replies don't count
+		n.candidate = NewCandidate(now, n.settings, n.name, n.incarnation, n.gateways)
 		n.incarnation += 1 << 32
 	}
-	reply, ok := n.seat.HandleReport(now, r)
+	reply, ok := n.candidate.HandleReport(now, r)
 	reply.Leader, _ = n.Leader(now)
 	return Outgoing{To: reply.To, Reply: &reply}, ok
 }
 
-// LeaderTerm is the term in which this gateway itself holds the duty; 0: it does not.
+// LeaderTerm returns the term in which this gateway is leader; 0: it is not.
 func (n *Node) LeaderTerm(now time.Duration) Term {
-	if n.seat == nil {
+	if n.candidate == nil {
 		return 0
 	}
-	return n.seat.LeaderTerm(now)
+	return n.candidate.LeaderTerm(now)
 }
 
-// LeaderUntil is how long it does if nothing more is heard.
+// LeaderUntil returns when this gateway's leadership ends unless further votes arrive.
 func (n *Node) LeaderUntil() time.Duration {
-	if n.seat == nil {
+	if n.candidate == nil {
 		return 0
 	}
-	return n.seat.LeaderUntil()
+	return n.candidate.LeaderUntil()
 }
 
-// Voters are the gateways that are promised to this one now.
+// Voters returns the gateways whose votes this one holds.
 func (n *Node) Voters(now time.Duration) []string {
-	if n.seat == nil {
+	if n.candidate == nil {
 		return nil
 	}
-	return n.seat.Voters(now)
+	return n.candidate.Voters(now)
 }
--- a/internal/fleet/election/election_test.go
+++ b/internal/fleet/election/election_test.go
@@ -14,59 +14,59 @@
 )
 
 var (
-	exploreDepth = flag.Int("explore-depth", 4, "events in a row that are gone through")
-	errTwo       = errors.New("two hold the duty at once")
-	errTerm      = errors.New("a later holder has no later term")
+	exploreDepth  = flag.Int("explore-depth", 4, "number of consecutive events to explore")
+	errTwoLeaders = errors.New("two hold the duty at once")
+	errTerm       = errors.New("a later holder has no later term")
 )
 
-// small is three gateways with messages that are on their way.
-type small struct {
+// model consists of three gateways and their messages in flight.
+type model struct {
 	now      time.Duration
 	nodes    [3]*Node
-	turned   [3]bool // they take a to be down, and would have b
-	flight   []Outgoing
+	prefersB [3]bool // the gateway takes a to be down, and prefers b
+	inFlight []Outgoing
 	restarts int
-	last     Term
-	holder   int
+	lastTerm Term
+	leader   int
 }
 
 var (
-	smallSet   = Settings{Lease: time.Second, Drift: 0.01}
-	smallNames = []string{"a", "b", "c"}
+	testSettings = Settings{Lease: time.Second, Drift: 0.01}
+	testNames    = []string{"a", "b", "c"}
 )
 
-const mostFlight = 3
+const maxInFlight = 3
 
-type move struct {
-	what string
-	n    int
+type event struct {
+	action string
+	n      int
 }
 
-func (m move) String() string { return fmt.Sprint(m.what, " ", m.n) }
+func (m event) String() string { return fmt.Sprint(m.action, " ", m.n) }
 
-func (s small) clone() small {
+func (s model) clone() model {
 	for i, n := range s.nodes {
 		c, v := *n, *n.Voter
-		v.choice = v.choice.Clone()
-		if c.Voter = &v; n.seat != nil {
-			seat := *n.seat
-			seat.voices, seat.ends = nil, nil
-			for _, o := range n.seat.voices {
-				voice := *o
-				seat.voices = append(seat.voices, &voice)
+		v.peer = v.peer.Clone()
+		if c.Voter = &v; n.candidate != nil {
+			candidate := *n.candidate
+			candidate.voters, candidate.expiries = nil, nil
+			for _, o := range n.candidate.voters {
+				state := *o
+				candidate.voters = append(candidate.voters, &state)
 			}
-			c.seat = &seat
+			c.candidate = &candidate
 		}
 		s.nodes[i] = &c
 	}
-	s.flight = slices.Clone(s.flight)
+	s.inFlight = slices.Clone(s.inFlight)
 	return s
 }
 
-func (s small) key() string {
+func (s model) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.now, s.turned, s.restarts, s.last, s.holder)
-	for _, o := range s.flight {
+	fmt.Fprint(&b, s.now, s.prefersB, s.restarts, s.lastTerm, s.leader)
+	for _, o := range s.inFlight {
 		if o.Report != nil {
 			fmt.Fprint(&b, *o.Report)
 		} else {
@@ -75,9 +75,9 @@
 	}
 	for _, n := range s.nodes {
 		fmt.Fprint(&b, *n.Voter)
-		if n.seat != nil {
-			fmt.Fprint(&b, n.seat.known, n.seat.term, n.seat.held, n.seat.heardAt, n.seat.incarnation)
-			for _, v := range n.seat.voices {
+		if n.candidate != nil {
+			fmt.Fprint(&b, n.candidate.maxTerm, n.candidate.term, n.candidate.prevUntil, n.candidate.lastReportAt, n.candidate.incarnation)
+			for _, v := range n.candidate.voters {
 				fmt.Fprint(&b, *v)
 			}
 		}
@@ -85,63 +85,63 @@
 	return b.String()
 }
 
-func (s small) events() (all []move) {
+func (s model) events() (all []event) {
 	for i := range s.nodes {
-		all = append(all, move{"tick", i})
-		all = append(all, move{"turn", i})
+		all = append(all, event{"tick", i})
+		all = append(all, event{"turn", i})
 		if s.restarts > 0 {
-			all = append(all, move{"restart", i})
+			all = append(all, event{"restart", i})
 		}
 	}
-	for i := range s.flight {
-		all = append(all, move{"deliver", i}, move{"lose", i})
+	for i := range s.inFlight {
+		all = append(all, event{"deliver", i}, event{"lose", i})
 	}
-	if n := len(s.flight); n > 0 && n < mostFlight {
-		all = append(all, move{"repeat", n - 1})
+	if n := len(s.inFlight); n > 0 && n < maxInFlight {
+		all = append(all, event{"repeat", n - 1})
 	}
-	return append(all, move{"wait", 300}, move{"wait", 1100})
+	return append(all, event{"wait", 300}, event{"wait", 1100})
 }
 
-func (s small) step(m move) (small, error) {
+func (s model) step(m event) (model, error) {
 	s = s.clone()
-	switch m.what {
+	switch m.action {
 	case "tick":
 		order := []string{"a", "b"}
-		if s.turned[m.n] {
+		if s.prefersB[m.n] {
 			order = []string{"b"}
 		}
 		for _, out := range s.nodes[m.n].Tick(s.now, order) {
 			s.send(m.n, out)
 		}
 	case "turn":
-		s.turned[m.n] = !s.turned[m.n]
+		s.prefersB[m.n] = !s.prefersB[m.n]
 	case "restart":
 		s.restarts--
-		s.nodes[m.n] = NewNode(s.now, smallSet, smallNames[m.n], s.nodes[m.n].incarnation+100, smallNames)
+		s.nodes[m.n] = NewNode(s.now, testSettings, testNames[m.n], s.nodes[m.n].incarnation+100, testNames)
 	case "deliver":
-		o := s.flight[m.n]
-		s.flight = slices.Delete(s.flight, m.n, m.n+1)
-		s.take(slices.Index(smallNames, o.To), o)
+		o := s.inFlight[m.n]
+		s.inFlight = slices.Delete(s.inFlight, m.n, m.n+1)
+		s.deliver(slices.Index(testNames, o.To), o)
 	case "lose":
-		s.flight = slices.Delete(s.flight, m.n, m.n+1)
+		s.inFlight = slices.Delete(s.inFlight, m.n, m.n+1)
 	case "repeat":
-		s.flight = append(s.flight, s.flight[m.n])
+		s.inFlight = append(s.inFlight, s.inFlight[m.n])
 	case "wait":
 		s.now += time.Duration(m.n) * time.Millisecond
 	}
 	return s, s.check()
 }
 
-// send puts a message on its way; one to itself is there at once.
-func (s *small) send(from int, o Outgoing) {
-	if smallNames[from] == o.To {
-		s.take(from, o)
-	} else if len(s.flight) < mostFlight {
-		s.flight = append(s.flight, o)
+// send puts a message in flight; one to the sender itself is delivered at once.
+func (s *model) send(from int, o Outgoing) {
+	if testNames[from] == o.To {
+		s.deliver(from, o)
+	} else if len(s.inFlight) < maxInFlight {
+		s.inFlight = append(s.inFlight, o)
 	}
 }
 
-func (s *small) take(i int, o Outgoing) {
+func (s *model) deliver(i int, o Outgoing) {
 	if o.Reply != nil {
 		s.nodes[i].HandleReply(s.now, *o.Reply)
 	} else if reply, ok := s.nodes[i].HandleReport(s.now, *o.Report); ok {
@@ -149,78 +149,78 @@
 	}
 }
 
-// check finds two holders at once, or a later one whose term is not later.
-func (s *small) check() error {
-	holder := -1
+// check detects two leaders at once, and a later leader whose term is not later.
+func (s *model) check() error {
+	leader := -1
 	for i, n := range s.nodes {
 		term := n.LeaderTerm(s.now)
 		if term == 0 {
 			continue
 		}
-		if holder >= 0 {
-			return errTwo
+		if leader >= 0 {
+			return errTwoLeaders
 		}
-		if holder = i; i != s.holder && s.restarts > 0 && term.round() <= s.last.round() {
+		if leader = i; i != s.leader && s.restarts > 0 && term.round() <= s.lastTerm.round() {
 			return errTerm
 		}
-		s.holder, s.last = i, max(s.last, term)
+		s.leader, s.lastTerm = i, max(s.lastTerm, term)
 	}
 	return nil
 }
 
-// rounds has some of the gateways report a few times, and hear what they are answered.
-func (s *small) rounds(n int, of ...int) {
+// rounds has some gateways report n times and delivers all messages.
+func (s *model) rounds(n int, gateways ...int) {
 	for range n {
 		s.now += 200 * time.Millisecond
-		for _, i := range of {
-			next, _ := s.step(move{"tick", i})
-			for *s = next; len(s.flight) > 0; {
-				o := s.flight[0]
-				s.flight = s.flight[1:]
-				s.take(slices.Index(smallNames, o.To), o)
+		for _, i := range gateways {
+			next, _ := s.step(event{"tick", i})
+			for *s = next; len(s.inFlight) > 0; {
+				o := s.inFlight[0]
+				s.inFlight = s.inFlight[1:]
+				s.deliver(slices.Index(testNames, o.To), o)
 			}
 		}
 	}
 	s.check()
 }
 
-// held is the system once the first holds the duty, with nothing on its way.
-func held() small {
-	s := small{restarts: 1, holder: -1}
-	for i, name := range smallNames {
-		s.nodes[i] = NewNode(0, smallSet, name, 1, smallNames)
+// firstLeads returns the system once the first gateway is leader, with nothing in flight.
+func firstLeads() model {
+	s := model{restarts: 1, leader: -1}
+	for i, name := range testNames {
+		s.nodes[i] = NewNode(0, testSettings, name, 1, testNames)
 	}
 	s.rounds(8, 0, 1, 2)
 	return s
 }
 
-// apart is the system once the second is promised to itself, and the third takes the first
-// to be down as well.
-func apart() small {
-	s := held()
-	s.turned[1] = true
+// secondVotesForItself returns the system once the second gateway votes for itself, and the third
+// takes the first to be down as well.
+func secondVotesForItself() model {
+	s := firstLeads()
+	s.prefersB[1] = true
 	s.rounds(12, 0, 1, 2)
-	s.turned[2] = true
+	s.prefersB[2] = true
 	return s
 }
 
-// leaving is the system once both others take the first to be down, and have told the
-// second, just after they were promised to the first.
-func leaving() small {
-	s := held()
-	s.turned[1], s.turned[2] = true, true
+// twoTurned returns the system once both others take the first to be down and have reported to
+// the second, just after they voted for the first.
+func twoTurned() model {
+	s := firstLeads()
+	s.prefersB[1], s.prefersB[2] = true, true
 	s.rounds(1, 1, 2)
 	return s
 }
 
-// Every order of reports, replies, losses, repeats, waits, changes of mind and a restart:
-// never do two hold the duty.
+// Explores every order of reports, replies, losses, duplicates, waits, changes of preference and
+// a restart: there must never be two leaders.
 func TestEveryOrderOfDuty(t *testing.T) {
-	for name, start := range map[string]small{"held by the first": held(), "the second is promised to itself": apart(), "two have turned": leaving()} {
-		if start.holder != 0 {
-			t.Fatalf("%s: the first one does not hold the duty to begin with", name)
+	for name, start := range map[string]model{"the first is leader": firstLeads(), "the second votes for itself": secondVotesForItself(), "two prefer the second": twoTurned()} {
+		if start.leader != 0 {
+			t.Fatalf("%s: the first gateway is not leader at the start", name)
 		}
-		m := explore.Model[small, move]{Start: start, Events: small.events, Step: small.step, Key: small.key, Depth: *exploreDepth}
+		m := explore.Model[model, event]{Start: start, Events: model.events, Step: model.step, Key: model.key, Depth: *exploreDepth}
 		r, err := m.Explore(runtime.GOMAXPROCS(0))
 		if t.Logf("%s: %v", name, r); err != nil {
 			t.Fatal(err)
@@ -228,23 +228,23 @@
 	}
 }
 
-// What was promised to a seat's former self counts for nothing.
-func TestPromiseToFormerSelf(t *testing.T) {
-	seat := NewCandidate(0, smallSet, "a", 2, smallNames)
-	seat.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 1, To: "a"})
-	seat.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 2, To: "a", ToIncarnation: 1, Ack: 1, Vote: true})
-	if len(seat.Voters(0)) > 0 {
+// A vote for an earlier candidate of the same gateway must not count.
+func TestVoteForEarlierCandidate(t *testing.T) {
+	candidate := NewCandidate(0, testSettings, "a", 2, testNames)
+	candidate.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 1, To: "a"})
+	candidate.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 2, To: "a", ToIncarnation: 1, Ack: 1, Vote: true})
+	if len(candidate.Voters(0)) > 0 {
 		t.Fatal("then: a promise to another counts")
 	}
-	seat.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 3, To: "a", ToIncarnation: 2, Ack: 1, Vote: true})
-	if len(seat.Voters(0)) != 1 || len(seat.Voters(smallSet.Lease)) > 0 {
-		t.Error("a promise does not count for a lease")
+	candidate.HandleReport(0, Report{From: "b", Incarnation: 1, Seq: 3, To: "a", ToIncarnation: 2, Ack: 1, Vote: true})
+	if len(candidate.Voters(0)) != 1 || len(candidate.Voters(testSettings.Lease)) > 0 {
+		t.Error("a vote does not count for a lease")
 	}
 }
 
-// A voter that has started anew promises nothing while its former self may be promised.
+// A restarted voter must not vote while the vote of its previous incarnation may be valid.
 func TestRestartedVoterWaits(t *testing.T) {
-	_, err := explore.Replay(apart(), small.step, []move{{"restart", 2}, {"tick", 2}, {"deliver", 0}, {"deliver", 0}, {"tick", 2}, {"deliver", 0}})
+	_, err := explore.Replay(secondVotesForItself(), model.step, []event{{"restart", 2}, {"tick", 2}, {"deliver", 0}, {"deliver", 0}, {"tick", 2}, {"deliver", 0}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/election/schedule_test.go
+++ b/internal/fleet/election/schedule_test.go
@@ -11,18 +11,18 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 60, "fault schedules to be played")
-	from      = flag.Uint64("from", 1, "the first one's seed")
+	schedules = flag.Int("schedules", 60, "number of fault schedules to run")
+	from      = flag.Uint64("from", 1, "seed of the first schedule")
 )
 
-// way has one gateway take part: whoever holds the duty may admit the whole quota, so that
-// two holders at once are over it.
-type way struct{ node *election.Node }
+// gateway runs one node as a gateways.Way: the leader may admit the whole quota, so that two
+// leaders at once exceed it.
+type gateway struct{ node *election.Node }
 
-// fleet makes ways, and has the latest of each gateway.
-type fleet map[string]way
+// fleet creates gateways and holds the latest process of each.
+type fleet map[string]gateway
 
-func newWay(now time.Duration, set quota.Settings, name string, incarnation uint64, plan []quota.Gateway) gateways.Way {
+func newGateway(now time.Duration, set quota.Settings, name string, incarnation uint64, plan []quota.Gateway) gateways.Way {
 	return fleet{}.make(now, set, name, incarnation, plan)
 }
 
@@ -31,21 +31,21 @@
 	for _, g := range plan {
 		names = append(names, g.Name)
 	}
-	f[name] = way{election.NewNode(now, election.Settings{Lease: set.Lease, Drift: set.Drift}, name, incarnation, names)}
+	f[name] = gateway{election.NewNode(now, election.Settings{Lease: set.Lease, Drift: set.Drift}, name, incarnation, names)}
 	return f[name]
 }
 
-func (w way) Tick(now time.Duration, _ quota.Part, candidates []string) []gateways.Message {
-	return messages(w.node.Tick(now, candidates))
+func (g gateway) Tick(now time.Duration, _ quota.Part, candidates []string) []gateways.Message {
+	return messages(g.node.Tick(now, candidates))
 }
 
-func (w way) Take(now time.Duration, body any) []gateways.Message {
+func (g gateway) Take(now time.Duration, body any) []gateways.Message {
 	out := body.(election.Outgoing)
 	if out.Reply != nil {
-		w.node.HandleReply(now, *out.Reply)
+		g.node.HandleReply(now, *out.Reply)
 		return nil
 	}
-	reply, ok := w.node.HandleReport(now, *out.Report)
+	reply, ok := g.node.HandleReport(now, *out.Report)
 	if !ok {
 		return nil
 	}
@@ -59,17 +59,17 @@
 	return out
 }
 
-func (w way) Limit(now time.Duration) quota.Limit {
-	if w.node.LeaderTerm(now) == 0 {
+func (g gateway) Limit(now time.Duration) quota.Limit {
+	if g.node.LeaderTerm(now) == 0 {
 		return quota.Limit{}
 	}
-	return quota.Limit{Grant: quota.Whole, Until: w.node.LeaderUntil()}
+	return quota.Limit{Grant: quota.Whole, Until: g.node.LeaderUntil()}
 }
 
-// Whatever happens, at most one holds the duty; and when it is over one does again, whom
-// nearly all know.
+// Under any fault schedule there must be at most one leader. Once the faults end there must be
+// one again, known to all gateways.
 func TestSchedules(t *testing.T) {
-	least := 1.0
+	minShare := 1.0
 	for seed := *from; seed < *from+uint64(*schedules); seed++ {
 		set := quota.Settings{Lease: 2 * time.Second, Period: 200 * time.Millisecond, Drift: 0.01}
 		f := fleet{}
@@ -84,52 +84,52 @@
 				w.Start(n)
 			}
 		}
-		if err := w.Run(w.Now + time.Minute); err != nil { // those that stand still go on
+		if err := w.Run(w.Now + time.Minute); err != nil { // stalled gateways continue
 			t.Fatalf("seed %d, then: two hold the duty at once\n%v", seed, err)
 		}
 		share, err := w.Share(5 * time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if least = min(least, share); share < 0.99 {
-			t.Errorf("seed %d: the duty is held for %.3f of the time afterwards", seed, share)
+		if minShare = min(minShare, share); share < 0.99 {
+			t.Errorf("seed %d: there is a leader for %.3f of the time afterwards", seed, share)
 		}
 		known := map[string]bool{}
 		for _, n := range w.Nodes {
-			holder, _ := f[n.Name].node.Leader(w.Clock(n))
-			known[holder] = true
+			leader, _ := f[n.Name].node.Leader(w.Clock(n))
+			known[leader] = true
 		}
 		if len(known) != 1 || known[""] {
-			t.Errorf("seed %d: not all know of the same that holds it: %v", seed, known)
+			t.Errorf("seed %d: gateways disagree on the leader: %v", seed, known)
 		}
 	}
-	t.Logf("%d schedules, the least part of the time that it is held afterwards %.3f", *schedules, least)
+	t.Logf("%d schedules, minimum fraction of time with a leader afterwards %.3f", *schedules, minShare)
 }
 
-// A side of a cut that has less than half holds nothing, and the other takes the duty over.
-func TestMinorityHoldsNothing(t *testing.T) {
+// A minority side of a partition must have no leader, and the majority side must elect one.
+func TestMinorityHasNoLeader(t *testing.T) {
 	set := quota.Settings{Lease: 2 * time.Second, Period: 200 * time.Millisecond, Drift: 0.01}
 	for seed := range uint64(10) {
-		w := gateways.New(seed, set, 5, 1, newWay)
+		w := gateways.New(seed, set, 5, 1, newGateway)
 		for _, n := range w.Nodes {
 			n.Demand = quota.Whole
 		}
 		if err := w.Run(10 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		holder := -1
+		leader := -1
 		for i, n := range w.Nodes {
 			if w.Limit(n) > 0 {
-				holder = i
+				leader = i
 			}
 		}
-		if holder < 0 {
-			t.Fatalf("seed %d: nobody holds the duty", seed)
+		if leader < 0 {
+			t.Fatalf("seed %d: there is no leader", seed)
 		}
-		other := (holder + 1) % 5
+		other := (leader + 1) % 5
 		for i := range w.Nodes {
-			for _, side := range []int{holder, other} { // the holder and one more are cut off
-				if i != holder && i != other {
+			for _, side := range []int{leader, other} { // cut off the leader and one more
+				if i != leader && i != other {
 					w.Cut[[2]int{side, i}], w.Cut[[2]int{i, side}] = true, true
 				}
 			}
@@ -137,14 +137,14 @@
 		if err := w.Run(w.Now + 2*set.Lease); err != nil {
 			t.Fatal(err)
 		}
-		if w.Limit(w.Nodes[holder])+w.Limit(w.Nodes[other]) > 0 {
-			t.Errorf("seed %d: a side of two of five holds the duty", seed)
+		if w.Limit(w.Nodes[leader])+w.Limit(w.Nodes[other]) > 0 {
+			t.Errorf("seed %d: the minority side of two of five has a leader", seed)
 		}
 		if err := w.Run(w.Now + 3*set.Lease); err != nil {
 			t.Fatal(err)
 		}
 		if w.Sum() == 0 {
-			t.Errorf("seed %d: the side of three has not taken the duty over", seed)
+			t.Errorf("seed %d: the majority side of three has no leader", seed)
 		}
 	}
 }
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease has what leases between clocks that are never compared need: when one's own
-// messages went out, how long a time of another's clock surely lasts, and whom to report
-// to while some are silent. It is pure.
+// Package lease contains the building blocks of leases between clocks that are never compared:
+// the send times of a gateway's own messages, how long to wait for a duration to have certainly
+// passed on another clock, and the selection of a peer to report to while some are silent. It is
+// pure.
 package lease
 
 import (
@@ -10,114 +11,114 @@
 )
 
 const (
-	marks = 32 // messages whose times are remembered
+	maxSent = 32 // messages whose send times are kept
 
-	// silentLeases is how long one that is reported to may be silent before another is
-	// tried, shunLeases how long it is not tried again then.
+	// A peer that has been silent for silentLeases is replaced by another one, and is not
+	// selected again for avoidLeases.
 	silentLeases = 1.5
-	shunLeases   = 3
+	avoidLeases  = 3
 )
 
-// SafeWait is how long one has to wait on one's own clock until a time has surely passed on
-// another's. drift is by how much the rate of each may differ from the true one.
+// SafeWait returns how long to wait on the local clock until d has certainly passed on another
+// gateway's clock. drift is the maximum relative error of either clock's rate.
 func SafeWait(d time.Duration, drift float64) time.Duration {
-	return time.Duration(float64(d)*(1+drift)/(1-drift)) + time.Microsecond // and what rounding leaves
+	return time.Duration(float64(d)*(1+drift)/(1-drift)) + time.Microsecond // margin for rounding
 }
 
-// SendTimes are the times at which the latest messages went out.
+// SendTimes holds the times at which the latest messages were sent.
 type SendTimes struct {
-	seq   uint64
-	first uint64 // the earliest that counts
-	at    [marks]time.Duration
+	seq        uint64
+	firstValid uint64 // sequence number of the earliest valid message
+	at         [maxSent]time.Duration
 }
 
-// Record numbers a message that goes out now, from 1.
-func (s *SendTimes) Record(now time.Duration) uint64 {
-	s.seq++
-	s.at[s.seq%marks] = now
-	return s.seq
+// Record numbers a message that is sent now, from 1.
+func (t *SendTimes) Record(now time.Duration) uint64 {
+	t.seq++
+	t.at[t.seq%maxSent] = now
+	return t.seq
 }
 
-// At is the time at which a message went out; false: it is not remembered.
-func (s *SendTimes) At(seq uint64) (time.Duration, bool) {
-	if seq == 0 || seq < s.first || seq > s.seq || s.seq-seq >= marks {
+// At returns the time at which a message was sent; false: it is not known any more.
+func (t *SendTimes) At(seq uint64) (time.Duration, bool) {
+	if seq == 0 || seq < t.firstValid || seq > t.seq || t.seq-seq >= maxSent {
 		return 0, false
 	}
-	return s.at[seq%marks], true
+	return t.at[seq%maxSent], true
 }
 
-// Reset has what went out so far count for nothing.
-func (s *SendTimes) Reset() { s.first = s.seq + 1 }
+// Reset invalidates all messages sent so far.
+func (t *SendTimes) Reset() { t.firstValid = t.seq + 1 }
 
-// ReplyFilter tells which replies of the one that is reported to are news, however many are late,
-// repeated or out of order, and whether it starts anew.
+// ReplyFilter accepts each new reply of a peer once, however many replies are delayed, duplicated
+// or reordered, and detects a restart of the peer.
 type ReplyFilter struct {
-	Incarnation uint64 // its incarnation; 0: not known
-	Latest      uint64 // the latest reply that was taken; 0: none
-	anchor      uint64 // the latest report that a reply taken has answered, whoever's
+	Incarnation uint64 // of the peer; 0: not known
+	Latest      uint64 // number of the latest reply accepted; 0: none
+	maxAnswered uint64 // number of the latest report acknowledged by an accepted reply of any peer
 }
 
-// Accept takes the number of a reply, and that of the report that it answers. false: it is late.
-func (r *ReplyFilter) Accept(incarnation, seq, answers uint64) bool {
-	if incarnation != r.Incarnation { // it has started anew, unless this is late
-		if answers <= r.anchor {
+// Accept takes a reply's number and that of the report it answers. false: the reply is outdated.
+func (f *ReplyFilter) Accept(incarnation, seq, answers uint64) bool {
+	if incarnation != f.Incarnation { // the peer has restarted, unless this reply is outdated
+		if answers <= f.maxAnswered {
 			return false
 		}
-		r.Incarnation, r.Latest = incarnation, 0
+		f.Incarnation, f.Latest = incarnation, 0
 	}
-	if seq <= r.Latest {
+	if seq <= f.Latest {
 		return false
 	}
-	r.Latest, r.anchor = seq, max(r.anchor, answers)
+	f.Latest, f.maxAnswered = seq, max(f.maxAnswered, answers)
 	return true
 }
 
-// Reset notes that another one is reported to from now on.
-func (r *ReplyFilter) Reset() { r.Incarnation, r.Latest = 0, 0 }
+// Reset prepares the filter for another peer.
+func (f *ReplyFilter) Reset() { f.Incarnation, f.Latest = 0, 0 }
 
-// PeerSelector is whom a gateway reports to: the best candidate that is not silent.
+// PeerSelector selects the gateway to report to: the best candidate that is not silent.
 type PeerSelector struct {
-	Name       string        // "": nobody
-	LastActive time.Duration // when it was last heard, or chosen
+	Name       string        // "": none
+	LastActive time.Duration // when the peer was last heard from, or selected
 	lease      time.Duration
-	shunned    map[string]time.Duration // those that were silent, until when; as many as candidates
+	avoided    map[string]time.Duration // silent candidates, and until when each is avoided; no more than there are candidates
 }
 
-// NewPeerSelector is a choice of nobody yet.
+// NewPeerSelector returns a selector with no peer selected.
 func NewPeerSelector(lease time.Duration) PeerSelector {
-	return PeerSelector{lease: lease, shunned: map[string]time.Duration{}}
+	return PeerSelector{lease: lease, avoided: map[string]time.Duration{}}
 }
 
-// Clone is a copy that shares nothing.
-func (c PeerSelector) Clone() PeerSelector {
-	c.shunned = maps.Clone(c.shunned)
-	return c
+// Clone returns a copy that shares no state.
+func (s PeerSelector) Clone() PeerSelector {
+	s.avoided = maps.Clone(s.avoided)
+	return s
 }
 
-// NumSilent is how many are not tried for now, as they were silent.
-func (c *PeerSelector) NumSilent() int { return len(c.shunned) }
+// NumSilent returns the number of candidates that are avoided because they were silent.
+func (s *PeerSelector) NumSilent() int { return len(s.avoided) }
 
-// Select chooses among candidates, the best first. It reports whether another one was chosen.
-func (c *PeerSelector) Select(now time.Duration, candidates []string) (changed bool) {
-	for name, until := range c.shunned {
+// Select chooses among candidates, the best first. It reports whether another peer was chosen.
+func (s *PeerSelector) Select(now time.Duration, candidates []string) (changed bool) {
+	for name, until := range s.avoided {
 		if now >= until || !slices.Contains(candidates, name) {
-			delete(c.shunned, name)
+			delete(s.avoided, name)
 		}
 	}
-	if c.Name != "" && now-c.LastActive > times(c.lease, silentLeases) && len(candidates) > 1 {
-		c.shunned[c.Name] = now + times(c.lease, shunLeases)
+	if s.Name != "" && now-s.LastActive > times(s.lease, silentLeases) && len(candidates) > 1 {
+		s.avoided[s.Name] = now + times(s.lease, avoidLeases)
 	}
 	best := ""
 	for _, name := range candidates {
-		if _, silent := c.shunned[name]; !silent {
+		if _, silent := s.avoided[name]; !silent {
 			best = name
 			break
 		}
 	}
-	if best == c.Name {
+	if best == s.Name {
 		return false
 	}
-	c.Name, c.LastActive = best, now
+	s.Name, s.LastActive = best, now
 	return true
 }
 
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A message's time is known while it is among the latest, and until it is forgotten.
-func TestSent(t *testing.T) {
+// A message's time must be known while it is among the latest, until Reset.
+func TestSendTimes(t *testing.T) {
 	var s SendTimes
 	for i := range 40 {
 		s.Record(time.Duration(i) * time.Second)
@@ -19,22 +19,22 @@
 	}
 	s.Reset()
 	if _, known := s.At(40); known {
-		t.Error("40 is known after it was forgotten")
+		t.Error("40 is known after Reset")
 	}
 	if _, known := s.At(s.Record(0)); !known {
-		t.Error("what came after is not known")
+		t.Error("a message sent after Reset is not known")
 	}
 }
 
-// One that is silent is passed over for a time, and tried again then; the only one is never
-// passed over.
-func TestChoice(t *testing.T) {
+// A silent candidate must be avoided for a time and then tried again; an only candidate must
+// never be avoided.
+func TestPeerSelector(t *testing.T) {
 	c := NewPeerSelector(time.Second)
 	both := []string{"a", "b"}
 	for _, step := range []struct {
 		at         time.Duration
 		candidates []string
-		heard      bool // before it is chosen
+		active     bool // the current peer was active just before the selection
 		want       string
 	}{
 		{0, both, false, "a"},
@@ -45,11 +45,11 @@
 		{9 * time.Second, both[:1], false, "a"},
 		{9 * time.Second, nil, false, ""},
 	} {
-		if step.heard {
+		if step.active {
 			c.LastActive = step.at
 		}
 		if c.Select(step.at, step.candidates); c.Name != step.want {
-			t.Errorf("%v: %q is chosen, not %q", step.at, c.Name, step.want)
+			t.Errorf("%v: selected %q, want %q", step.at, c.Name, step.want)
 		}
 	}
 }
