--- a/internal/fleet/weights/estimate.go
+++ b/internal/fleet/weights/estimate.go
@@ -6,134 +6,134 @@
 	"time"
 )
 
-// Endpoint is one that the holder of the duty knows from its own list.
+// Endpoint is an endpoint in the leader's own list.
 type Endpoint struct {
 	ID      ID
-	Kind    uint32  // of its hardware, at the same service
-	Nominal float64 // the list's weight
-	Site    string  // where it stands; "": it is not told
+	Kind    uint32  // of its hardware, within the same service
+	Nominal float64 // listed weight
+	Site    string  // where it is located; "": not known
 	Ready   bool    // it takes new requests
-	Warmth  float64 // part of its capacity that it is sure to have by now
+	Warmth  float64 // fraction of its capacity that it is certain to have by now
 }
 
-// warm reports whether what is seen of it tells what it can do.
+// warm reports whether observations of e show its full capacity.
 func (e *Endpoint) warm() bool { return e.Ready && e.Warmth >= 1 }
 
 const (
-	windowServed = 8               // answers that an observation needs, or
-	windowTime   = 8 * time.Second // so long
-	enoughServed = 3               // of a class at an endpoint, to be compared with others
-	classMemory  = 400.0           // answers that a class's factor looks back over
-
-	kindSpread  = 0.35 // of capacities over those listed, by kind, in the log, before anything is seen
-	withinKind  = 0.30 // of endpoints within their kind
-	leastNoise  = 0.04 // of an observation, however many answers there are
-	drift       = 0.02 // of a capacity, in a second
-	changeDrift = 0.5  // how little is known after a change
-	changeSlack = 0.7  // of an innovation, in its own deviations, that is none
-	changeSum   = 4.0  // of innovations that make a change
-
-	successPrior = 12.0 // attempts that an endpoint is thought to have served well
-	successKeeps = 0.9  // of what is known of that, after a window
-	throttled    = 0.1  // part declined from which what was served is all that there is
-	clampTime    = 4.0  // by which one gateway's time for its work may differ from the others'
-	mostCapacity = 12.0 // in the log: bounds what any figures can come to
+	windowAnswers = 8               // answers needed for an observation, or
+	windowTime    = 8 * time.Second // the time after which there is one anyway
+	minServed     = 3               // answers of a class at an endpoint that are needed to compare the class
+	classMemory   = 400.0           // effective number of answers in a class's factor
+
+	kindSpread       = 0.35 // prior deviation of the log capacity between kinds, relative to the listed weights
+	withinKindSpread = 0.30 // prior deviation of the log capacity within a kind
+	minNoise         = 0.04 // minimum deviation of an observation, however many answers there are
+	capacityDrift    = 0.02 // deviation of the drift of a log capacity, per second
+	changeDeviation  = 0.5  // deviation of a log capacity right after a change
+	changeSlack      = 0.7  // of an innovation that is ignored, in standard deviations
+	changeThreshold  = 4.0  // sum of innovations that indicates a change
+
+	successPrior      = 12.0 // attempts that an endpoint is assumed to have served before any
+	successDecay      = 0.9  // decay of these counts per window
+	throttledFraction = 0.1  // fraction declined above which the rate served is the whole capacity
+	maxTimeRatio      = 4.0  // maximum ratio of one gateway's time per work to the median's
+	maxLogCapacity    = 12.0 // bound on a log capacity, whatever is reported
 )
 
-// servers are the numbers of servers behind an endpoint that are told apart.
-var servers = [...]float64{1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64}
+// serverCounts are the possible numbers of parallel servers behind an endpoint.
+var serverCounts = [...]float64{1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64}
 
-// queue is how many wait on the mean before so many servers of which a part is busy, by
-// Sakasegawa's approximation (1977).
-func queue(part, servers float64) float64 {
-	return math.Pow(part, math.Sqrt(2*(servers+1))) / math.Max(1-part, 1e-3)
+// queueLength returns the mean number of requests that wait for a number of servers at a
+// utilisation, by Sakasegawa's approximation (1977).
+func queueLength(load, servers float64) float64 {
+	return math.Pow(load, math.Sqrt(2*(servers+1))) / math.Max(1-load, 1e-3)
 }
 
-// busyPart is the part of so many servers that is busy where inside requests are there on
-// the mean: those that are served and those that wait. It turns Little's law, which tells
-// what is inside, into a part of the capacity: so one that is asked for little is not taken
-// for slow.
-func busyPart(inside, servers float64) float64 {
+// utilisation returns the utilisation of a number of servers with inFlight requests on average,
+// served or waiting. It converts the mean number in the system, which Little's law gives, to a
+// fraction of the capacity, so that an endpoint with little load is not taken for a slow one.
+func utilisation(inFlight, servers float64) float64 {
 	low, high := 0.0, 1.0
 	for range 30 {
-		part := (low + high) / 2
-		if servers*part+queue(part, servers) < inside {
-			low = part
+		mid := (low + high) / 2
+		if servers*mid+queueLength(mid, servers) < inFlight {
+			low = mid
 		} else {
-			high = part
+			high = mid
 		}
 	}
 	return high
 }
 
-// key is a class, warm keys apart.
-type key struct {
+// cellKey is a class, with warm keys separate.
+type cellKey struct {
 	class Class
 	warm  bool
 }
 
-// sum is a cell's, as numbers.
-type sum struct{ served, time, work float64 }
+// cellSum is a cell's totals.
+type cellSum struct{ served, time, work float64 }
 
-func (s *sum) ratio() float64 { return s.time / math.Max(s.work, 1e-9) }
+func (s *cellSum) ratio() float64 { return s.time / math.Max(s.work, 1e-9) }
 
-// known is what is known of one endpoint.
-type known struct {
+// endpointState is what is known of one endpoint.
+type endpointState struct {
 	Endpoint
-	since    time.Duration // of the window
-	cells    map[key]*sum
-	from     map[string]*sum // by gateway, of all classes, in standard work
-	lost     float64         // seconds
-	declined float64
-	good     float64 // attempts served and not, fading
-	bad      float64
-
-	value    float64               // log of the capacity, as followed
-	variance float64               // of it; 0: nothing was seen
-	up, down float64               // sums of innovations
-	slow     [len(servers)]float64 // by number of servers: log of the capacity, followed slowly
-	ratios   [ratioBuckets]float64 // of standard work, fading
-	seen     bool
-	changes  int
-	windows  int
+	since     time.Duration // start of the window
+	cells     map[cellKey]*cellSum
+	byGateway map[string]*cellSum // by gateway, of all classes, in standard work
+	lostTime  float64             // seconds
+	declined  float64
+	successes float64 // decaying counts of attempts served and failed
+	failures  float64
+
+	logCapacity        float64                    // filtered log of the capacity
+	variance           float64                    // of logCapacity; 0: there was no observation
+	cusumUp, cusumDown float64                    // one-sided cumulative sums of innovations
+	slowLog            [len(serverCounts)]float64 // slowly filtered log of the capacity, by number of servers
+	ratios             [ratioBuckets]float64      // histogram in standard work, decaying
+	observed           bool
+	changes            int
+	windows            int
 }
 
-// kind is what is known of one kind.
-type kind struct {
-	misses [len(servers)]float64 // by number of servers: how far queues were off, squared
-	n      float64               // of looks
-	at     int                   // the number of servers that is taken
-	mean   float64
-	noise  float64 // variance of that
+// kindState is what is known of one kind.
+type kindState struct {
+	queueErrors  [len(serverCounts)]float64 // squared error of the predicted queues, by number of servers
+	observations float64                    // effective number of observations
+	serverIndex  int                        // index of the assumed number of servers
+	mean         float64
+	meanVariance float64 // variance of mean
 }
 
-// Estimator estimates what each endpoint can do, in the fleet's sums. It is the holder's.
+// Estimator estimates the capacity of each endpoint from the stats of the whole fleet. Only the
+// leader has one.
 type Estimator struct {
-	endpoints map[ID]*known
-	kinds     map[uint32]*kind
-	classes   map[key]*mean
+	endpoints map[ID]*endpointState
+	kinds     map[uint32]*kindState
+	classes   map[cellKey]*mean
 }
 
 type mean struct{ value, weight float64 }
 
-// Estimate is what one endpoint is taken to do.
+// Estimate is the estimate for one endpoint.
 type Estimate struct {
 	Endpoint
-	Factor    float64 // over its nominal weight, beside the fleet's mean
-	Capacity  float64 // standard work a second; 0: nothing was seen of any
-	Deviation float64 // of the log of it
-	Windows   int     // that were looked at
-	Changes   int     // that were found
+	Factor    float64 // on its nominal weight, relative to the fleet's mean
+	Capacity  float64 // standard work per second; 0: there is no observation of any endpoint
+	Deviation float64 // standard deviation of the log of Capacity
+	Windows   int     // number of windows observed
+	Changes   int     // number of changes detected
 }
 
-// NewEstimator makes one that knows nothing.
+// NewEstimator returns an estimator without observations.
 func NewEstimator() *Estimator {
-	return &Estimator{endpoints: map[ID]*known{}, kinds: map[uint32]*kind{}, classes: map[key]*mean{}}
+	return &Estimator{endpoints: map[ID]*endpointState{}, kinds: map[uint32]*kindState{}, classes: map[cellKey]*mean{}}
 }
 
-// SetEndpoints takes the list: what is no longer in it is forgotten. before tells the factor
-// that one had under the holder before, from which a new holder goes on; false: none.
-func (e *Estimator) SetEndpoints(now time.Duration, list []Endpoint, before func(ID) (float64, bool)) {
+// SetEndpoints sets the listed endpoints and forgets all others. previous returns an endpoint's
+// factor under the previous leader, which a new leader continues from; false: there is none.
+func (e *Estimator) SetEndpoints(now time.Duration, list []Endpoint, previous func(ID) (float64, bool)) {
 	listed := make(map[ID]bool, len(list))
 	for _, l := range list[:min(len(list), MaxEndpoints)] {
 		if !(l.Nominal > 0) || math.IsInf(l.Nominal, 0) {
@@ -142,18 +142,18 @@
 		listed[l.ID] = true
 		k := e.endpoints[l.ID]
 		if k == nil {
-			k = &known{since: now, cells: map[key]*sum{}, from: map[string]*sum{}, good: successPrior}
-			if f, ok := before(l.ID); ok {
-				k.value, k.variance = math.Log(f*l.Nominal), withinKind*withinKind
+			k = &endpointState{since: now, cells: map[cellKey]*cellSum{}, byGateway: map[string]*cellSum{}, successes: successPrior}
+			if f, ok := previous(l.ID); ok {
+				k.logCapacity, k.variance = math.Log(f*l.Nominal), withinKindSpread*withinKindSpread
 			}
 			e.endpoints[l.ID] = k
 		}
-		if !l.warm() { // what is seen of a cold one tells nothing of it
+		if !l.warm() { // observations of a cold endpoint do not show its capacity
 			k.reset(now)
 		}
 		k.Endpoint = l
 		if e.kinds[l.Kind] == nil {
-			e.kinds[l.Kind] = &kind{}
+			e.kinds[l.Kind] = &kindState{}
 		}
 	}
 	for id := range e.endpoints {
@@ -172,14 +172,14 @@
 	}
 }
 
-func (k *known) reset(now time.Duration) {
-	k.since, k.lost, k.declined = now, 0, 0
+func (k *endpointState) reset(now time.Duration) {
+	k.since, k.lostTime, k.declined = now, 0, 0
 	clear(k.cells)
-	clear(k.from)
+	clear(k.byGateway)
 }
 
-// standard is a class's factor from hinted to standard work.
-func (e *Estimator) standard(k key) float64 {
+// workFactor returns a class's factor from hinted to standard work.
+func (e *Estimator) workFactor(k cellKey) float64 {
 	m := e.classes[k]
 	if m == nil {
 		return 1
@@ -187,75 +187,77 @@
 	return math.Exp(m.value)
 }
 
-// WorkFactor is the same by name.
-func (e *Estimator) WorkFactor(class Class, warm bool) float64 { return e.standard(key{class, warm}) }
+// WorkFactor returns the factor from hinted to standard work of a class, with warm keys separate.
+func (e *Estimator) WorkFactor(class Class, warm bool) float64 {
+	return e.workFactor(cellKey{class, warm})
+}
 
-// Observe takes what a gateway saw. Endpoints that are not in the list are left out.
-func (e *Estimator) Observe(gateway string, seen []Stats) {
-	for i := range seen {
-		s := &seen[i]
+// Observe adds a gateway's observations. Endpoints that are not listed are ignored.
+func (e *Estimator) Observe(gateway string, stats []Stats) {
+	for i := range stats {
+		s := &stats[i]
 		k := e.endpoints[s.ID]
 		if k == nil || !k.warm() {
 			continue
 		}
-		part := k.from[gateway]
-		if part == nil {
-			part = &sum{}
-			k.from[gateway] = part
+		total := k.byGateway[gateway]
+		if total == nil {
+			total = &cellSum{}
+			k.byGateway[gateway] = total
 		}
 		for _, c := range s.Cells {
-			at := key{c.Class, c.Warm}
-			to := k.cells[at]
-			if to == nil {
+			key := cellKey{c.Class, c.Warm}
+			cell := k.cells[key]
+			if cell == nil {
 				if len(k.cells) >= 2*MaxCells {
 					continue
 				}
-				to = &sum{}
-				k.cells[at] = to
+				cell = &cellSum{}
+				k.cells[key] = cell
 			}
-			add := sum{float64(c.Served), float64(c.Time) / 1e6, float64(c.Work) / 1e6}
-			to.served, to.time, to.work = to.served+add.served, to.time+add.time, to.work+add.work
-			part.served += add.served
-			part.time += add.time
-			part.work += add.work * e.standard(at)
-			k.good += add.served
-			k.ratio(&c, e.standard(at))
-		}
-		k.lost += float64(s.LostTime) / 1e6
-		k.bad += float64(s.Errors + s.TimedOut)
+			add := cellSum{float64(c.Served), float64(c.Time) / 1e6, float64(c.Work) / 1e6}
+			cell.served, cell.time, cell.work = cell.served+add.served, cell.time+add.time, cell.work+add.work
+			total.served += add.served
+			total.time += add.time
+			total.work += add.work * e.workFactor(key)
+			k.successes += add.served
+			k.addRatios(&c, e.workFactor(key))
+		}
+		k.lostTime += float64(s.LostTime) / 1e6
+		k.failures += float64(s.Errors + s.TimedOut)
 		k.declined += float64(s.Declined)
 	}
 }
 
-// Update is to be called each period: it looks at what came since.
+// Update must be called each period. It evaluates the windows that are complete.
 func (e *Estimator) Update(now time.Duration) {
-	e.compare()
+	e.fitClasses()
 	for _, k := range e.ordered() {
-		k.variance += drift * drift * indicator(k.variance > 0)
-		span := (now - k.since).Seconds()
+		k.variance += capacityDrift * capacityDrift * indicator(k.variance > 0)
+		duration := (now - k.since).Seconds()
 		served := 0.0
 		for _, c := range k.cells {
 			served += c.served
 		}
-		if span <= 0 || served+k.declined < windowServed && now-k.since < windowTime {
+		if duration <= 0 || served+k.declined < windowAnswers && now-k.since < windowTime {
 			continue
 		}
-		if k.warm() && (served > 0 || k.lost > 0) {
-			e.observe(k, span, served)
+		if k.warm() && (served > 0 || k.lostTime > 0) {
+			e.updateEndpoint(k, duration, served)
 		}
-		k.good, k.bad = successPrior+(k.good-successPrior)*successKeeps, k.bad*successKeeps
+		k.successes, k.failures = successPrior+(k.successes-successPrior)*successDecay, k.failures*successDecay
 		k.reset(now)
 	}
-	e.settleKinds()
+	e.updateKinds()
 }
 
-// ordered are all endpoints by ID, so that equal sums give equal tables.
-func (e *Estimator) ordered() []*known {
-	all := make([]*known, 0, len(e.endpoints))
+// ordered returns all endpoints by ID, so that equal stats give equal tables.
+func (e *Estimator) ordered() []*endpointState {
+	all := make([]*endpointState, 0, len(e.endpoints))
 	for _, k := range e.endpoints {
 		all = append(all, k)
 	}
-	slices.SortFunc(all, func(a, b *known) int {
+	slices.SortFunc(all, func(a, b *endpointState) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -271,16 +273,16 @@
 	return 0
 }
 
-// compare fits what classes take over their hints: the log of time over work is the sum of
-// what the class and what the endpoint adds to it. So hints that lie by class, keys that are
-// warm, and a mix of classes that differs from endpoint to endpoint make none look quick.
-func (e *Estimator) compare() {
-	off, weight := map[key]float64{}, map[key]float64{}
+// fitClasses fits the ratio of time to hinted work of each class: the log of the ratio is the sum
+// of a term for the class and one for the endpoint. So hints that are wrong for a class, warm
+// keys, or a mix of classes that differs between endpoints do not make an endpoint look fast.
+func (e *Estimator) fitClasses() {
+	residuals, weight := map[cellKey]float64{}, map[cellKey]float64{}
 	for _, k := range e.endpoints {
-		at, n := 0.0, 0.0
+		offset, n := 0.0, 0.0
 		for c, s := range k.cells {
-			if s.served >= enoughServed {
-				at += s.served * (math.Log(s.ratio()) - math.Log(e.standard(c)))
+			if s.served >= minServed {
+				offset += s.served * (math.Log(s.ratio()) - math.Log(e.workFactor(c)))
 				n += s.served
 			}
 		}
@@ -288,13 +290,13 @@
 			continue
 		}
 		for c, s := range k.cells {
-			if s.served >= enoughServed {
-				off[c] += s.served * (math.Log(s.ratio()) - math.Log(e.standard(c)) - at/n)
+			if s.served >= minServed {
+				residuals[c] += s.served * (math.Log(s.ratio()) - math.Log(e.workFactor(c)) - offset/n)
 				weight[c] += s.served
 			}
 		}
 	}
-	sum, all := 0.0, 0.0
+	sum, total := 0.0, 0.0
 	for c, n := range weight {
 		m := e.classes[c]
 		if m == nil {
@@ -305,120 +307,119 @@
 			e.classes[c] = m
 		}
 		m.weight = math.Min(m.weight+n, classMemory)
-		m.value += off[c] / math.Max(m.weight, n)
-		sum, all = sum+m.value*n, all+n
+		m.value += residuals[c] / math.Max(m.weight, n)
+		sum, total = sum+m.value*n, total+n
 	}
-	for _, m := range e.classes { // what all classes have in common is none of them
-		m.value -= sum / math.Max(all, 1) * indicator(all > 0)
-		m.value = math.Max(-mostCapacity, math.Min(m.value, mostCapacity))
+	for _, m := range e.classes { // the common term of all classes belongs to none of them
+		m.value -= sum / math.Max(total, 1) * indicator(total > 0)
+		m.value = math.Max(-maxLogCapacity, math.Min(m.value, maxLogCapacity))
 	}
 }
 
-// observe takes a window of one endpoint.
-func (e *Estimator) observe(k *known, span, served float64) {
-	work, spent := k.measured()
-	if served == 0 { // all were silent: what it can do is less than half of what was thought
-		k.follow(k.value-math.Ln2, withinKind)
+// updateEndpoint evaluates a window of one endpoint.
+func (e *Estimator) updateEndpoint(k *endpointState, duration, served float64) {
+	work, busyTime := k.totals()
+	if served == 0 { // nothing was answered: assume less than half of the previous capacity
+		k.updateCapacity(k.logCapacity-math.Ln2, withinKindSpread)
 		return
 	}
-	inside := (spent + k.lost) / span
-	rate := work / span
-	of := e.kinds[k.Kind]
-	noise := math.Sqrt(leastNoise*leastNoise + 1/served)
+	inFlight := (busyTime + k.lostTime) / duration
+	rate := work / duration
+	kind := e.kinds[k.Kind]
+	noise := math.Sqrt(minNoise*minNoise + 1/served)
 	k.windows++
-	var logs [len(servers)]float64
-	for i, m := range servers {
-		logs[i] = math.Log(rate / math.Max(busyPart(inside, m), 1e-6))
-		if k.declined > throttled*(served+k.declined) {
+	var logs [len(serverCounts)]float64
+	for i, m := range serverCounts {
+		logs[i] = math.Log(rate / math.Max(utilisation(inFlight, m), 1e-6))
+		if k.declined > throttledFraction*(served+k.declined) {
 			logs[i] = math.Min(logs[i], math.Log(rate))
 		}
-		logs[i] = math.Max(-mostCapacity, math.Min(logs[i], mostCapacity))
-		if !k.seen {
-			k.slow[i] = logs[i]
+		logs[i] = math.Max(-maxLogCapacity, math.Min(logs[i], maxLogCapacity))
+		if !k.observed {
+			k.slowLog[i] = logs[i]
 		}
-		k.slow[i] += (logs[i] - k.slow[i]) / 20
+		k.slowLog[i] += (logs[i] - k.slowLog[i]) / 20
 	}
-	k.look(of, inside, rate, served)
-	k.seen = true
-	k.follow(logs[of.at], noise)
+	k.scoreServers(kind, inFlight, rate, served)
+	k.observed = true
+	k.updateCapacity(logs[kind.serverIndex], noise)
 }
 
 const (
-	unhurried  = 0.2 // quantile of times over work that stands for no waiting
-	ratioKeeps = 0.9 // of what is known of them, after a window
-	mostMiss   = 1.0 // of one look: a machine whose neighbour has changed tells nothing of queues
+	noWaitQuantile = 0.2 // quantile of time over work that is taken as service without waiting
+	ratioDecay     = 0.9 // decay of the ratio histogram per window
+	maxQueueError  = 1.0 // bound on the error of one observation: a machine with a new noisy neighbour says nothing about queues
 )
 
-// ratio takes a cell's ratios, as of standard work.
-func (k *known) ratio(c *Cell, standard float64) {
-	shift := int(math.Round(-ratiosOctave * math.Log2(standard)))
+// addRatios adds a cell's histogram, shifted to standard work.
+func (k *endpointState) addRatios(c *Cell, workFactor float64) {
+	shift := int(math.Round(-ratiosOctave * math.Log2(workFactor)))
 	for i, n := range c.Ratios {
 		k.ratios[max(0, min(i+shift, ratioBuckets-1))] += float64(n)
 	}
 }
 
-// alone is the time that a second of work takes where nothing waits.
-func (k *known) alone() float64 {
-	all := 0.0
+// serviceTime returns the time per second of work where nothing waits.
+func (k *endpointState) serviceTime() float64 {
+	total := 0.0
 	for _, n := range k.ratios {
-		all += n
+		total += n
 	}
-	left := all * unhurried
+	remaining := total * noWaitQuantile
 	for i, n := range k.ratios {
-		if left <= n && n > 0 {
-			return math.Exp2((float64(i-ratiosUnderOne) + left/n) / ratiosOctave)
+		if remaining <= n && n > 0 {
+			return math.Exp2((float64(i-ratiosUnderOne) + remaining/n) / ratiosOctave)
 		}
-		left -= n
+		remaining -= n
 	}
 	return 1
 }
 
-// look compares what waits with what would wait before so many servers: those that are busy
-// are the work that is finished in a second, times what a second of it takes where nothing
-// waits; the rest of those inside wait.
-func (k *known) look(of *kind, inside, rate, served float64) {
-	busy := rate * k.alone()
-	waits := math.Log1p(math.Max(inside-busy, 0))
-	weight := served / (served + windowServed)
-	for i, m := range servers {
-		miss := waits - math.Log1p(queue(math.Min(busy/m, 0.99), m))
-		of.misses[i] += weight * math.Min(miss*miss, mostMiss)
-	}
-	of.n += weight
+// scoreServers compares the queue with the predicted queue of each number of servers. The number
+// of busy servers is the work completed per second times the service time of a second of work;
+// the remaining requests in flight wait.
+func (k *endpointState) scoreServers(kind *kindState, inFlight, rate, served float64) {
+	busy := rate * k.serviceTime()
+	waiting := math.Log1p(math.Max(inFlight-busy, 0))
+	weight := served / (served + windowAnswers)
+	for i, m := range serverCounts {
+		deviation := waiting - math.Log1p(queueLength(math.Min(busy/m, 0.99), m))
+		kind.queueErrors[i] += weight * math.Min(deviation*deviation, maxQueueError)
+	}
+	kind.observations += weight
 	for i := range k.ratios {
-		k.ratios[i] *= ratioKeeps
+		k.ratios[i] *= ratioDecay
 	}
 }
 
-// measured are the standard work that was finished, and the seconds that it took. Where
-// three gateways or more speak of an endpoint, the time that one tells for its work counts
-// as far as it is within bounds of what the others tell: one that lies, or whose own links
-// are slow, moves an estimate by so much at most.
-func (k *known) measured() (work, spent float64) {
-	usual := 0.0
-	if len(k.from) >= 3 {
-		ratios := make([]float64, 0, len(k.from))
-		for _, s := range k.from {
+// totals returns the standard work completed and the seconds it took. If at least three gateways
+// report on an endpoint, the time per work of each is clamped around the median. So a gateway
+// that lies or has slow links shifts an estimate only by a bounded amount.
+func (k *endpointState) totals() (work, busyTime float64) {
+	median := 0.0
+	if len(k.byGateway) >= 3 {
+		ratios := make([]float64, 0, len(k.byGateway))
+		for _, s := range k.byGateway {
 			if s.work > 0 {
 				ratios = append(ratios, s.ratio())
 			}
 		}
 		if slices.Sort(ratios); len(ratios) >= 3 {
-			usual = ratios[len(ratios)/2]
+			median = ratios[len(ratios)/2]
 		}
 	}
-	for _, name := range sortedKeys(k.from) {
-		s := k.from[name]
+	for _, name := range sortedKeys(k.byGateway) {
+		s := k.byGateway[name]
 		t := s.time
-		if usual > 0 {
-			t = math.Max(s.work*usual/clampTime, math.Min(t, s.work*usual*clampTime))
+		if median > 0 {
+			t = math.Max(s.work*median/maxTimeRatio, math.Min(t, s.work*median*maxTimeRatio))
 		}
-		work, spent = work+s.work, spent+t
+		work, busyTime = work+s.work, busyTime+t
 	}
-	return work, spent
+	return work, busyTime
 }
 
-func sortedKeys(m map[string]*sum) []string {
+func sortedKeys(m map[string]*cellSum) []string {
 	all := make([]string, 0, len(m))
 	for name := range m {
 		all = append(all, name)
@@ -427,29 +428,29 @@
 	return all
 }
 
-// follow takes an observation of the log of the capacity: a local level, and two sums of
-// innovations that find a change, after which what was known counts for little.
-func (k *known) follow(seen, noise float64) {
+// updateCapacity filters an observed log capacity: a local level model, with two CUSUMs of
+// innovations that detect a change, after which earlier observations have little weight.
+func (k *endpointState) updateCapacity(observation, noise float64) {
 	if k.variance == 0 {
-		k.value, k.variance = seen, noise*noise
+		k.logCapacity, k.variance = observation, noise*noise
 		return
 	}
-	off := seen - k.value
-	z := off / math.Sqrt(k.variance+noise*noise)
-	k.up, k.down = math.Max(0, k.up+z-changeSlack), math.Max(0, k.down-z-changeSlack)
-	if k.up > changeSum || k.down > changeSum {
-		k.variance = changeDrift * changeDrift
-		k.up, k.down = 0, 0
+	innovation := observation - k.logCapacity
+	z := innovation / math.Sqrt(k.variance+noise*noise)
+	k.cusumUp, k.cusumDown = math.Max(0, k.cusumUp+z-changeSlack), math.Max(0, k.cusumDown-z-changeSlack)
+	if k.cusumUp > changeThreshold || k.cusumDown > changeThreshold {
+		k.variance = changeDeviation * changeDeviation
+		k.cusumUp, k.cusumDown = 0, 0
 		k.changes++
 	}
 	gain := k.variance / (k.variance + noise*noise)
-	k.value += gain * off
+	k.logCapacity += gain * innovation
 	k.variance *= 1 - gain
 }
 
-// settleKinds takes the number of servers of each kind that explains best what waits, and
-// the mean of its endpoints.
-func (e *Estimator) settleKinds() {
+// updateKinds selects the number of servers of each kind that best explains the queues, and
+// computes the mean of the kind's endpoints.
+func (e *Estimator) updateKinds() {
 	ids := make([]uint32, 0, len(e.kinds))
 	for id := range e.kinds {
 		ids = append(ids, id)
@@ -457,60 +458,60 @@
 	slices.Sort(ids)
 	all := e.ordered()
 	for _, id := range ids {
-		of := e.kinds[id]
-		of.choose(all, id)
+		kind := e.kinds[id]
+		kind.chooseServers(all, id)
 		sum, weight := 0.0, 0.0
 		for _, k := range all {
 			if k.Kind == id && k.variance > 0 {
-				w := 1 / (k.variance + withinKind*withinKind)
-				sum, weight = sum+w*(k.value-math.Log(k.Nominal)), weight+w
+				w := 1 / (k.variance + withinKindSpread*withinKindSpread)
+				sum, weight = sum+w*(k.logCapacity-math.Log(k.Nominal)), weight+w
 			}
 		}
-		if of.noise = math.Inf(1); weight > 0 {
-			of.mean, of.noise = sum/weight, 1/weight+of.doubt(all, id)
+		if kind.meanVariance = math.Inf(1); weight > 0 {
+			kind.mean, kind.meanVariance = sum/weight, 1/weight+kind.serverVariance(all, id)
 		}
 	}
 }
 
 const (
-	chooseAfter = 20.0  // looks at a kind, before the number of its servers is changed
-	chooseBy    = 0.8   // of the misses, below which another number has to come
-	chooseKeeps = 0.995 // of misses, after each period
-	doubtScale  = 0.5   // of misses, that make a number of servers e times less likely
+	minChooseObservations = 20.0  // observations of a kind needed before its number of servers may change
+	chooseMargin          = 0.8   // fraction of the current error that the error of a new number must be below
+	queueErrorDecay       = 0.995 // decay of the errors per period
+	errorScale            = 0.5   // error that makes a number of servers e times less likely
 )
 
-// choose takes another number of servers where that explains what is seen better.
-func (of *kind) choose(all []*known, id uint32) {
-	best := of.at
-	for i := range servers {
-		if of.misses[i] < of.misses[best] {
+// chooseServers changes the number of servers if another one explains the observations better.
+func (kind *kindState) chooseServers(all []*endpointState, id uint32) {
+	best := kind.serverIndex
+	for i := range serverCounts {
+		if kind.queueErrors[i] < kind.queueErrors[best] {
 			best = i
 		}
 	}
-	if best != of.at && of.n > chooseAfter && of.misses[best] < chooseBy*of.misses[of.at]-doubtScale {
-		of.at = best
+	if best != kind.serverIndex && kind.observations > minChooseObservations && kind.queueErrors[best] < chooseMargin*kind.queueErrors[kind.serverIndex]-errorScale {
+		kind.serverIndex = best
 		for _, k := range all {
-			if k.Kind == id && k.seen {
-				k.value, k.variance = k.slow[best], withinKind*withinKind
-				k.up, k.down = 0, 0
+			if k.Kind == id && k.observed {
+				k.logCapacity, k.variance = k.slowLog[best], withinKindSpread*withinKindSpread
+				k.cusumUp, k.cusumDown = 0, 0
 			}
 		}
 	}
-	for i := range of.misses {
-		of.misses[i] *= chooseKeeps
+	for i := range kind.queueErrors {
+		kind.queueErrors[i] *= queueErrorDecay
 	}
-	of.n *= chooseKeeps
+	kind.observations *= queueErrorDecay
 }
 
-// doubt is the variance that not knowing the number of servers leaves of a kind's capacity:
-// of the numbers that explain what is seen about as well.
-func (of *kind) doubt(all []*known, id uint32) float64 {
-	var logs [len(servers)]float64
+// serverVariance returns the variance of a kind's log capacity that is due to the uncertain
+// number of servers, over the numbers that explain the observations about as well.
+func (kind *kindState) serverVariance(all []*endpointState, id uint32) float64 {
+	var logs [len(serverCounts)]float64
 	n := 0.0
 	for _, k := range all {
-		if k.Kind == id && k.seen {
-			for i := range servers {
-				logs[i] += k.slow[i]
+		if k.Kind == id && k.observed {
+			for i := range serverCounts {
+				logs[i] += k.slowLog[i]
 			}
 			n++
 		}
@@ -519,52 +520,52 @@
 		return 0
 	}
 	sum, square, weight := 0.0, 0.0, 0.0
-	for i := range servers {
-		w := math.Exp(math.Min((of.misses[of.at]-of.misses[i])/doubtScale, 10))
-		x := logs[i] / n
-		sum, square, weight = sum+w*x, square+w*x*x, weight+w
+	for i := range serverCounts {
+		w := math.Exp(math.Min((kind.queueErrors[kind.serverIndex]-kind.queueErrors[i])/errorScale, 10))
+		logMean := logs[i] / n
+		sum, square, weight = sum+w*logMean, square+w*logMean*logMean, weight+w
 	}
 	m := sum / weight
 	return math.Max(square/weight-m*m, 0)
 }
 
-// Estimates are what all endpoints are taken to do: an endpoint is drawn to its kind as far
-// as little was seen of it, and a kind to what is listed. Errors are no throughput.
+// Estimates returns the estimates for all endpoints. An endpoint with few observations is drawn
+// towards its kind, and a kind towards the listed weights. Errors don't count as throughput.
 func (e *Estimator) Estimates() []Estimate {
 	all := e.ordered()
-	usual, weight := 0.0, 0.0
+	meanLog, weight := 0.0, 0.0
 	for _, k := range all {
-		if of := e.kinds[k.Kind]; !math.IsInf(of.noise, 1) {
-			w := 1 / (of.noise + kindSpread*kindSpread)
-			usual, weight = usual+w*of.mean, weight+w
+		if kind := e.kinds[k.Kind]; !math.IsInf(kind.meanVariance, 1) {
+			w := 1 / (kind.meanVariance + kindSpread*kindSpread)
+			meanLog, weight = meanLog+w*kind.mean, weight+w
 		}
 	}
-	usual /= math.Max(weight, 1e-12)
-	out := make([]Estimate, 0, len(all))
+	meanLog /= math.Max(weight, 1e-12)
+	estimates := make([]Estimate, 0, len(all))
 	sum, nominal := 0.0, 0.0
 	for _, k := range all {
-		of := e.kinds[k.Kind]
-		at := 0.0
-		if !math.IsInf(of.noise, 1) {
-			at = (of.mean - usual) * kindSpread * kindSpread / (kindSpread*kindSpread + of.noise)
+		kind := e.kinds[k.Kind]
+		logFactor := 0.0
+		if !math.IsInf(kind.meanVariance, 1) {
+			logFactor = (kind.mean - meanLog) * kindSpread * kindSpread / (kindSpread*kindSpread + kind.meanVariance)
 		}
-		variance := withinKind * withinKind
+		variance := withinKindSpread * withinKindSpread
 		if k.variance > 0 {
-			part := variance / (variance + k.variance)
-			at += (k.value - math.Log(k.Nominal) - of.mean) * part
-			variance *= 1 - part
+			gain := variance / (variance + k.variance)
+			logFactor += (k.logCapacity - math.Log(k.Nominal) - kind.mean) * gain
+			variance *= 1 - gain
 		}
-		at += math.Log(k.good / (k.good + k.bad))
-		x := Estimate{Endpoint: k.Endpoint, Factor: math.Exp(at), Capacity: indicator(weight > 0) * math.Exp(usual+at) * k.Nominal, Deviation: math.Sqrt(variance), Windows: k.windows, Changes: k.changes}
-		out = append(out, x)
+		logFactor += math.Log(k.successes / (k.successes + k.failures))
+		estimate := Estimate{Endpoint: k.Endpoint, Factor: math.Exp(logFactor), Capacity: indicator(weight > 0) * math.Exp(meanLog+logFactor) * k.Nominal, Deviation: math.Sqrt(variance), Windows: k.windows, Changes: k.changes}
+		estimates = append(estimates, estimate)
 		if k.warm() {
-			sum, nominal = sum+k.Nominal*x.Factor, nominal+k.Nominal
+			sum, nominal = sum+k.Nominal*estimate.Factor, nominal+k.Nominal
 		}
 	}
-	if sum > 0 { // the sum of weights is held to that of the list
-		for i := range out {
-			out[i].Factor *= nominal / sum
+	if sum > 0 { // the sum of weights stays that of the list
+		for i := range estimates {
+			estimates[i].Factor *= nominal / sum
 		}
 	}
-	return out
+	return estimates
 }
--- a/internal/fleet/weights/node.go
+++ b/internal/fleet/weights/node.go
@@ -7,96 +7,98 @@
 	"spokegw/internal/fleet/lease"
 )
 
-// staleLeases is how old a table may get before the list's own weights are gone back to.
+// staleLeases is the age of a table, in leases, after which the listed weights are restored.
 const staleLeases = 5
 
-// mostPartsAnswered bounds the parts of a table that one report is answered with.
-const mostPartsAnswered = 4
+// maxPartsAnswered bounds the parts of a table in answer to one report.
+const maxPartsAnswered = 4
 
-// Outgoing is a message that a gateway has to send. One of Report and Answer is told.
+// Outgoing is a message that a gateway has to send. Exactly one of Report and Answer is set.
 type Outgoing struct {
 	To     string
 	Report *Report
 	Answer *Answer
 }
 
-// Leadership is what package election knows at this gateway.
+// Leadership is the current leadership as known to package election at this gateway.
 type Leadership struct {
-	Leader      string // "": nobody, as far as is known
-	Term        uint64 // the holder's
-	LeadingTerm uint64 // the term in which this gateway is the holder; 0: it is not
+	Leader      string // "": none as far as is known
+	Term        uint64 // of the leader
+	LeadingTerm uint64 // term in which this gateway is leader; 0: it is not
 
 	Incarnation uint64 // of this gateway
 }
 
-// Planner makes a plan of what all gateways see, beside the weights. It is the holder's.
+// Planner derives a plan, in addition to the weights, from the observations of all gateways. Only
+// the leader has one.
 type Planner interface {
-	// Observe takes what a gateway saw; standard is a class's factor from hinted to standard
-	// work.
-	Observe(gateway string, seen []Stats, standard func(Class, bool) float64)
-	// Plan is the next plan, each period; capacities are in standard work a second.
+	// Observe adds a gateway's observations; workFactor returns a class's factor from hinted to
+	// standard work.
+	Observe(gateway string, stats []Stats, workFactor func(Class, bool) float64)
+	// Plan returns the next plan and is called each period; capacities are in standard work per
+	// second.
 	Plan(now time.Duration, all []Estimate) []byte
 }
 
 // Node is a gateway's part in the fleet's weights.
 type Node struct {
-	name  string
-	lease time.Duration
-	meter *Reporter
-	copy  *Replica
-	sent  lease.SendTimes
-	plans func(now time.Duration, before []byte) Planner // nil: there are none
-
-	// While it holds the duty:
+	name       string
+	lease      time.Duration
+	reporter   *Reporter
+	replica    *Replica
+	sendTimes  lease.SendTimes
+	newPlanner func(now time.Duration, previous []byte) Planner // nil: there are no plans
+
+	// Only while this gateway is leader:
 	term      uint64
-	planner   Planner // nil: there is none
+	planner   Planner // nil: there are no plans
 	estimator *Estimator
 	assigner  *Assigner
 	table     Table
 	parts     [][]byte
-	gateways  map[string]*told
+	gateways  map[string]*receivedParts
 }
 
-// NewNode makes that of a gateway that has just started. plans makes the planner of one that
-// gets the duty, which goes on from the plan before; nil: there is no plan.
-func NewNode(name string, lease time.Duration, plans func(now time.Duration, before []byte) Planner) *Node {
-	return &Node{name: name, lease: lease, plans: plans, meter: NewReporter(), copy: NewReplica()}
+// NewNode returns the node of a gateway that has just started. newPlanner makes the planner of a
+// new leader, which continues from the previous plan; nil: there are no plans.
+func NewNode(name string, lease time.Duration, newPlanner func(now time.Duration, previous []byte) Planner) *Node {
+	return &Node{name: name, lease: lease, newPlanner: newPlanner, reporter: NewReporter(), replica: NewReplica()}
 }
 
-// Tick is to be called each period: it takes what was seen since, and the list. It returns
-// the messages to be sent.
-func (n *Node) Tick(now time.Duration, seen []Stats, list []Endpoint, d Leadership) (out []Outgoing) {
-	n.meter.Add(now, seen)
-	n.hold(now, list, d)
-	if d.Leader == "" {
+// Tick must be called each period. It takes the observations since the last call and the listed
+// endpoints, and returns the messages to send.
+func (n *Node) Tick(now time.Duration, stats []Stats, list []Endpoint, leadership Leadership) (out []Outgoing) {
+	n.reporter.Add(now, stats)
+	n.lead(now, list, leadership)
+	if leadership.Leader == "" {
 		return nil
 	}
-	seq, parts := n.meter.Tick(now)
-	has, bits := n.copy.Received()
-	beat := n.sent.Record(now)
-	for i, sums := range parts {
-		r := Report{From: n.name, To: d.Leader, Incarnation: d.Incarnation, Heartbeat: beat, Seq: seq, Part: i, TableVersion: has, TableParts: bits, Stats: sums}
-		out = append(out, Outgoing{To: d.Leader, Report: &r})
+	seq, parts := n.reporter.Tick(now)
+	version, received := n.replica.Received()
+	heartbeat := n.sendTimes.Record(now)
+	for i, packed := range parts {
+		r := Report{From: n.name, To: leadership.Leader, Incarnation: leadership.Incarnation, Heartbeat: heartbeat, Seq: seq, Part: i, TableVersion: version, TableParts: received, Stats: packed}
+		out = append(out, Outgoing{To: leadership.Leader, Report: &r})
 	}
 	return out
 }
 
-// hold computes the next table while the duty is this gateway's. One that has just got it
-// goes on from what is in force here.
-func (n *Node) hold(now time.Duration, list []Endpoint, d Leadership) {
-	if d.LeadingTerm == 0 {
+// lead computes the next table while this gateway is leader. A new leader continues from what is
+// in force at this gateway.
+func (n *Node) lead(now time.Duration, list []Endpoint, leadership Leadership) {
+	if leadership.LeadingTerm == 0 {
 		n.term, n.planner, n.estimator, n.assigner, n.gateways, n.parts = 0, nil, nil, nil, nil, nil
 		return
 	}
-	if d.LeadingTerm != n.term {
-		n.term, n.estimator, n.assigner, n.gateways = d.LeadingTerm, NewEstimator(), NewAssigner(d.LeadingTerm, n.copy.now), map[string]*told{}
-		if n.plans != nil {
-			n.planner = n.plans(now, n.copy.whole.Plan)
+	if leadership.LeadingTerm != n.term {
+		n.term, n.estimator, n.assigner, n.gateways = leadership.LeadingTerm, NewEstimator(), NewAssigner(leadership.LeadingTerm, n.replica.logFactors), map[string]*receivedParts{}
+		if n.newPlanner != nil {
+			n.planner = n.newPlanner(now, n.replica.complete.Plan)
 		}
 	}
 	n.estimator.SetEndpoints(now, list, func(id ID) (float64, bool) {
-		at, known := n.copy.now[id]
-		return math.Exp(at), known
+		logFactor, known := n.replica.logFactors[id]
+		return math.Exp(logFactor), known
 	})
 	n.estimator.Update(now)
 	all, plan := n.estimator.Estimates(), []byte(nil)
@@ -108,52 +110,52 @@
 	}
 }
 
-// maxTold bounds the gateways that a holder hears.
-const maxTold = 512
+// maxReporters bounds the gateways that a leader accepts reports from.
+const maxReporters = 512
 
-// HandleReport takes a part of another's report. false: it was impossible.
-func (n *Node) HandleReport(now time.Duration, r Report, d Leadership) (out []Outgoing, meant bool) {
+// HandleReport takes a part of another gateway's report. false: it was invalid.
+func (n *Node) HandleReport(now time.Duration, r Report, leadership Leadership) (out []Outgoing, valid bool) {
 	if r.To != n.name || r.Part < 0 || r.Part >= MaxReportParts {
 		return nil, false
 	}
-	seen, err := unpack(r.Stats)
+	stats, err := unpack(r.Stats)
 	if err != nil {
 		return nil, false
 	}
-	if d.LeadingTerm == 0 || d.LeadingTerm != n.term {
+	if leadership.LeadingTerm == 0 || leadership.LeadingTerm != n.term {
 		return nil, true
 	}
 	g := n.gateways[r.From]
 	if g == nil {
-		if len(n.gateways) >= maxTold {
+		if len(n.gateways) >= maxReporters {
 			return nil, true
 		}
-		g = &told{}
+		g = &receivedParts{}
 		n.gateways[r.From] = g
 	}
-	if g.take(now, &r) {
-		n.estimator.Observe(r.From, seen)
+	if g.accept(now, &r) {
+		n.estimator.Observe(r.From, stats)
 		if n.planner != nil {
-			n.planner.Observe(r.From, seen, n.estimator.WorkFactor)
+			n.planner.Observe(r.From, stats, n.estimator.WorkFactor)
 		}
 	}
 	return n.answer(r), true
 }
 
-// answer acknowledges a part, and gives the parts of the table that its sender lacks.
+// answer acknowledges a part and returns parts of the table that the sender lacks.
 func (n *Node) answer(r Report) (out []Outgoing) {
 	a := Answer{From: n.name, To: r.From, ToIncarnation: r.Incarnation, Heartbeat: r.Heartbeat, Seq: r.Seq, Part: r.Part, Table: n.table.Version, Index: -1, Parts: len(n.parts)}
-	if r.Part == 0 { // others of the report would be answered with the same
+	if r.Part == 0 { // answers to the other parts would repeat the same
 		for i, p := range n.parts {
-			if len(out) == mostPartsAnswered {
+			if len(out) == maxPartsAnswered {
 				break
 			}
 			if r.TableVersion == n.table.Version && r.TableParts&(1<<i) != 0 {
 				continue
 			}
-			with := a
-			with.Index, with.Entries = i, p
-			out = append(out, Outgoing{To: r.From, Answer: &with})
+			partAnswer := a
+			partAnswer.Index, partAnswer.Entries = i, p
+			out = append(out, Outgoing{To: r.From, Answer: &partAnswer})
 		}
 	}
 	if len(out) == 0 {
@@ -162,47 +164,47 @@
 	return out
 }
 
-// HandleAnswer takes the holder's answer. What is not of the present holder's term, or answers
-// what went out longer than a lease ago, is not used. false: it was impossible.
-func (n *Node) HandleAnswer(now time.Duration, a Answer, d Leadership) (meant bool) {
-	sent, known := n.sent.At(a.Heartbeat)
-	if a.To != n.name || a.ToIncarnation != d.Incarnation || !known || now-sent > n.lease {
+// HandleAnswer takes the leader's answer. It is not used if it is not from the current leader's
+// term, or answers a report sent more than a lease ago. false: it was invalid.
+func (n *Node) HandleAnswer(now time.Duration, a Answer, leadership Leadership) (valid bool) {
+	sent, known := n.sendTimes.At(a.Heartbeat)
+	if a.To != n.name || a.ToIncarnation != leadership.Incarnation || !known || now-sent > n.lease {
 		return true
 	}
-	if a.From != d.Leader || a.Table.Term != d.Term {
+	if a.From != leadership.Leader || a.Table.Term != leadership.Term {
 		return true
 	}
-	n.meter.Ack(a.Seq, a.Part)
-	if a.Table.Seq == 0 { // it has none yet
+	n.reporter.Ack(a.Seq, a.Part)
+	if a.Table.Seq == 0 { // the leader has no table yet
 		return true
 	}
-	return n.copy.Apply(sent, a) == nil
+	return n.replica.Apply(sent, a) == nil
 }
 
-// Factors are those to be in force now, and whether they have changed.
+// Factors returns the factors to apply now, and whether they have changed.
 func (n *Node) Factors(now time.Duration) (map[ID]float64, bool) {
-	return n.copy.Factors(now, staleLeases*n.lease)
+	return n.replica.Factors(now, staleLeases*n.lease)
 }
 
-// Plan is that in force; nil: none that is fresh.
-func (n *Node) Plan(now time.Duration) []byte { return n.copy.Plan(now, staleLeases*n.lease) }
+// Plan returns the plan in force; nil: none is fresh.
+func (n *Node) Plan(now time.Duration) []byte { return n.replica.Plan(now, staleLeases*n.lease) }
 
-// Status is where a gateway stands.
+// Status is the state of a gateway.
 type Status struct {
 	Table     Version
-	Age       time.Duration // of the table; under 0: there is none
-	Stale     bool          // the list's own weights are in force, or are gone back to
-	Endpoints int           // that have another weight than the list gives them
-	Changes   int           // found in what endpoints can do; the holder's
-	Reporting int           // gateways; the holder's
+	Age       time.Duration // of the table; below 0: there is none
+	Stale     bool          // the listed weights are in force, or are being restored
+	Endpoints int           // endpoints with a factor other than 1
+	Changes   int           // changes of capacity detected; only at the leader
+	Reporting int           // gateways that have reported; only at the leader
 }
 
-// Status tells where this gateway stands.
+// Status returns the state of this gateway.
 func (n *Node) Status(now time.Duration) (s Status) {
-	s.Table = n.copy.Version()
-	age, got := n.copy.Age(now)
-	s.Age, s.Stale, s.Endpoints, s.Reporting = age, !got || age > staleLeases*n.lease, len(n.copy.now), len(n.gateways)
-	if !got {
+	s.Table = n.replica.Version()
+	age, hasTable := n.replica.Age(now)
+	s.Age, s.Stale, s.Endpoints, s.Reporting = age, !hasTable || age > staleLeases*n.lease, len(n.replica.logFactors), len(n.gateways)
+	if !hasTable {
 		s.Age = -1
 	}
 	if n.estimator != nil {
@@ -213,7 +215,7 @@
 	return s
 }
 
-// Estimates are what the endpoints are taken to do, while the duty is this gateway's.
+// Estimates returns the estimated capacity of the endpoints, while this gateway is leader.
 func (n *Node) Estimates() []Estimate {
 	if n.estimator == nil {
 		return nil
--- a/internal/fleet/weights/pack.go
+++ b/internal/fleet/weights/pack.go
@@ -6,21 +6,21 @@
 	"math"
 )
 
-// Sums are packed as the ID in eight bytes, then unsigned variable-length numbers: lost,
-// silent, errors, declined, unreached, overtaken, the number of cells, and of each the class and whether it is
-// warm, served, time, work, the number of buckets of ratios that are not empty, and of each
-// the place and how many.
+// Encoding of stats: the ID in eight bytes, then unsigned varints: lost time, timed out, errors,
+// declined, unreached, superseded and the number of cells; for each cell the class with a bit for
+// warm, served, time, work and the number of ratio buckets that are not empty, and for each of
+// those its index and count.
 
-var errPacked = errors.New("weights: sums that can't be unpacked")
+var errPacked = errors.New("weights: invalid packed stats")
 
-// mostSeen bounds what one gateway can claim of an endpoint in a report: 2^40 microseconds
-// are twelve days.
-const mostSeen = 1 << 40
+// maxCount bounds what one gateway can claim of an endpoint in a report: 2^40 microseconds are
+// twelve days.
+const maxCount = 1 << 40
 
-func appendSums(b []byte, s *Stats) []byte {
+func appendStats(b []byte, s *Stats) []byte {
 	b = binary.BigEndian.AppendUint64(b, uint64(s.ID))
 	for _, x := range [...]uint64{s.LostTime, s.TimedOut, s.Errors, s.Declined, s.Unreached, s.Superseded, uint64(len(s.Cells))} {
-		b = binary.AppendUvarint(b, min(x, mostSeen))
+		b = binary.AppendUvarint(b, min(x, maxCount))
 	}
 	for _, c := range s.Cells {
 		key := uint64(c.Class) << 1
@@ -28,7 +28,7 @@
 			key |= 1
 		}
 		for _, x := range [...]uint64{key, c.Served, c.Time, c.Work} {
-			b = binary.AppendUvarint(b, min(x, mostSeen))
+			b = binary.AppendUvarint(b, min(x, maxCount))
 		}
 		b = c.Ratios.append(b)
 	}
@@ -51,12 +51,12 @@
 	return b
 }
 
-// unpack reads what was packed. Everything is bounded, and the whole is refused where
-// anything is out of its bounds.
+// unpack decodes packed stats. Each value is bounded, and all are rejected if any is out of
+// bounds.
 func unpack(b []byte) (all []Stats, err error) {
 	next := func() uint64 {
 		x, n := binary.Uvarint(b)
-		if n <= 0 || x > mostSeen {
+		if n <= 0 || x > maxCount {
 			err, b = errPacked, nil
 			return 0
 		}
