--- a/internal/fleet/sites/plan.go
+++ b/internal/fleet/sites/plan.go
@@ -8,156 +8,157 @@
 	"time"
 )
 
-// Plan is what all members do about sites. The zero value is none: all sites are whole.
+// Plan is what all gateways do about sites. The zero value means that all sites are healthy.
 type Plan struct {
 	Sites []SitePlan
-	Admit []Admission // what is not there is let in whole
-	// RetryAfter is how long a client that is refused had better stay away.
+	Admit []Admission // groups without an entry are admitted completely
+	// RetryAfter is how long a refused client should wait.
 	RetryAfter time.Duration
 }
 
-// SitePlan is where one site stands.
+// SitePlan is the plan for one site.
 type SitePlan struct {
-	Site     uint32 // by hash
+	Site     uint32 // hash of the name
 	State    State
-	Fraction float64 // of the fleet that meets it
-	// Factor is by which gateways of each site, by hash, weigh the site's endpoints.
+	Fraction float64 // of the fleet that sends to the site
+	// Factor is the factor for the weights of the site's endpoints, by the hash of the gateway's
+	// site.
 	Factor map[uint32]float64
 }
 
-// Admission is the part of a group that is let in.
+// Admission is the admitted fraction of a group.
 type Admission struct {
 	Group
 	Fraction float64
 }
 
-// Site is what a planner is told of one.
+// Site is a planner's input about one site.
 type Site struct {
 	Name     string
-	Ready    int     // endpoints
-	Capacity float64 // work a second, now
-	Cold     bool    // some of its endpoints are, and it will have more
+	Ready    int     // number of endpoints
+	Capacity float64 // current, in work per second
+	Cold     bool    // some of its endpoints are cold, so its capacity will grow
 }
 
 const (
-	leastTurn, mostTurn = 0.5, 2.0 // bounds of a plan's factors
-	admitRises          = 0.1      // by which more is let in, in a period, at most
-	admitStill          = 0.05     // a part that changes by less stays
-	leastReturn         = 2 * time.Second
-	flowKeeps           = 0.8 // of flows, after a period
+	minFactor, maxFactor = 0.5, 2.0 // bounds of a plan's factors
+	maxAdmitRise         = 0.1      // maximum increase of an admitted fraction per period
+	minAdmitChange       = 0.05     // smaller changes of an admitted fraction are ignored
+	minRetryAfter        = 2 * time.Second
+	flowDecay            = 0.8 // factor on flows after each period
 )
 
-// Planner makes plans. It is the holder's.
+// Planner makes plans. Only the leader has one.
 type Planner struct {
-	set   Settings
-	judge *Detector
-	home  map[string]string
-	far   func(from, to string) float64
-	flow  map[[2]string]float64 // work a second from gateways' sites to endpoints' sites, fading
-	asked map[Group]*Demand     // in this period
-	admit map[Group]float64
+	settings Settings
+	detector *Detector
+	home     map[string]string
+	distance func(from, to string) float64
+	flow     map[[2]string]float64 // work per second from gateways' sites to endpoints' sites, decaying
+	demand   map[Group]*Demand     // in this period
+	admit    map[Group]float64
 }
 
-// NewPlanner goes on from the plan that was in force. home are the sites of gateways, far how
-// far two sites are apart, in any unit.
-func NewPlanner(now time.Duration, set Settings, home map[string]string, far func(from, to string) float64, before Plan) *Planner {
+// NewPlanner continues from the plan in force. home is the sites of gateways, distance the
+// distance between two sites in any unit.
+func NewPlanner(now time.Duration, settings Settings, home map[string]string, distance func(from, to string) float64, previous Plan) *Planner {
 	states := map[string]State{}
 	for _, name := range home {
-		for _, s := range before.Sites {
+		for _, s := range previous.Sites {
 			if s.Site == Hash(name) {
 				states[name] = s.State
 			}
 		}
 	}
-	p := &Planner{set: set, judge: NewDetector(now, home, states), home: home, far: far, flow: map[[2]string]float64{}, asked: map[Group]*Demand{}, admit: map[Group]float64{}}
-	for _, a := range before.Admit {
+	p := &Planner{settings: settings, detector: NewDetector(now, home, states), home: home, distance: distance, flow: map[[2]string]float64{}, demand: map[Group]*Demand{}, admit: map[Group]float64{}}
+	for _, a := range previous.Admit {
 		p.admit[a.Group] = a.Fraction
 	}
 	return p
 }
 
-// SetHome takes other gateways' sites.
-func (p *Planner) SetHome(home map[string]string) { p.home, p.judge.home = home, home }
+// SetHome sets the sites of gateways.
+func (p *Planner) SetHome(home map[string]string) { p.home, p.detector.home = home, home }
 
-// Observe takes what a gateway saw of an endpoint in a period: attempts served, those with no
-// answer or connection, and the work that was done.
-func (p *Planner) Observe(gateway, site string, endpoint uint64, served, missed, work float64) {
-	p.judge.Observe(gateway, site, endpoint, served, missed)
+// Observe adds a gateway's observations of an endpoint in a period: attempts served, attempts
+// without an answer or a connection, and the work done.
+func (p *Planner) Observe(gateway, site string, endpoint uint64, served, failed, work float64) {
+	p.detector.Observe(gateway, site, endpoint, served, failed)
 	from, known := p.home[gateway]
-	at := [2]string{from, site}
-	if _, flows := p.flow[at]; known && (flows || len(p.flow) < MaxSites*MaxSites) {
-		p.flow[at] += work * (1 - flowKeeps)
+	key := [2]string{from, site}
+	if _, tracked := p.flow[key]; known && (tracked || len(p.flow) < MaxSites*MaxSites) {
+		p.flow[key] += work * (1 - flowDecay)
 	}
 }
 
-// AddDemand takes what came to some gateway's door of a group, in a period of a second.
+// AddDemand adds a group's requests at the admission of some gateway, in a period of a second.
 func (p *Planner) AddDemand(g Group, requests, work, worth float64) {
-	d := p.asked[g]
+	d := p.demand[g]
 	if d == nil {
-		if len(p.asked) >= MaxGroups {
+		if len(p.demand) >= MaxGroups {
 			return
 		}
 		d = &Demand{Group: g}
-		p.asked[g] = d
+		p.demand[g] = d
 	}
 	d.Worth = (d.Worth*d.Work + worth*work) / math.Max(d.Work+work, 1e-12)
 	d.MeanWork += requests
 	d.Work += work
 }
 
-// Next makes the next plan, and tells what changed.
+// Next returns the next plan and the changes of sites' states.
 func (p *Planner) Next(now time.Duration, all []Site) (Plan, []Change) {
 	all = all[:min(len(all), MaxSites)]
 	ready, cold := map[string]int{}, map[string]bool{}
 	for _, s := range all {
 		ready[s.Name], cold[s.Name] = s.Ready, s.Cold
 	}
-	changes := p.judge.Step(now, ready, cold)
+	changes := p.detector.Step(now, ready, cold)
 	plan := p.plan(now, all)
 	for k := range p.flow {
-		if p.flow[k] *= flowKeeps; p.flow[k] < 1e-9 {
+		if p.flow[k] *= flowDecay; p.flow[k] < 1e-9 {
 			delete(p.flow, k)
 		}
 	}
-	clear(p.asked)
+	clear(p.demand)
 	return plan, changes
 }
 
-// hurt reports whether any site is not what it was.
-func (p *Planner) hurt(all []Site) bool {
-	return slices.ContainsFunc(all, func(s Site) bool { return p.judge.State(s.Name) >= Lost })
+// anyDegraded reports whether any site is lost or returning.
+func (p *Planner) anyDegraded(all []Site) bool {
+	return slices.ContainsFunc(all, func(s Site) bool { return p.detector.State(s.Name) >= Lost })
 }
 
 func (p *Planner) plan(now time.Duration, all []Site) (plan Plan) {
-	hurt := p.hurt(all)
-	rows := p.rows(all)
+	degraded := p.anyDegraded(all)
+	factors := p.factors(all)
 	for j, s := range all {
-		state := p.judge.State(s.Name)
-		if state == Healthy && !hurt {
+		state := p.detector.State(s.Name)
+		if state == Healthy && !degraded {
 			continue
 		}
-		standing := SitePlan{Site: Hash(s.Name), State: state, Fraction: p.judge.Fraction(s.Name)}
+		sitePlan := SitePlan{Site: Hash(s.Name), State: state, Fraction: p.detector.Fraction(s.Name)}
 		for i, from := range all {
-			if f := rows[i][j]; hurt && f != 1 {
-				if standing.Factor == nil {
-					standing.Factor = map[uint32]float64{}
+			if f := factors[i][j]; degraded && f != 1 {
+				if sitePlan.Factor == nil {
+					sitePlan.Factor = map[uint32]float64{}
 				}
-				standing.Factor[Hash(from.Name)] = f
+				sitePlan.Factor[Hash(from.Name)] = f
 			}
 		}
-		plan.Sites = append(plan.Sites, standing)
+		plan.Sites = append(plan.Sites, sitePlan)
 	}
-	p.let(all, hurt)
+	p.updateAdmission(all, degraded)
 	for _, g := range p.groups() {
-		if part := p.admit[g]; part < 1 {
-			plan.Admit = append(plan.Admit, Admission{g, part})
+		if fraction := p.admit[g]; fraction < 1 {
+			plan.Admit = append(plan.Admit, Admission{g, fraction})
 		}
 	}
-	if hurt {
-		plan.RetryAfter = leastReturn
+	if degraded {
+		plan.RetryAfter = minRetryAfter
 		for _, s := range all {
-			if w := p.judge.sites[s.Name]; w != nil && w.state == Lost {
-				plan.RetryAfter = max(plan.RetryAfter, w.wait-(now-w.since))
+			if lostSite := p.detector.sites[s.Name]; lostSite != nil && lostSite.state == Lost {
+				plan.RetryAfter = max(plan.RetryAfter, lostSite.wait-(now-lostSite.since))
 			}
 		}
 	}
@@ -184,99 +185,101 @@
 	return 0
 }
 
-// room is what may be planned for a site.
-func (p *Planner) room(s Site) float64 {
-	return p.set.Utilisation * s.Capacity * p.judge.Fraction(s.Name)
+// usableCapacity returns how much load may be planned for a site.
+func (p *Planner) usableCapacity(s Site) float64 {
+	return p.settings.Utilisation * s.Capacity * p.detector.Fraction(s.Name)
 }
 
-// let decides what is let in. Demand is what was asked for, so what is refused does not make
-// room; more is let in step by step, less at once.
-func (p *Planner) let(all []Site, hurt bool) {
-	room := 0.0
+// updateAdmission decides which fraction of each group is admitted. Demand counts refused
+// requests too, so refusing does not appear to free capacity. A fraction grows in steps and
+// shrinks at once.
+func (p *Planner) updateAdmission(all []Site, degraded bool) {
+	capacity := 0.0
 	for _, s := range all {
-		room += p.room(s)
+		capacity += p.usableCapacity(s)
 	}
 	var demand []Demand
-	for _, d := range p.asked {
+	for _, d := range p.demand {
 		x := *d
 		x.MeanWork = d.Work / math.Max(d.MeanWork, 1)
 		demand = append(demand, x)
 	}
 	slices.SortFunc(demand, func(a, b Demand) int { return int(a.Class) - int(b.Class) })
-	part := map[Group]float64{}
-	if hurt {
-		part = Admit(demand, room, p.set.Floor)
+	fractions := map[Group]float64{}
+	if degraded {
+		fractions = Admit(demand, capacity, p.settings.Floor)
 	}
 	for _, d := range demand {
-		if _, known := p.admit[d.Group]; !known && len(p.admit) < MaxGroups { // beyond that all is let in
+		if _, known := p.admit[d.Group]; !known && len(p.admit) < MaxGroups { // further groups are admitted completely
 			p.admit[d.Group] = 1
 		}
 	}
-	for g, was := range p.admit {
-		to, asked := part[g]
-		if !asked {
-			to = 1
+	for g, current := range p.admit {
+		target, given := fractions[g]
+		if !given {
+			target = 1
 		}
-		switch next := math.Min(to, was+admitRises); {
-		case next >= 1 && p.asked[g] == nil:
+		switch next := math.Min(target, current+maxAdmitRise); {
+		case next >= 1 && p.demand[g] == nil:
 			delete(p.admit, g)
-		case next >= 1, math.Abs(next-was) > admitStill:
+		case next >= 1, math.Abs(next-current) > minAdmitChange:
 			p.admit[g] = next
 		}
 	}
 }
 
-// rows are by which factor gateways of each site weigh each site's endpoints: what went to
-// lost sites is placed where there is room, the nearest first, and what stays is as it was.
-func (p *Planner) rows(all []Site) Flow {
+// factors returns the factor that gateways of each site apply to each site's endpoints: load of
+// lost sites moves to where there is capacity, the nearest first, and other load stays where it
+// is.
+func (p *Planner) factors(all []Site) Flow {
 	n := len(all)
-	rows := newFlow(n, n)
-	displaced, room := make([]float64, n), make([]float64, n)
+	factors := newFlow(n, n)
+	displaced, capacity := make([]float64, n), make([]float64, n)
 	for j, s := range all {
-		if p.judge.Fraction(s.Name) == 1 { // what returns is filled by its part alone, and never beyond
-			room[j] = p.room(s)
+		if p.detector.Fraction(s.Name) == 1 { // a returning site gets only its own fraction, and no displaced load
+			capacity[j] = p.usableCapacity(s)
 		}
 	}
 	for i, from := range all {
 		for j, to := range all {
-			rows[i][j] = 1
-			f, part := p.flow[[2]string{from.Name, to.Name}], p.judge.Fraction(to.Name)
-			if from.Name == to.Name { // within it is whole, for all that its gateways know
-				part = 1
+			factors[i][j] = 1
+			f, fraction := p.flow[[2]string{from.Name, to.Name}], p.detector.Fraction(to.Name)
+			if from.Name == to.Name { // to its own gateways the site is healthy, as far as they know
+				fraction = 1
 			}
-			displaced[i] += f * (1 - part)
-			room[j] = math.Max(0, room[j]-f*part)
+			displaced[i] += f * (1 - fraction)
+			capacity[j] = math.Max(0, capacity[j]-f*fraction)
 		}
 	}
-	placed, _ := Spread(displaced, room, func(i, j int) float64 { return p.far(all[i].Name, all[j].Name) })
+	placed, _ := Spread(displaced, capacity, func(i, j int) float64 { return p.distance(all[i].Name, all[j].Name) })
 	for i, from := range all {
 		sum, base := 0.0, 0.0
 		for j, to := range all {
-			f := p.flow[[2]string{from.Name, to.Name}] * p.judge.Fraction(to.Name)
+			f := p.flow[[2]string{from.Name, to.Name}] * p.detector.Fraction(to.Name)
 			base += f
 			sum += f + placed[i][j]
 		}
 		for j, to := range all {
-			f := p.flow[[2]string{from.Name, to.Name}] * p.judge.Fraction(to.Name)
-			if f > 1e-6*base && sum > 0 && p.judge.Fraction(to.Name) == 1 {
-				rows[i][j] = math.Max(leastTurn, math.Min((f+placed[i][j])/f*base/sum, mostTurn))
+			f := p.flow[[2]string{from.Name, to.Name}] * p.detector.Fraction(to.Name)
+			if f > 1e-6*base && sum > 0 && p.detector.Fraction(to.Name) == 1 {
+				factors[i][j] = math.Max(minFactor, math.Min((f+placed[i][j])/f*base/sum, maxFactor))
 			}
 		}
 	}
-	return rows
+	return factors
 }
 
-// A plan is packed as the time until the return in milliseconds, and how many sites; of each
-// its hash, state, part in thousandths and how many factors, and of each of those the hash
-// and thousandths; then how many groups, and of each the class, whether it is owed, and the
-// part in thousandths.
+// Encoding of a plan: the RetryAfter time in milliseconds and the number of sites; for each site
+// its hash, state, fraction in thousandths and number of factors, and for each factor the hash
+// and the value in thousandths; then the number of groups, and for each the class, whether it is
+// guaranteed, and the fraction in thousandths.
 
-var errPlan = errors.New("sites: a plan that can't be meant")
+var errPlan = errors.New("sites: invalid plan")
 
-// MaxPacked bounds a packed plan: 16 sites that are lost one to another need less.
+// MaxPacked bounds an encoded plan, in bytes: 16 sites with factors for each other need less.
 const MaxPacked = 4096
 
-// Append appends a plan's bytes.
+// Append appends the encoding of p to b.
 func (p Plan) Append(b []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(p.RetryAfter.Milliseconds()))
 	b = append(b, byte(len(p.Sites)))
@@ -306,15 +309,15 @@
 
 func thousandths(x float64) uint16 { return uint16(math.Round(1000 * math.Max(0, math.Min(x, 60)))) }
 
-// reader reads what was packed; once something is wrong, all is.
+// reader reads an encoded plan; after an error all values read are invalid.
 type reader struct {
-	b   []byte
-	bad bool
+	b       []byte
+	invalid bool
 }
 
 func (r *reader) next(n int) []byte {
 	if len(r.b) < n {
-		r.b, r.bad = nil, true
+		r.b, r.invalid = nil, true
 		return make([]byte, n)
 	}
 	x := r.b[:n]
@@ -322,22 +325,22 @@
 	return x
 }
 
-func (r *reader) byte(most int) int {
+func (r *reader) byte(limit int) int {
 	x := int(r.next(1)[0])
-	r.bad = r.bad || x > most
-	return min(x, most)
+	r.invalid = r.invalid || x > limit
+	return min(x, limit)
 }
 
-func (r *reader) part(most float64) float64 {
+func (r *reader) fraction(limit float64) float64 {
 	x := float64(binary.BigEndian.Uint16(r.next(2))) / 1000
-	r.bad = r.bad || x > most
-	return math.Min(x, most)
+	r.invalid = r.invalid || x > limit
+	return math.Min(x, limit)
 }
 
 func (r *reader) hash() uint32 { return binary.BigEndian.Uint32(r.next(4)) }
 
-// Parse reads a plan. Everything in it is bounded, and the whole is refused where anything
-// is out of its bounds.
+// Parse decodes a plan. Each value is bounded, and the whole plan is rejected if any is out of
+// bounds.
 func Parse(b []byte) (p Plan, err error) {
 	if len(b) == 0 {
 		return p, nil
@@ -349,21 +352,21 @@
 	p.RetryAfter = time.Duration(ms) * time.Millisecond
 	r := &reader{b: b[n:]}
 	for range r.byte(MaxSites) {
-		s := SitePlan{Site: r.hash(), State: State(r.byte(int(Returning))), Fraction: r.part(1)}
+		s := SitePlan{Site: r.hash(), State: State(r.byte(int(Returning))), Fraction: r.fraction(1)}
 		for range r.byte(MaxSites) {
 			if s.Factor == nil {
 				s.Factor = map[uint32]float64{}
 			}
 			from := r.hash()
-			s.Factor[from] = r.part(mostTurn)
+			s.Factor[from] = r.fraction(maxFactor)
 		}
 		p.Sites = append(p.Sites, s)
 	}
 	for range r.byte(MaxGroups) {
 		g := Group{Class: binary.BigEndian.Uint16(r.next(2)), Guaranteed: r.byte(1) == 1}
-		p.Admit = append(p.Admit, Admission{g, r.part(1)})
+		p.Admit = append(p.Admit, Admission{g, r.fraction(1)})
 	}
-	if r.bad || len(r.b) > 0 {
+	if r.invalid || len(r.b) > 0 {
 		return Plan{}, errPlan
 	}
 	return p, nil
--- a/internal/fleet/sites/plan_test.go
+++ b/internal/fleet/sites/plan_test.go
@@ -25,37 +25,36 @@
 	return s
 }
 
-// greedy places load site by site, each at the nearest with room: what Spread was weighed
-// against.
-func greedy(displaced, room []float64, far func(i, j int) float64) (cost float64) {
-	room = append([]float64(nil), room...)
+// greedy places load site by site, each at the nearest with capacity, as the baseline for Spread.
+func greedy(displaced, capacity []float64, distance func(i, j int) float64) (cost float64) {
+	capacity = append([]float64(nil), capacity...)
 	for i, d := range displaced {
 		for d > 1e-9 {
 			best := -1
-			for j := range room {
-				if room[j] > 1e-9 && (best < 0 || far(i, j) < far(i, best)) {
+			for j := range capacity {
+				if capacity[j] > 1e-9 && (best < 0 || distance(i, j) < distance(i, best)) {
 					best = j
 				}
 			}
 			if best < 0 {
 				break
 			}
-			x := math.Min(d, room[best])
-			cost, d, room[best] = cost+x*far(i, best), d-x, room[best]-x
+			x := math.Min(d, capacity[best])
+			cost, d, capacity[best] = cost+x*distance(i, best), d-x, capacity[best]-x
 		}
 	}
 	return cost
 }
 
-// All that there is room for is placed, nowhere more than there is room for, and never
-// farther in all than by taking the nearest each time.
+// Spread must place all load that there is capacity for, no more than the capacity at any site,
+// and with no greater total distance than greedy placement.
 func TestSpread(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, m := rapid.IntRange(1, 6).Draw(t, "from"), rapid.IntRange(1, 6).Draw(t, "to")
-		displaced, room := draw(t, n, "displaced"), draw(t, m, "room")
-		miles := draw(t, n*m, "miles")
-		far := func(i, j int) float64 { return miles[i*m+j] }
-		placed, left := Spread(displaced, room, far)
+		displaced, capacity := draw(t, n, "displaced"), draw(t, m, "room")
+		distances := draw(t, n*m, "miles")
+		distance := func(i, j int) float64 { return distances[i*m+j] }
+		placed, unplaced := Spread(displaced, capacity, distance)
 		cost, all := 0.0, 0.0
 		for j := range m {
 			at := 0.0
@@ -64,29 +63,29 @@
 					t.Fatalf("%v", placed)
 				}
 				at += placed[i][j]
-				cost += placed[i][j] * far(i, j)
+				cost += placed[i][j] * distance(i, j)
 			}
-			if at > room[j]+1e-6 {
-				t.Fatalf("%v where there is room for %v", placed, room)
+			if at > capacity[j]+1e-6 {
+				t.Fatalf("%v placed with capacity for %v", placed, capacity)
 			}
 			all += at
 		}
-		if want := math.Min(sum(displaced), sum(room)); math.Abs(all-want) > 1e-6 || math.Abs(left-(sum(displaced)-want)) > 1e-6 {
-			t.Fatalf("%.3f is placed and %.3f left of %v, with room for %v", all, left, displaced, room)
+		if want := math.Min(sum(displaced), sum(capacity)); math.Abs(all-want) > 1e-6 || math.Abs(unplaced-(sum(displaced)-want)) > 1e-6 {
+			t.Fatalf("%.3f placed and %.3f left of %v, with capacity for %v", all, unplaced, displaced, capacity)
 		}
-		if g := greedy(displaced, room, far); sum(displaced) <= sum(room) && cost > g+1e-6 {
-			t.Fatalf("%.3f far, by the nearest each time %.3f", cost, g)
+		if g := greedy(displaced, capacity, distance); sum(displaced) <= sum(capacity) && cost > g+1e-6 {
+			t.Fatalf("total distance %.3f, greedy %.3f", cost, g)
 		}
 	})
-	// Two that want the same near place: who has no other near one gets it.
+	// Two sites want the same near capacity: the one without another near site must get it.
 	placed, _ := Spread([]float64{10, 10}, []float64{10, 20}, func(i, j int) float64 { return [][]float64{{1, 2}, {1, 9}}[i][j] })
 	if placed[1][0] != 10 || placed[0][1] != 10 {
 		t.Errorf("%v", placed)
 	}
 }
 
-// What is let in fits, and is all that fits; nobody is starved; and who comes first in the
-// stated order has no less of his than who comes after.
+// Admitted work must fit and use all the capacity; no group may be starved; and a group earlier
+// in the stated order must not get a smaller fraction than one after it.
 func TestAdmit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Demand
@@ -95,29 +94,29 @@
 			d := Demand{Group: Group{uint16(i), rapid.Bool().Draw(t, "inside")}, Work: rapid.Float64Range(0.01, 50).Draw(t, "work"), Worth: float64(rapid.IntRange(1, 4).Draw(t, "worth")), MeanWork: float64(rapid.IntRange(1, 4).Draw(t, "mean"))}
 			all, want = append(all, d), want+d.Work
 		}
-		room, floor := rapid.Float64Range(0, 200).Draw(t, "room"), rapid.Float64Range(0, 0.5).Draw(t, "floor")
-		part := Admit(all, room, floor)
+		capacity, floor := rapid.Float64Range(0, 200).Draw(t, "room"), rapid.Float64Range(0, 0.5).Draw(t, "floor")
+		fractions := Admit(all, capacity, floor)
 		in := 0.0
 		for _, a := range all {
-			p := part[a.Group]
+			p := fractions[a.Group]
 			in += p * a.Work
-			if p < math.Min(floor, room/math.Max(want, 1e-9))-1e-9 || p > 1+1e-9 {
-				t.Fatalf("%.3f of a group is let in", p)
+			if p < math.Min(floor, capacity/math.Max(want, 1e-9))-1e-9 || p > 1+1e-9 {
+				t.Fatalf("%.3f of a group is admitted", p)
 			}
 			for _, b := range all {
 				first := a.Guaranteed && !b.Guaranteed || a.Guaranteed == b.Guaranteed && (a.Worth > b.Worth || a.Worth == b.Worth && a.MeanWork < b.MeanWork)
-				if first && a.Work > 0 && p < part[b.Group]-1e-9 {
-					t.Fatalf("%+v has %.3f, and %+v after it %.3f", a, p, b, part[b.Group])
+				if first && a.Work > 0 && p < fractions[b.Group]-1e-9 {
+					t.Fatalf("%+v has %.3f, and %+v after it %.3f", a, p, b, fractions[b.Group])
 				}
 			}
 		}
-		if math.Abs(in-math.Min(room, want)) > 1e-6 {
-			t.Fatalf("%.3f is let in of %.3f, with room for %.3f", in, want, room)
+		if math.Abs(in-math.Min(capacity, want)) > 1e-6 {
+			t.Fatalf("%.3f admitted of %.3f, with capacity for %.3f", in, want, capacity)
 		}
 	})
 }
 
-// A plan is what it was packed from, and no bytes do more than be refused.
+// Decoding must return the plan that was encoded, and truncated bytes must be rejected.
 func TestPlanPacked(t *testing.T) {
 	p := Plan{RetryAfter: 3 * time.Second, Admit: []Admission{{Group{7, true}, 0.5}, {Group{9, false}, 0.05}}}
 	for i := range MaxSites {
@@ -137,7 +136,7 @@
 	}
 	for i := range b {
 		if _, err := Parse(b[:i]); err == nil && i > 0 {
-			t.Fatalf("%d of %d bytes are taken for a plan", i, len(b))
+			t.Fatalf("%d of %d bytes are decoded as a plan", i, len(b))
 		}
 	}
 }
@@ -150,24 +149,24 @@
 			return
 		}
 		if len(p.Sites) > MaxSites || len(p.Admit) > MaxGroups {
-			t.Fatal("out of its bounds")
+			t.Fatal("plan out of bounds")
 		}
 		if again, err := Parse(p.Append(nil)); err != nil || len(again.Sites) != len(p.Sites) {
-			t.Fatalf("%+v can't be read again: %v", p, err)
+			t.Fatalf("%+v can't be decoded again: %v", p, err)
 		}
 		NewEnforcer("g", "s", 3).Apply(time.Second, p, []Endpoint{{1, "s"}})
 	})
 }
 
-// doors are those of a fleet that all have the same plan.
-func doors(n int) (all []*Enforcer) {
+// enforcers returns those of a fleet with n gateways.
+func enforcers(n int) (all []*Enforcer) {
 	for i := range n {
 		all = append(all, NewEnforcer(fmt.Sprint("g", i), "home", n))
 	}
 	return all
 }
 
-// listed are endpoints of a site, numbered.
+// listed returns n numbered endpoints of a site.
 func listed(site string, n uint64) (all []Endpoint) {
 	for e := range n {
 		all = append(all, Endpoint{e, site})
@@ -175,110 +174,111 @@
 	return all
 }
 
-// A lost site is looked at whatever the size of the fleet and of the site, and by gateways
-// whose clocks differ: each outside of it meets an endpoint at least in each cycle of turns, and
-// each endpoint within looksForAll cycles. All together meet no more than they should.
-func TestEveryGatewayLooks(t *testing.T) {
+// A lost site must be probed, whatever the size of the fleet and of the site, by gateways whose
+// clocks differ: each gateway outside it must probe at least one endpoint per cycle, and each
+// endpoint within probesForAll cycles. The total number of probes must be bounded.
+func TestEveryGatewayProbes(t *testing.T) {
 	for _, members := range []int{1, 2, 3, 4, 6, 10, 24, 300} {
 		for _, endpoints := range []uint64{1, 2, 3, 7, 50} {
-			cycle := time.Duration(lookCycle(members)) * lookTurn
-			met := 0
+			cycle := time.Duration(probeCycle(members)) * probeInterval
+			total := 0
 			for g := range members {
 				d := NewEnforcer(fmt.Sprint("g", g), "home", members)
 				seen := map[uint64]bool{}
 				clock := time.Duration(g) * 1300 * time.Millisecond
-				for n := range looksForAll {
-					looks := 0
-					for now := time.Duration(0); now < cycle; now += lookTurn {
+				for n := range probesForAll {
+					probes := 0
+					for now := time.Duration(0); now < cycle; now += probeInterval {
 						at := clock + time.Duration(n)*cycle + now
 						d.Apply(at, Plan{Sites: []SitePlan{{Site: Hash("s"), State: Lost}}}, listed("s", endpoints))
 						for e := range endpoints {
 							if d.RoutesTo("s", e) {
-								looks++
+								probes++
 								seen[e] = true
 							}
 						}
 					}
-					if met += looks; looks == 0 {
-						t.Fatalf("%d gateways, %d endpoints: gateway %d does not look in its cycle %d", members, endpoints, g, n)
+					if total += probes; probes == 0 {
+						t.Fatalf("%d gateways, %d endpoints: gateway %d does not probe in its cycle %d", members, endpoints, g, n)
 					}
 				}
 				if len(seen) < int(endpoints) {
-					t.Errorf("%d gateways, %d endpoints: gateway %d has met %d of them", members, endpoints, g, len(seen))
+					t.Errorf("%d gateways, %d endpoints: gateway %d has probed %d of them", members, endpoints, g, len(seen))
 				}
 			}
-			turns := looksForAll * lookCycle(members)
-			most := 2 * max(leastLookers, lookers) * int(endpoints+looksForAll-1) / looksForAll
-			if met > turns*most {
-				t.Errorf("%d gateways, %d endpoints: %d looks in %d turns", members, endpoints, met, turns)
+			turns := probesForAll * probeCycle(members)
+			maxProbes := 2 * max(minProbers, probers) * int(endpoints+probesForAll-1) / probesForAll
+			if total > turns*maxProbes {
+				t.Errorf("%d gateways, %d endpoints: %d probes in %d turns", members, endpoints, total, turns)
 			}
 		}
 	}
 }
 
-// Each endpoint of a site that returns is met by the stated part of the fleet, and a lost
-// one by a few that look, however large the fleet; gateways within it go on.
-func TestDoors(t *testing.T) {
+// Each endpoint of a returning site must get requests from the stated fraction of the fleet, and
+// one of a lost site from a few probers, however large the fleet; gateways within it must
+// continue.
+func TestEnforcers(t *testing.T) {
 	for _, n := range []int{10, 300} {
-		for _, part := range []float64{0, 0.1, 0.3, 0.7} {
-			all := doors(n)
+		for _, fraction := range []float64{0, 0.1, 0.3, 0.7} {
+			all := enforcers(n)
 			for now := time.Second; now < 40*time.Second; now += time.Second {
 				for _, d := range all {
-					d.Apply(now, Plan{Sites: []SitePlan{{Site: Hash("s"), State: Lost, Fraction: part}}}, listed("s", 50))
+					d.Apply(now, Plan{Sites: []SitePlan{{Site: Hash("s"), State: Lost, Fraction: fraction}}}, listed("s", 50))
 				}
 			}
-			met, lookers := 0, 0
+			routed, probing := 0, 0
 			for _, d := range all {
-				looks := false
+				probes := false
 				for e := range uint64(50) {
 					if d.RoutesTo("s", e) {
-						met, looks = met+1, true
+						routed, probes = routed+1, true
 					}
 					if !d.RoutesTo("other", e) {
-						t.Fatal("another site is not met")
+						t.Fatal("another site gets no requests")
 					}
 				}
-				if looks {
-					lookers++
+				if probes {
+					probing++
 				}
 			}
-			got := float64(met) / float64(n*50)
-			if part > 0 && math.Abs(got-part) > 0.05 {
-				t.Errorf("%d gateways, part %.1f: %.3f meet an endpoint", n, part, got)
+			got := float64(routed) / float64(n*50)
+			if fraction > 0 && math.Abs(got-fraction) > 0.05 {
+				t.Errorf("%d gateways, fraction %.1f: an endpoint gets requests from %.3f", n, fraction, got)
 			}
-			if part == 0 && (lookers == 0 || lookers > 2*lookersMost(n) || got > 0.3) {
-				t.Errorf("%d gateways: %d look at a lost site, at %.3f", n, lookers, got)
+			if fraction == 0 && (probing == 0 || probing > 2*maxProbers(n) || got > 0.3) {
+				t.Errorf("%d gateways: %d probe a lost site, over %.3f of all pairs", n, probing, got)
 			}
 		}
 	}
 	d := NewEnforcer("g", "s", 3)
 	d.Apply(time.Second, Plan{Sites: []SitePlan{{Site: Hash("s"), State: Lost}}}, listed("s", 50))
 	if !d.RoutesTo("s", 1) || d.Degraded() {
-		t.Error("a gateway within the lost site does not meet it")
+		t.Error("a gateway within the lost site does not send to it")
 	}
 }
 
-func lookersMost(n int) int { return min(n, lookers) }
+func maxProbers(n int) int { return min(n, probers) }
 
-// A member for which there is no plan any more in the midst of a return meets more of the
-// site in steps; what gets worse is taken at once.
-func TestDoorRises(t *testing.T) {
+// A gateway whose plan expires while a site returns must raise its traffic to the site in steps;
+// a reduction must take effect at once.
+func TestEnforcerRisesInSteps(t *testing.T) {
 	d := NewEnforcer("g", "home", 3)
-	at := func(now time.Duration, p Plan) float64 {
+	fractionAt := func(now time.Duration, p Plan) float64 {
 		d.Apply(now, p, nil)
-		part, hurt := d.parts[Hash("s")]
-		if !hurt {
+		fraction, reduced := d.fractions[Hash("s")]
+		if !reduced {
 			return 1
 		}
-		return part
+		return fraction
 	}
-	if part := at(time.Second, Plan{Sites: []SitePlan{{Site: Hash("s"), Fraction: 0.2}}}); part != 0.2 {
+	if part := fractionAt(time.Second, Plan{Sites: []SitePlan{{Site: Hash("s"), Fraction: 0.2}}}); part != 0.2 {
 		t.Errorf("it goes down to %.2f", part)
 	}
 	last := 0.2
 	for now := 2 * time.Second; now < 12*time.Second; now += time.Second {
-		part := at(now, Plan{})
-		if part > last+doorRises+1e-9 {
+		part := fractionAt(now, Plan{})
+		if part > last+riseRate+1e-9 {
 			t.Errorf("%v: from %.2f to %.2f", now, last, part)
 		}
 		last = part
@@ -288,9 +288,9 @@
 	}
 }
 
-// Three sites at 75% load, one is lost: what it carried goes to the others and no more is
-// planned for them than they may have; what is worth least is refused, and comes back once
-// the site does.
+// Of three sites at 75% load one is lost: its load must go to the others, with no more planned
+// for them than allowed; what is worth least must be refused, and be admitted again after the
+// site returns.
 func TestPlanForLoss(t *testing.T) {
 	home := map[string]string{"g0": "a", "g1": "b", "g2": "c", "g3": "a", "g4": "b", "g5": "c"}
 	p := NewPlanner(0, Settings{Utilisation: 0.8, Floor: 0.05}, home, func(i, j string) float64 { return 1 }, Plan{})
@@ -317,7 +317,7 @@
 	var plan Plan
 	for range 20 {
 		if plan = period(func(string) bool { return true }); len(plan.Sites)+len(plan.Admit) > 0 {
-			t.Fatalf("nothing is wrong, and the plan is %+v", plan)
+			t.Fatalf("without a loss the plan is %+v", plan)
 		}
 	}
 	for range 4 {
@@ -327,22 +327,22 @@
 	for _, a := range plan.Admit {
 		admitted[a.Group] = a.Fraction
 	}
-	if in := 15*admitted[Group{1, false}] + 7.5*admitted[Group{2, true}]; admitted[Group{2, true}] < 1 || in > 16.01 || in < 15.5 {
-		t.Errorf("%v is let in, %.2f of work: 16 may be planned for", admitted, in)
+	if admittedWork := 15*admitted[Group{1, false}] + 7.5*admitted[Group{2, true}]; admitted[Group{2, true}] < 1 || admittedWork > 16.01 || admittedWork < 15.5 {
+		t.Errorf("%v admitted, %.2f of work: 16 may be planned", admitted, admittedWork)
 	}
-	if plan.RetryAfter < leastReturn {
-		t.Errorf("clients are to stay away for %v", plan.RetryAfter)
+	if plan.RetryAfter < minRetryAfter {
+		t.Errorf("clients are to retry after %v", plan.RetryAfter)
 	}
 	for range 60 {
 		plan = period(func(string) bool { return true })
 	}
 	if len(plan.Sites)+len(plan.Admit) > 0 {
-		t.Errorf("a minute after: %+v", plan)
+		t.Errorf("a minute after the return: %+v", plan)
 	}
 }
 
-// Zones, groups and flows that come and go for long leave a planner within its bounds, and a
-// plan that can be read; at the most sites there are the flows are still followed.
+// Sites, groups and flows that come and go for long must leave a planner within its bounds, with
+// a plan that can be decoded; with the maximum number of sites the flows must still be tracked.
 func TestPlannerBounds(t *testing.T) {
 	home := map[string]string{}
 	var list []Site
@@ -353,7 +353,7 @@
 	p := NewPlanner(0, DefaultSettings, home, func(i, j string) float64 { return 1 }, Plan{})
 	for n := range 200 {
 		if f := p.flow[[2]string{"s1", "s2"}]; n == 6 && f < 0.5 {
-			t.Errorf("with all flows known one of 1 is followed as %.3f", f)
+			t.Errorf("with all flows tracked, a flow of 1 is estimated as %.3f", f)
 		}
 		for g := range home {
 			for j, s := range list {
@@ -373,12 +373,12 @@
 		}
 	}
 	if f := p.flow[[2]string{"s1", "s2"}]; f < 0.5 {
-		t.Errorf("a flow of 1 is followed as %.3f", f)
+		t.Errorf("a flow of 1 is estimated as %.3f", f)
 	}
 	for n := range 3 * MaxSites {
 		p.Next(time.Duration(200+n)*time.Second, []Site{{Name: fmt.Sprint("z", n), Ready: 4, Capacity: 1}, list[1]})
 	}
-	if p.judge.sites["z47"] == nil {
-		t.Error("a zone that is new has no place among those that are gone")
+	if p.detector.sites["z47"] == nil {
+		t.Error("a new site has no entry because of removed ones")
 	}
 }
--- a/internal/fleet/sites/sites.go
+++ b/internal/fleet/sites/sites.go
@@ -1,13 +1,13 @@
-// Package sites plans for the loss of a whole site: a zone or data centre with its endpoints
-// and gateways. It is pure: what gateways saw and time come in, plans go out; there is no
-// I/O, no clock, no goroutine.
+// Package sites plans for the loss of a whole site: a zone or data centre with its endpoints and
+// gateways. It is pure: observations of gateways and time come in, plans go out; there is no I/O,
+// no clock, no goroutine.
 //
-// The holder of the fleet's duty judges sites by what all gateways tell of their attempts
+// The fleet's leader determines the state of sites from the attempts that all gateways report
 // (Detector): a site is lost when several gateways that are not cut off themselves see it gone,
-// and most of its endpoints are among what they tried. It then says where the load of the
-// lost site goes (Spread), what is refused if the others can't carry all (Admit), and by
-// which part the site is met as it comes back (Detector.Fraction). Members do what the plan says
-// while it is fresh (Enforcer), and go by their own sight else.
+// and most of the endpoints tried fail. The leader then decides where the load of the lost site
+// goes (Spread), what is refused if the other sites lack the capacity (Admit), and which fraction
+// of traffic a returning site gets (Detector.Fraction). Gateways follow the plan while it is
+// fresh (Enforcer), and otherwise go by their own observations.
 package sites
 
 import (
@@ -17,20 +17,20 @@
 	"time"
 )
 
-// MaxSites bounds a fleet's sites, MaxGroups the kinds of demand that are told apart.
+// MaxSites bounds the sites of a fleet, MaxGroups the groups of demand.
 const (
 	MaxSites  = 16
 	MaxGroups = 64
 )
 
-// State is where a site stands.
+// State is the state of a site.
 type State uint8
 
 const (
 	Healthy   State = iota
-	Suspected       // somebody sees it gone
-	Lost            // nobody sends to it but a few that look
-	Returning       // it is met by a part of the fleet
+	Suspected       // some gateway sees it gone
+	Lost            // only a few probes are sent to it
+	Returning       // it gets a fraction of its traffic
 )
 
 func (s State) String() string {
@@ -40,221 +40,222 @@
 	return [...]string{"whole", "doubted", "lost", "returning"}[s]
 }
 
-// Settings are those of all gateways.
+// Settings are the same at all gateways.
 type Settings struct {
-	// Utilisation is the part of a site's capacity up to which load is planned for it.
+	// Utilisation is the fraction of a site's capacity up to which load is planned for it.
 	Utilisation float64
-	// Floor is the part of each class and standing that is let in, whatever is refused.
+	// Floor is the fraction of each group that is always admitted.
 	Floor float64
 }
 
-// DefaultSettings are settings that fit most.
+// DefaultSettings suit most fleets.
 var DefaultSettings = Settings{Utilisation: 0.9, Floor: 0.05}
 
 const (
-	// What a return is judged by is the evidence of the last periods. A loss is judged by
-	// what has failed since anything last was served, and no longer ago than memory: each
-	// sidecar by itself soon stops meeting what fails, so evidence of it is short.
-	periods = 2
-	memory  = 8 // periods
-	// leastTries is how many attempts at a site make a gateway an observer of it, goneAt
-	// the part of them that has to fail for it to see the site gone. As many have to fail at
-	// an endpoint for it to be dead.
-	leastTries = 2
-	goneAt     = 0.8
-	// leastObservers have to see it gone, and more than half of all that look.
-	leastObservers = 2
-	// deadAt is the part of the endpoints tried that nobody was served by, enoughTried how
-	// many were tried, or half of the site's.
-	deadAt      = 0.82
-	enoughTried = 4
-	// holds is how many periods in a row the evidence has to stand.
-	holds = 2
-
-	firstWait   = 2 * time.Second // from a loss until a return is believed; doubles with each
-	longestWait = time.Minute     // loss soon after the one before
-	steady      = time.Minute     // whole for so long, it is as if there had been no loss
-
-	firstPart = 0.1 // of the fleet that meets a site as it returns; a period later half as much again
-	partStep  = 0.1 // and so much at least
-	goodAt    = 0.9 // part of the attempts that have to be served for that
-	badAt     = 0.7 // below which the part is halved
+	// A return is judged by the evidence of the last returnPeriods. A loss is judged by what has
+	// failed since an attempt was last served, but within lossMemory: each sidecar by itself soon
+	// stops sending to failing endpoints, so there is evidence only for a short time.
+	returnPeriods = 2
+	lossMemory    = 8 // periods
+	// minAttempts is the number of attempts at a site that makes a gateway an observer of it, and
+	// goneFraction the fraction of them that must fail for it to see the site gone. The same
+	// numbers of attempts at an endpoint decide whether it is dead.
+	minAttempts  = 2
+	goneFraction = 0.8
+	// minObservers is the number of observers that must see the site gone, besides a majority of
+	// all observers.
+	minObservers = 2
+	// deadFraction is the fraction of the endpoints tried that must be dead. minTried is how many
+	// must have been tried, unless that is at least half of the site's endpoints.
+	deadFraction = 0.82
+	minTried     = 4
+	// confirmPeriods is the number of consecutive periods in which the evidence must hold.
+	confirmPeriods = 2
+
+	minReturnWait = 2 * time.Second // from a loss until a return is accepted; doubles with each
+	maxReturnWait = time.Minute     // loss soon after the previous one
+	stableTime    = time.Minute     // time as Healthy after which earlier losses are forgotten
+
+	initialFraction = 0.1 // initial fraction of the fleet for a returning site, which grows by half per period
+	minFractionStep = 0.1 // minimum growth per period
+	goodFraction    = 0.9 // fraction of attempts that must be served for the fraction to grow
+	badFraction     = 0.7 // fraction of attempts served below which the fraction is halved
 )
 
-// evidence is what attempts came to.
-type evidence struct{ served, missed float64 }
+// evidence counts attempts by result.
+type evidence struct{ served, failed float64 }
 
-func (e evidence) tries() float64 { return e.served + e.missed }
-func (e evidence) gone() bool     { return e.tries() >= leastTries && e.missed >= goneAt*e.tries() }
+func (e evidence) total() float64 { return e.served + e.failed }
+func (e evidence) gone() bool     { return e.total() >= minAttempts && e.failed >= goneFraction*e.total() }
 
-func (e *evidence) add(o evidence) { e.served, e.missed = e.served+o.served, e.missed+o.missed }
+func (e *evidence) add(o evidence) { e.served, e.failed = e.served+o.served, e.failed+o.failed }
 
-// streak is evidence since what was seen last turned.
+// streak is the evidence since the result of attempts last changed.
 type streak struct {
 	evidence
-	fails bool // most of it was missed
-	at    int  // the latest period that it is of
+	failing bool // most of it failed
+	period  int  // the latest period with evidence
 }
 
-// take takes the evidence of a period.
-func (k *streak) take(e evidence, period int) {
-	if fails := e.missed >= goneAt*e.tries(); fails != k.fails {
-		k.evidence, k.fails = evidence{}, fails
+// observe adds the evidence of a period.
+func (k *streak) observe(e evidence, period int) {
+	if failing := e.failed >= goneFraction*e.total(); failing != k.failing {
+		k.evidence, k.failing = evidence{}, failing
 	}
 	k.add(e)
-	k.at = period
+	k.period = period
 }
 
-// look is what was seen of a site in a period.
-type look struct {
+// observation is what was seen of a site in a period.
+type observation struct {
 	gateways  map[string]evidence
-	endpoints map[uint64]evidence // as gateways of other sites saw them
+	endpoints map[uint64]evidence // as seen by gateways of other sites
 }
 
-func newLook() look { return look{map[string]evidence{}, map[uint64]evidence{}} }
+func newObservation() observation { return observation{map[string]evidence{}, map[uint64]evidence{}} }
 
-// site is one.
+// site is the state of one site.
 type site struct {
-	name  string
-	looks [periods]look
-	// gateways and endpoints are what looks came to, by gateway and, as gateways of other
-	// sites saw them, by endpoint.
-	gateways  map[string]streak
-	endpoints map[uint64]streak
-	ready     int  // endpoints that the list has
-	cold      bool // some of them are
-	state     State
-	part      float64       // of the fleet that meets it
-	since     time.Duration // of the state
-	stood     int           // periods that evidence of a loss has stood
-	wait      time.Duration
-	lost      time.Duration // when it was last given up
-	whole     time.Duration // when it was last whole again
+	name   string
+	recent [returnPeriods]observation
+	// gateways and endpoints accumulate the observations by gateway and, as seen by gateways of
+	// other sites, by endpoint.
+	gateways    map[string]streak
+	endpoints   map[uint64]streak
+	ready       int  // number of listed endpoints that are ready
+	cold        bool // some of them are cold
+	state       State
+	fraction    float64       // of the fleet that sends to it
+	since       time.Duration // when the state was entered
+	lossPeriods int           // consecutive periods with evidence of a loss
+	wait        time.Duration
+	lostAt      time.Duration // of the latest loss
+	healthyAt   time.Duration // when it last became healthy
 }
 
-// Detector says where sites stand. It is the holder's.
+// Detector determines the state of sites. Only the leader has one.
 type Detector struct {
 	home   map[string]string // sites of gateways
 	sites  map[string]*site
 	period int
 }
 
-// NewDetector makes one that takes all sites to be whole, but for those told otherwise.
-func NewDetector(now time.Duration, home map[string]string, before map[string]State) *Detector {
-	j := &Detector{home: home, sites: map[string]*site{}}
-	for name, state := range before {
-		s := j.site(name)
+// NewDetector returns a detector that takes all sites to be healthy, except for the states in
+// previous.
+func NewDetector(now time.Duration, home map[string]string, previous map[string]State) *Detector {
+	d := &Detector{home: home, sites: map[string]*site{}}
+	for name, state := range previous {
+		s := d.site(name)
 		if s == nil {
 			break
 		}
 		s.since = now
-		if s.state = state; state == Lost || state == Returning { // it begins anew with what is met of it
-			s.state, s.part, s.lost, s.wait = Lost, 0, now, firstWait
+		if s.state = state; state == Lost || state == Returning { // restarts as lost, with evidence from now on
+			s.state, s.fraction, s.lostAt, s.wait = Lost, 0, now, minReturnWait
 		}
 	}
-	return j
+	return d
 }
 
-// site is one of a name; nil: there are too many.
-func (j *Detector) site(name string) *site {
-	s := j.sites[name]
-	if s == nil && len(j.sites) < MaxSites {
-		s = &site{name: name, part: 1, wait: firstWait, gateways: map[string]streak{}, endpoints: map[uint64]streak{}}
-		for i := range s.looks {
-			s.looks[i] = newLook()
+// site returns the site of a name; nil: there are too many.
+func (d *Detector) site(name string) *site {
+	s := d.sites[name]
+	if s == nil && len(d.sites) < MaxSites {
+		s = &site{name: name, fraction: 1, wait: minReturnWait, gateways: map[string]streak{}, endpoints: map[uint64]streak{}}
+		for i := range s.recent {
+			s.recent[i] = newObservation()
 		}
-		j.sites[name] = s
+		d.sites[name] = s
 	}
 	return s
 }
 
-// maxSeen bounds what is remembered of a site in a period.
-const maxSeen = 1024
+// maxTracked bounds the gateways and the endpoints tracked per site and period.
+const maxTracked = 1024
 
-// Observe takes what a gateway saw of an endpoint: attempts that were served, and those that
-// had no answer or no connection.
-func (j *Detector) Observe(gateway, siteName string, endpoint uint64, served, missed float64) {
-	s := j.site(siteName)
-	if _, known := j.home[gateway]; !known || s == nil || served+missed <= 0 {
+// Observe adds a gateway's observations of an endpoint: attempts that were served, and those
+// without an answer or a connection.
+func (d *Detector) Observe(gateway, siteName string, endpoint uint64, served, failed float64) {
+	s := d.site(siteName)
+	if _, known := d.home[gateway]; !known || s == nil || served+failed <= 0 {
 		return
 	}
-	l, e := &s.looks[0], evidence{served, missed}
-	if g, seen := l.gateways[gateway]; seen || len(l.gateways) < maxSeen {
+	latest, e := &s.recent[0], evidence{served, failed}
+	if g, seen := latest.gateways[gateway]; seen || len(latest.gateways) < maxTracked {
 		g.add(e)
-		l.gateways[gateway] = g
+		latest.gateways[gateway] = g
 	}
-	if j.home[gateway] == siteName { // it may be alive within, and cut off
+	if d.home[gateway] == siteName { // the site may be alive internally, and cut off
 		return
 	}
-	if x, seen := l.endpoints[endpoint]; seen || len(l.endpoints) < maxSeen {
+	if x, seen := latest.endpoints[endpoint]; seen || len(latest.endpoints) < maxTracked {
 		x.add(e)
-		l.endpoints[endpoint] = x
+		latest.endpoints[endpoint] = x
 	}
 }
 
-// remember takes the latest look into what is known by gateway and endpoint, and forgets
-// what is too old.
-func (s *site) remember(period int) {
-	for g, e := range s.looks[0].gateways {
+// accumulate merges the latest observation by gateway and endpoint, and drops what is too old.
+func (s *site) accumulate(period int) {
+	for g, e := range s.recent[0].gateways {
 		k := s.gateways[g]
-		k.take(e, period)
+		k.observe(e, period)
 		s.gateways[g] = k
 	}
-	for id, e := range s.looks[0].endpoints {
+	for id, e := range s.recent[0].endpoints {
 		k := s.endpoints[id]
-		k.take(e, period)
+		k.observe(e, period)
 		s.endpoints[id] = k
 	}
-	maps.DeleteFunc(s.gateways, func(_ string, k streak) bool { return period-k.at >= memory })
-	maps.DeleteFunc(s.endpoints, func(_ uint64, k streak) bool { return period-k.at >= memory })
+	maps.DeleteFunc(s.gateways, func(_ string, k streak) bool { return period-k.period >= lossMemory })
+	maps.DeleteFunc(s.endpoints, func(_ uint64, k streak) bool { return period-k.period >= lossMemory })
 }
 
-// verdict is what the evidence on a site says.
-type verdict struct {
-	observers, gone int // from outside of it, that are served somewhere else
+// assessment summarises the evidence on a site.
+type assessment struct {
+	observers, gone int // at other sites, and served by some other site
 	tried, dead     int // endpoints
 	all             evidence
 }
 
-// lost reports whether a site is gone, as far as this tells: to several observers, and most
-// of it. One bad endpoint, a release that replaces some, a gateway with a bad link or an
-// empty list is no loss.
-func (v verdict) lost(ready int) bool {
-	return v.gone >= leastObservers && 2*v.gone > v.observers && ready > 1 &&
-		float64(v.dead) >= deadAt*float64(v.tried) && (v.tried >= enoughTried || 2*v.tried >= ready)
+// lost reports whether the evidence shows a site to be lost: several observers see it gone, and
+// most of its endpoints are dead. One bad endpoint, a release that replaces some endpoints, a
+// gateway with a bad link or an empty list is not a loss.
+func (a assessment) lost(ready int) bool {
+	return a.gone >= minObservers && 2*a.gone > a.observers && ready > 1 &&
+		float64(a.dead) >= deadFraction*float64(a.tried) && (a.tried >= minTried || 2*a.tried >= ready)
 }
 
-// verdicts are those on all sites. A gateway that is served nowhere else is cut off itself,
-// for all that it knows, and no observer.
-func (j *Detector) verdicts() map[string]verdict {
-	served := map[string]map[string]bool{}
-	for name, s := range j.sites {
-		s.remember(j.period)
+// assess returns the assessments of all sites. A gateway that no other site serves may be cut off
+// itself, so it is no observer.
+func (d *Detector) assess() map[string]assessment {
+	servedBy := map[string]map[string]bool{}
+	for name, s := range d.sites {
+		s.accumulate(d.period)
 		for g, e := range s.gateways {
 			if e.served > 0 && !e.gone() {
-				if served[g] == nil {
-					served[g] = map[string]bool{}
+				if servedBy[g] == nil {
+					servedBy[g] = map[string]bool{}
 				}
-				served[g][name] = true
+				servedBy[g][name] = true
 			}
 		}
 	}
-	all := map[string]verdict{}
-	for name, s := range j.sites {
-		var v verdict
-		for _, l := range s.looks {
+	all := map[string]assessment{}
+	for name, s := range d.sites {
+		var v assessment
+		for _, l := range s.recent {
 			for g, e := range l.gateways {
-				if j.home[g] != name {
+				if d.home[g] != name {
 					v.all.add(e)
 				}
 			}
 		}
 		for g, e := range s.gateways {
-			elsewhere := len(served[g])
-			if served[g][name] {
-				elsewhere--
+			otherSites := len(servedBy[g])
+			if servedBy[g][name] {
+				otherSites--
 			}
-			if j.home[g] == name || elsewhere == 0 || e.tries() < leastTries {
+			if d.home[g] == name || otherSites == 0 || e.total() < minAttempts {
 				continue
 			}
 			v.observers++
@@ -273,126 +274,127 @@
 	return all
 }
 
-// Change is one of a site's state.
+// Change is a change of a site's state.
 type Change struct {
 	Site     string
 	From, To State
 }
 
-// Step is to be called each period, with how many endpoints of each site the list has that
-// are ready, and which sites have cold ones. It returns what changed.
-func (j *Detector) Step(now time.Duration, ready map[string]int, cold map[string]bool) (changes []Change) {
+// Step must be called each period, with the number of listed endpoints of each site that are
+// ready, and the sites with cold endpoints. It returns the changes.
+func (d *Detector) Step(now time.Duration, ready map[string]int, cold map[string]bool) (changes []Change) {
 	for name := range ready {
-		j.site(name)
+		d.site(name)
 	}
-	j.period++
-	verdicts := j.verdicts()
-	gone := 0 // at once: if no site is left there is nothing to plan
-	for name, s := range j.sites {
+	d.period++
+	assessments := d.assess()
+	lost := 0 // lost sites: if no other site is left there is nothing to plan
+	for name, s := range d.sites {
 		s.ready, s.cold = ready[name], cold[name]
-		if s.state == Lost || verdicts[name].lost(s.ready) {
-			gone++
+		if s.state == Lost || assessments[name].lost(s.ready) {
+			lost++
 		}
 	}
-	for _, name := range sorted(j.sites) {
-		s := j.sites[name]
-		before := s.state
-		s.step(now, verdicts[name], gone < len(j.sites))
-		if s.state != before {
-			changes = append(changes, Change{name, before, s.state})
+	for _, name := range sortedKeys(d.sites) {
+		s := d.sites[name]
+		previous := s.state
+		s.step(now, assessments[name], lost < len(d.sites))
+		if s.state != previous {
+			changes = append(changes, Change{name, previous, s.state})
 		}
 		if _, listed := ready[name]; !listed && s.state == Healthy {
-			delete(j.sites, name) // a zone that the list no longer has
+			delete(d.sites, name) // a zone that is no longer listed
 			continue
 		}
-		for i := periods - 1; i > 0; i-- {
-			s.looks[i] = s.looks[i-1]
+		for i := returnPeriods - 1; i > 0; i-- {
+			s.recent[i] = s.recent[i-1]
 		}
-		s.looks[0] = newLook()
+		s.recent[0] = newObservation()
 	}
 	return changes
 }
 
-func (s *site) become(now time.Duration, state State) { s.state, s.since = state, now }
+func (s *site) setState(now time.Duration, state State) { s.state, s.since = state, now }
 
-// step takes a verdict.
-func (s *site) step(now time.Duration, v verdict, others bool) {
-	if s.stood++; !v.lost(s.ready) {
-		s.stood = 0
+// step updates the state from an assessment.
+func (s *site) step(now time.Duration, v assessment, othersRemain bool) {
+	if s.lossPeriods++; !v.lost(s.ready) {
+		s.lossPeriods = 0
 	}
 	switch s.state {
 	case Healthy, Suspected:
 		switch {
-		case s.stood >= holds && others:
-			s.giveUp(now)
+		case s.lossPeriods >= confirmPeriods && othersRemain:
+			s.markLost(now)
 		case v.gone > 0 && s.state == Healthy:
-			s.become(now, Suspected)
+			s.setState(now, Suspected)
 		case v.gone == 0 && s.state == Suspected:
-			s.become(now, Healthy)
+			s.setState(now, Healthy)
 		}
 	case Lost:
-		if !others || now-s.since < s.wait {
+		if !othersRemain || now-s.since < s.wait {
 			return
 		}
-		if s.ready == 0 { // it is out of the list, and who comes back is in it
+		if s.ready == 0 { // no endpoint is listed; those that return are listed first
 			return
 		}
-		if v.all.tries() >= leastTries && v.all.served >= goodAt*v.all.tries() {
-			s.become(now, Returning)
-			s.part = firstPart
+		if v.all.total() >= minAttempts && v.all.served >= goodFraction*v.all.total() {
+			s.setState(now, Returning)
+			s.fraction = initialFraction
 		}
 	case Returning:
-		s.pace(now, v)
+		s.stepReturn(now, v)
 	}
 }
 
-// giveUp has the site lost. One that is lost again soon after waits twice as long.
-func (s *site) giveUp(now time.Duration) {
+// markLost marks the site as lost. If it is lost again soon after, the wait doubles.
+func (s *site) markLost(now time.Duration) {
 	switch {
-	case s.lost == 0 || s.state != Returning && now-s.whole > steady:
-		s.wait = firstWait
+	case s.lostAt == 0 || s.state != Returning && now-s.healthyAt > stableTime:
+		s.wait = minReturnWait
 	default:
-		s.wait = min(2*s.wait, longestWait)
+		s.wait = min(2*s.wait, maxReturnWait)
 	}
-	s.become(now, Lost)
-	s.part, s.lost, s.stood = 0, now, 0
+	s.setState(now, Lost)
+	s.fraction, s.lostAt, s.lossPeriods = 0, now, 0
 }
 
-// pace has more of the fleet meet a site that returns, less where it fails, and gives it up
-// again where it is gone. The part is one for the whole fleet. It is whole again once its
-// endpoints are warm: until then less is let in than all.
-func (s *site) pace(now time.Duration, v verdict) {
-	tries := v.all.tries()
+// stepReturn adjusts the fraction of a returning site: more if attempts succeed, less if they
+// fail, and lost again if the site is gone. The fraction applies to the whole fleet. The site is
+// healthy again only when its endpoints are warm, since until then it has less than its full
+// capacity.
+func (s *site) stepReturn(now time.Duration, v assessment) {
+	attempts := v.all.total()
 	switch {
-	case s.stood > 0 || tries > 0 && v.all.served < (1-goneAt)*tries:
-		s.giveUp(now)
-	case tries < leastTries: // nobody knows
-	case v.all.served >= goodAt*tries:
-		if s.part = min(1, max(1.5*s.part, s.part+partStep)); s.part == 1 && !s.cold {
-			s.become(now, Healthy)
-			s.whole = now
+	case s.lossPeriods > 0 || attempts > 0 && v.all.served < (1-goneFraction)*attempts:
+		s.markLost(now)
+	case attempts < minAttempts: // not enough evidence
+	case v.all.served >= goodFraction*attempts:
+		if s.fraction = min(1, max(1.5*s.fraction, s.fraction+minFractionStep)); s.fraction == 1 && !s.cold {
+			s.setState(now, Healthy)
+			s.healthyAt = now
 		}
-	case v.all.served < badAt*tries:
-		s.part = max(firstPart, s.part/2)
+	case v.all.served < badFraction*attempts:
+		s.fraction = max(initialFraction, s.fraction/2)
 	}
 }
 
-// State is where a site stands, and Fraction the part of the fleet that meets it.
-func (j *Detector) State(name string) State {
-	if s := j.sites[name]; s != nil {
+// State returns the state of a site, and Fraction the fraction of the fleet that sends to it.
+func (d *Detector) State(name string) State {
+	if s := d.sites[name]; s != nil {
 		return s.state
 	}
 	return Healthy
 }
 
-func (j *Detector) Fraction(name string) float64 {
-	if s := j.sites[name]; s != nil {
-		return s.part
+func (d *Detector) Fraction(name string) float64 {
+	if s := d.sites[name]; s != nil {
+		return s.fraction
 	}
 	return 1
 }
 
-// Hash names a site in a plan.
+// Hash returns the hash that identifies a site in a plan.
 func Hash(name string) uint32 {
 	h := fnv.New32a()
 	io.WriteString(h, name)
