--- a/internal/fleet/coordination/coordinator.go
+++ b/internal/fleet/coordination/coordinator.go
@@ -1,6 +1,6 @@
-// Package coordination puts together what gateways decide for all of them: who holds the duty
-// (package election), and what its holder makes of all that they see (package weights). It is
-// pure. What runs and what is played in virtual time is this one piece.
+// Package coordination combines what gateways decide for all of them: who is leader (package
+// election), and what the leader derives from the observations of all (packages weights and
+// sites). It is pure. The same code runs in production and in simulated time.
 package coordination
 
 import (
@@ -13,7 +13,7 @@
 	"spokegw/internal/fleet/weights"
 )
 
-// Message is one message. One of its fields is told.
+// Message is one message. Exactly one of its fields is set.
 type Message struct {
 	LeaderReport *election.Report
 	LeaderReply  *election.Reply
@@ -27,41 +27,42 @@
 	Message
 }
 
-// Observer is what a gateway sees by itself.
+// Observer provides a gateway's own observations.
 type Observer interface {
-	// Observations is what was seen since the last call.
+	// Observations returns what was observed since the last call.
 	Observations() []weights.Stats
-	// Endpoints are those of the list.
+	// Endpoints returns the endpoints of the list.
 	Endpoints() []weights.Endpoint
-	// Admission name the sums of what was asked for, and what a request of each class is worth.
+	// Admission returns the IDs of the stats that count requests at admission, and the worth of a
+	// request of each class.
 	Admission() (map[weights.ID]bool, map[weights.Class]float64)
 }
 
 // Node is one gateway.
 type Node struct {
-	name    string
-	plan    []string // gateways
-	planner *planner // the latest; nil: there was none
-	duty    *election.Node
-	weights *weights.Node
-	sight   Observer
-	next    time.Duration   // when weights are next
-	sites   *Sites          // nil: there are none
-	door    *sites.Enforcer // nil: there are none
-	changes []sites.Change
-}
-
-// mostChanges bounds what is kept until it is told.
-const mostChanges = 64
-
-func (n *Node) changed(c sites.Change) {
-	if len(n.changes) < mostChanges {
+	name        string
+	gateways    []string
+	planner     *planner // the latest; nil: there was none
+	election    *election.Node
+	weights     *weights.Node
+	observer    Observer
+	nextWeights time.Duration   // when the weights are updated next
+	sites       *Sites          // nil: there are none
+	enforcer    *sites.Enforcer // nil: there are none
+	changes     []sites.Change
+}
+
+// maxChanges bounds the changes that are kept until Changes is called.
+const maxChanges = 64
+
+func (n *Node) addChange(c sites.Change) {
+	if len(n.changes) < maxChanges {
 		n.changes = append(n.changes, c)
 	}
 }
 
-// Changes are those of sites' states that this gateway, which holds the duty, found since the
-// last call.
+// Changes returns the changes of sites' states that this gateway found as leader since the last
+// call.
 func (n *Node) Changes() []sites.Change {
 	all := n.changes
 	n.changes = nil
@@ -73,102 +74,101 @@
 	return names
 }
 
-// NewNode makes a gateway that has just started, one of the plan. incarnation is to be drawn
-// at random, and below 2^32. of are the fleet's sites; nil: it has none.
-func NewNode(now time.Duration, set election.Settings, name string, incarnation uint64, plan []string, sight Observer, of *Sites) *Node {
-	n := &Node{name: name, plan: plan, duty: election.NewNode(now, set, name, incarnation, plan), sight: sight, next: now, sites: of}
-	if of == nil {
-		n.weights = weights.NewNode(name, set.Lease, nil)
+// NewNode returns a node of a gateway that has just started and is among gateways. incarnation
+// must be drawn at random, and be below 2^32. layout is the fleet's sites; nil: it has none.
+func NewNode(now time.Duration, settings election.Settings, name string, incarnation uint64, gateways []string, observer Observer, layout *Sites) *Node {
+	n := &Node{name: name, gateways: gateways, election: election.NewNode(now, settings, name, incarnation, gateways), observer: observer, nextWeights: now, sites: layout}
+	if layout == nil {
+		n.weights = weights.NewNode(name, settings.Lease, nil)
 		return n
 	}
-	n.weights = weights.NewNode(name, set.Lease, n.newPlanner)
-	n.door = sites.NewEnforcer(name, of.Home[name], len(plan))
+	n.weights = weights.NewNode(name, settings.Lease, n.newPlanner)
+	n.enforcer = sites.NewEnforcer(name, layout.Home[name], len(gateways))
 	return n
 }
 
-// SetGateways takes the names of other gateways, and their sites. Whether there are sites at all
-// is of the start.
-func (n *Node) SetGateways(plan []string, of *Sites) {
-	n.duty.SetGateways(plan)
-	n.plan = plan
-	if n.sites == nil || of == nil {
+// SetGateways sets the gateways and their sites. Whether there are sites at all is fixed at the
+// start.
+func (n *Node) SetGateways(gateways []string, layout *Sites) {
+	n.election.SetGateways(gateways)
+	n.gateways = gateways
+	if n.sites == nil || layout == nil {
 		return
 	}
-	n.sites = of
-	n.door.SetHome(of.Home[n.name], len(plan))
+	n.sites = layout
+	n.enforcer.SetHome(layout.Home[n.name], len(gateways))
 	if n.planner != nil {
-		n.planner.SetHome(of.Home)
+		n.planner.SetHome(layout.Home)
 	}
 }
 
-// Enforcer is what this gateway does about sites from now on. It is not changed; nil: there are
-// no sites.
+// Enforcer returns a copy of the enforcer of the plan in force, which the node no longer changes;
+// nil: there are no sites.
 func (n *Node) Enforcer(now time.Duration) *sites.Enforcer {
-	if n.door == nil {
+	if n.enforcer == nil {
 		return nil
 	}
-	plan, _ := sites.Parse(n.weights.Plan(now)) // what can't be meant is none
+	plan, _ := sites.Parse(n.weights.Plan(now)) // an invalid plan counts as none
 	var listed []sites.Endpoint
-	if len(plan.Sites) > 0 || n.door.Degraded() {
-		for _, e := range n.sight.Endpoints() {
+	if len(plan.Sites) > 0 || n.enforcer.Degraded() {
+		for _, e := range n.observer.Endpoints() {
 			if e.Ready {
 				listed = append(listed, sites.Endpoint{ID: uint64(e.ID), Site: e.Site})
 			}
 		}
 	}
-	n.door.Apply(now, plan, listed)
-	return n.door.Clone()
+	n.enforcer.Apply(now, plan, listed)
+	return n.enforcer.Clone()
 }
 
-// standing is where the duty stands.
-func (n *Node) standing(now time.Duration) weights.Leadership {
-	holder, term := n.duty.Leader(now)
-	return weights.Leadership{Leader: holder, Term: uint64(term), LeadingTerm: uint64(n.duty.LeaderTerm(now)), Incarnation: n.duty.Incarnation()}
+// leadership returns the current leadership as known at this gateway.
+func (n *Node) leadership(now time.Duration) weights.Leadership {
+	leader, term := n.election.Leader(now)
+	return weights.Leadership{Leader: leader, Term: uint64(term), LeadingTerm: uint64(n.election.LeaderTerm(now)), Incarnation: n.election.Incarnation()}
 }
 
-// Tick is to be called several times a lease, with those that may hold the duty, the best
+// Tick must be called several times per lease, with the names of possible leaders, the best
 // first.
 func (n *Node) Tick(now time.Duration, candidates []string) (out []Outgoing) {
-	for _, o := range n.duty.Tick(now, candidates) {
+	for _, o := range n.election.Tick(now, candidates) {
 		out = append(out, Outgoing{To: o.To, Message: Message{LeaderReport: o.Report}})
 	}
-	if now < n.next {
+	if now < n.nextWeights {
 		return out
 	}
-	if n.next += weights.Period; n.next <= now { // it stood still
-		n.next = now + weights.Period
+	if n.nextWeights += weights.Period; n.nextWeights <= now { // after a process stall
+		n.nextWeights = now + weights.Period
 	}
-	for _, o := range n.weights.Tick(now, n.sight.Observations(), n.sight.Endpoints(), n.standing(now)) {
+	for _, o := range n.weights.Tick(now, n.observer.Observations(), n.observer.Endpoints(), n.leadership(now)) {
 		out = append(out, Outgoing{To: o.To, Message: Message{Report: o.Report}})
 	}
 	return out
 }
 
-// Handle takes a message. false: it was impossible.
-func (n *Node) Handle(now time.Duration, m Message) (out []Outgoing, meant bool) {
+// Handle takes a message. false: it was invalid.
+func (n *Node) Handle(now time.Duration, m Message) (out []Outgoing, valid bool) {
 	switch {
 	case m.LeaderReport != nil:
-		if o, ok := n.duty.HandleReport(now, *m.LeaderReport); ok {
+		if o, ok := n.election.HandleReport(now, *m.LeaderReport); ok {
 			out = append(out, Outgoing{To: o.To, Message: Message{LeaderReply: o.Reply}})
 		}
 	case m.LeaderReply != nil:
-		n.duty.HandleReply(now, *m.LeaderReply)
-	case m.Report != nil && !slices.Contains(n.plan, m.Report.From): // a stranger's measurements count for nothing
+		n.election.HandleReply(now, *m.LeaderReply)
+	case m.Report != nil && !slices.Contains(n.gateways, m.Report.From): // measurements of a gateway that is not configured don't count
 		return nil, false
 	case m.Report != nil:
-		answers, ok := n.weights.HandleReport(now, *m.Report, n.standing(now))
+		answers, ok := n.weights.HandleReport(now, *m.Report, n.leadership(now))
 		for _, o := range answers {
 			out = append(out, Outgoing{To: o.To, Message: Message{Answer: o.Answer}})
 		}
 		return out, ok
 	case m.Answer != nil:
-		return nil, n.weights.HandleAnswer(now, *m.Answer, n.standing(now))
+		return nil, n.weights.HandleAnswer(now, *m.Answer, n.leadership(now))
 	}
 	return out, true
 }
 
-// Factors are those that endpoints' weights are to be multiplied by now, and whether they
-// have changed.
+// Factors returns the factors for the endpoints' weights, and whether they have changed.
 func (n *Node) Factors(now time.Duration) (map[weights.ID]float64, bool) {
 	return n.weights.Factors(now)
 }
@@ -176,33 +176,33 @@
 // HasFreshTable reports whether a table that is fresh enough is in force.
 func (n *Node) HasFreshTable(now time.Duration) bool { return !n.weights.Status(now).Stale }
 
-// Status is where a gateway stands.
+// Status is the state of a gateway.
 type Status struct {
-	Leader  string // of the duty; "": nobody, as far as is known
-	Leading bool   // this one does
+	Leader  string // "": none as far as is known
+	Leading bool   // this gateway is leader
 	weights.Status
-	Sites []SiteStatus // by name; none: there are no sites
+	Sites []SiteStatus // by name; empty: there are no sites
 }
 
-// SiteStatus is where a site stands by the plan in force here.
+// SiteStatus is the state of a site by the plan in force at this gateway.
 type SiteStatus struct {
 	Name     string
 	State    sites.State
-	Fraction float64 // of its endpoints that this gateway meets
+	Fraction float64 // of its endpoints that this gateway sends first attempts to
 }
 
-// Status tells where this gateway stands.
+// Status returns the state of this gateway.
 func (n *Node) Status(now time.Duration) Status {
-	d := n.standing(now)
-	s := Status{Leader: d.Leader, Leading: d.LeadingTerm > 0, Status: n.weights.Status(now)}
+	leadership := n.leadership(now)
+	s := Status{Leader: leadership.Leader, Leading: leadership.LeadingTerm > 0, Status: n.weights.Status(now)}
 	if n.sites != nil {
 		for _, name := range slices.Sorted(maps.Keys(n.sites.Near)) {
-			state, part := n.door.Site(name)
-			s.Sites = append(s.Sites, SiteStatus{name, state, part})
+			state, fraction := n.enforcer.Site(name)
+			s.Sites = append(s.Sites, SiteStatus{name, state, fraction})
 		}
 	}
 	return s
 }
 
-// Estimates are what endpoints are taken to do, while this gateway holds the duty.
+// Estimates returns the estimated capacity of the endpoints, while this gateway is leader.
 func (n *Node) Estimates() []weights.Estimate { return n.weights.Estimates() }
