--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,11 +22,11 @@
 	goleak.VerifyTestMain(m)
 }
 
-// caller asks for a part of the quota all the time, and notes what it may have.
+// caller constantly requests a part of the quota, and records its limit.
 type caller struct {
-	demand atomic.Int64 // billionths
-	begun  time.Time
-	told   chan struct{} // holds a word that a limit was set
+	demand   atomic.Int64 // billionths
+	started  time.Time
+	limitSet chan struct{} // signals that a limit was set
 
 	mu    sync.Mutex
 	limit quota.Limit
@@ -34,7 +34,7 @@
 }
 
 func (c *caller) Requested() (requests, work float64) {
-	return quota.Part(c.demand.Load()).Fraction() * time.Since(c.begun).Seconds(), 0
+	return quota.Part(c.demand.Load()).Fraction() * time.Since(c.started).Seconds(), 0
 }
 
 func (c *caller) SetLimit(l quota.Limit, left func() time.Duration) {
@@ -43,7 +43,7 @@
 	now := time.Now()
 	c.limit, c.until = l, now.Add(left())
 	select {
-	case c.told <- struct{}{}:
+	case c.limitSet <- struct{}{}:
 	default:
 	}
 }
@@ -66,7 +66,7 @@
 	return addr
 }
 
-// member is one of a fleet within this process.
+// member is a gateway of a fleet within this process.
 type member struct {
 	*Fleet
 	caller caller
@@ -85,7 +85,7 @@
 	var all []*member
 	for i := range n {
 		m := &member{ended: make(chan struct{})}
-		m.caller.begun, m.caller.told = time.Now(), make(chan struct{}, 1)
+		m.caller.started, m.caller.limitSet = time.Now(), make(chan struct{}, 1)
 		c.Name, c.Listen = c.Gateways[i].Name, c.Addresses[c.Gateways[i].Name]
 		c.Contracts = []Contract{{Name: "maps/a/", Account: &m.caller}}
 		var err error
@@ -107,40 +107,40 @@
 	return all
 }
 
-// end has it leave; it may be called twice.
+// end stops the member; it may be called twice.
 func (m *member) end() {
 	m.stop()
 	<-m.ended
 }
 
-// await waits until something is so, and looks each time that the quota is not exceeded.
-func await(t *testing.T, all []*member, what string, so func() bool) {
+// await waits until a condition holds, and checks each time that the quota is not exceeded.
+func await(t *testing.T, all []*member, description string, condition func() bool) {
 	t.Helper()
-	patience := time.After(20 * time.Second)
-	for !so() {
+	timeout := time.After(20 * time.Second)
+	for !condition() {
 		sum := quota.Part(0)
 		for _, m := range all {
 			sum += m.caller.has()
 		}
-		if sum > quota.Whole { // read one after the other: a part that moved meanwhile may count twice
+		if sum > quota.Whole { // the limits are read one after the other: a part that moved meanwhile may count twice
 			sum = 0
 			for _, m := range all {
 				sum += m.caller.has()
 			}
 			if sum > quota.Whole+quota.Whole/10 {
-				t.Fatalf("%s: all have %.3f", what, sum.Fraction())
+				t.Fatalf("%s: the limits sum to %.3f", description, sum.Fraction())
 			}
 		}
 		select {
-		case <-all[0].caller.told: // with each report at least
-		case <-patience:
-			t.Fatalf("%s: not so after 20 s: %v", what, all[0].Status())
+		case <-all[0].caller.limitSet: // signalled at least with each report
+		case <-timeout:
+			t.Fatalf("%s: not reached after 20 s: %v", description, all[0].Status())
 		}
 	}
 }
 
-// Four processes' worth of a fleet lend to the one that asks, over memberlist with sealed
-// messages; one leaves, another is steward, and what it owned is not used by anybody.
+// Four gateways lend to the one with demand, over memberlist with encrypted messages. Then one
+// leaves, its contracts get another steward, and what it owned must not be used by anybody.
 func TestFleetLends(t *testing.T) {
 	all := startFleet(t, 4, []byte("0123456789abcdef"))
 	await(t, all, "all are up", func() bool {
@@ -154,17 +154,17 @@
 	all[1].caller.demand.Store(int64(quota.Whole))
 	await(t, all, "lent", func() bool { return all[1].caller.has() > quota.Whole*9/10 })
 	steward := all[1].Status().Contracts["maps/a/"].Steward
-	left := 0
+	leaving := 0
 	for i, m := range all {
 		if m.config.Name == steward && i != 1 {
-			left = i
+			leaving = i
 		}
 	}
-	if left == 0 {
-		left = 2 // the one that asks is steward itself
+	if leaving == 0 {
+		leaving = 2 // the gateway with demand is itself steward
 	}
-	all[left].end()
-	all[left].caller.SetLimit(quota.Limit{}, func() time.Duration { return 0 })
+	all[leaving].end()
+	all[leaving].caller.SetLimit(quota.Limit{}, func() time.Duration { return 0 })
 	await(t, all, "without one of them", func() bool {
 		has := all[1].caller.has()
 		return has > quota.Whole*13/20 && has < quota.Whole*4/5
@@ -176,30 +176,30 @@
 	}
 }
 
-// What is broken, of another version, of no contract here, or too much at once is counted
-// and changes nothing.
-func TestOddMessages(t *testing.T) {
+// Messages that are malformed, of another version or contract, or too many at once must be
+// counted and change nothing.
+func TestInvalidMessages(t *testing.T) {
 	all := startFleet(t, 1, nil)
 	f := all[0].Fleet
-	good, err := message.Append(nil, message.Message{Contract: "maps/a/", Report: &quota.Report{From: "nobody", Incarnation: 1, Seq: 1, To: "g0"}})
+	valid, err := message.Append(nil, message.Message{Contract: "maps/a/", Report: &quota.Report{From: "nobody", Incarnation: 1, Seq: 1, To: "g0"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	none := "x" // a contract of a shard that has none, and so no worker
-	for f.shardOf(none) == f.shardOf("maps/a/") {
-		none += "x"
+	otherContract := "x" // a contract of a shard without contracts, and so without a worker
+	for f.shardOf(otherContract) == f.shardOf("maps/a/") {
+		otherContract += "x"
 	}
-	other, _ := message.Append(nil, message.Message{Contract: none, Report: &quota.Report{From: "g0", Incarnation: 1, Seq: 1, To: "g0"}})
+	otherMessage, _ := message.Append(nil, message.Message{Contract: otherContract, Report: &quota.Report{From: "g0", Incarnation: 1, Seq: 1, To: "g0"}})
 	d := delegate{f}
 	d.NotifyMsg(nil)
-	d.NotifyMsg(good[:len(good)-1])
-	d.NotifyMsg(append([]byte{message.CouncilVersion + 1}, good[1:]...))
+	d.NotifyMsg(valid[:len(valid)-1])
+	d.NotifyMsg(append([]byte{message.CoordinationVersion + 1}, valid[1:]...))
 	for range 4 * shardQueue {
-		d.NotifyMsg(other)
+		d.NotifyMsg(otherMessage)
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
-		b := append([]byte(nil), good...)
+		b := append([]byte(nil), valid...)
 		b[1+r.IntN(len(b)-1)] ^= byte(1 + r.IntN(255))
 		d.NotifyMsg(b)
 	}
@@ -207,36 +207,36 @@
 	if c.Malformed < 2 || c.OtherVersion != 1 || c.Dropped < shardQueue {
 		t.Errorf("%+v", c)
 	}
-	await(t, all, "goes on", func() bool { return all[0].caller.has() == quota.Whole })
+	await(t, all, "continues after invalid messages", func() bool { return all[0].caller.has() == quota.Whole })
 }
 
-// BenchmarkStatus is a reader's look at the snapshot while a writer puts another one there
-// all the time, beside the same under a lock.
+// BenchmarkStatus compares reading the snapshot, while it is replaced continuously, with the same
+// under a mutex.
 func BenchmarkStatus(b *testing.B) {
-	standing := Status{Contracts: map[string]ContractStatus{"maps/a/": {}}}
+	status := Status{Contracts: map[string]ContractStatus{"maps/a/": {}}}
 	var published atomic.Pointer[Status]
-	published.Store(&standing)
+	published.Store(&status)
 	var mu sync.Mutex
 	var rw sync.RWMutex
-	for _, way := range []struct {
+	for _, variant := range []struct {
 		name        string
 		read, write func()
 	}{
-		{"pointer", func() { _ = published.Load().Contracts["maps/a/"].Own }, func() { next := standing; published.Store(&next) }},
-		{"Mutex", func() { mu.Lock(); _ = standing.Contracts["maps/a/"].Own; mu.Unlock() }, func() { mu.Lock(); standing.Up = nil; mu.Unlock() }},
-		{"RWMutex", func() { rw.RLock(); _ = standing.Contracts["maps/a/"].Own; rw.RUnlock() }, func() { rw.Lock(); standing.Up = nil; rw.Unlock() }},
+		{"pointer", func() { _ = published.Load().Contracts["maps/a/"].Own }, func() { next := status; published.Store(&next) }},
+		{"Mutex", func() { mu.Lock(); _ = status.Contracts["maps/a/"].Own; mu.Unlock() }, func() { mu.Lock(); status.Up = nil; mu.Unlock() }},
+		{"RWMutex", func() { rw.RLock(); _ = status.Contracts["maps/a/"].Own; rw.RUnlock() }, func() { rw.Lock(); status.Up = nil; rw.Unlock() }},
 	} {
 		for _, readers := range []int{1, 4, 16} {
-			b.Run(fmt.Sprint(way.name, "/", readers), func(b *testing.B) {
+			b.Run(fmt.Sprint(variant.name, "/", readers), func(b *testing.B) {
 				stop := make(chan struct{})
-				var going sync.WaitGroup
-				going.Go(func() {
+				var writing sync.WaitGroup
+				writing.Go(func() {
 					for tick := time.NewTicker(time.Millisecond); ; {
 						select {
 						case <-stop:
 							return
 						case <-tick.C:
-							way.write()
+							variant.write()
 						}
 					}
 				})
@@ -246,14 +246,14 @@
 				for range readers {
 					reading.Go(func() {
 						for range b.N / readers {
-							way.read()
+							variant.read()
 						}
 					})
 				}
 				reading.Wait()
 				b.StopTimer()
 				close(stop)
-				going.Wait()
+				writing.Wait()
 			})
 		}
 	}
--- a/internal/fleet/message/message.go
+++ b/internal/fleet/message/message.go
@@ -1,8 +1,8 @@
-// Package message is what gateways of a fleet tell one another, as bytes: a version, then
-// CBOR (RFC 8949) with numbered fields. Each field and the whole are bounded, also what a
-// sender makes up. What has another version is told apart from what is broken, so that it
-// can be skipped and counted; fields that a later program adds to this version are left
-// out. It is pure.
+// Package message encodes the messages between gateways of a fleet: a version byte, then CBOR
+// (RFC 8949) with numbered fields. Each field and the whole message are bounded, whatever a
+// sender puts in them. A message of an unknown version is reported separately from a malformed
+// one, so that it can be skipped and counted; fields that a later release adds to a known version
+// are ignored. It is pure.
 package message
 
 import (
@@ -19,21 +19,22 @@
 )
 
 const (
-	// Version is that of messages on quotas, CouncilVersion that of what is decided for all:
-	// a program that knows the first alone counts the second as another version's, and shares
-	// quotas still. A change that is no further field has another.
-	Version        = 1
-	CouncilVersion = 2
-	// MaxSize is that of a message in bytes: it fits a datagram (IPv6's least MTU is 1,280).
+	// Version is that of messages about quotas, CoordinationVersion that of leadership and
+	// weights: a release that knows only the first counts the second as another version's and
+	// still shares quotas. Any change other than an additional field needs a new version.
+	Version             = 1
+	CoordinationVersion = 2
+	// MaxSize is the maximum size of a message in bytes. It fits in a datagram (the minimum IPv6
+	// MTU is 1,280).
 	MaxSize = 1024
-	// MaxName is that of a gateway's or a contract's name in bytes.
+	// MaxName is the maximum length of a gateway's or a contract's name in bytes.
 	MaxName = 64
 )
 
-// ErrVersion tells that a message has a version that is not known here.
-var ErrVersion = errors.New("message: another version")
+// ErrVersion is returned for a message of an unknown version.
+var ErrVersion = errors.New("message: unknown version")
 
-// Message is one message. One of Report, Reply and the council's is told.
+// Message is one message. Exactly one of Report, Reply and the fields of Council is set.
 type Message struct {
 	Contract string // of Report or Reply
 	Report   *quota.Report
@@ -41,32 +42,32 @@
 	Council  coordination.Message
 }
 
-// body is a message on the wire. Numbers of fields are never used for anything else.
+// body is a message on the wire. A field's number is never reused.
 type body struct {
-	Contract      string        `cbor:"1,keyasint"`
-	Kind          kind          `cbor:"2,keyasint"`
-	From          string        `cbor:"3,keyasint"`
-	Incarnation   uint64        `cbor:"4,keyasint"`
-	Seq           uint64        `cbor:"5,keyasint,omitempty"`
-	To            string        `cbor:"6,keyasint"`
-	ToIncarnation uint64        `cbor:"7,keyasint,omitempty"`
-	Heard         uint64        `cbor:"8,keyasint,omitempty"`
-	Demand        quota.Part    `cbor:"9,keyasint,omitempty"`
-	Cede          quota.Part    `cbor:"10,keyasint,omitempty"`
-	Grant         quota.Part    `cbor:"11,keyasint,omitempty"`
-	For           time.Duration `cbor:"12,keyasint,omitempty"`
-	Ask           quota.Part    `cbor:"13,keyasint,omitempty"`
-	Relied        quota.Part    `cbor:"14,keyasint,omitempty"`
-	Known         uint64        `cbor:"15,keyasint,omitempty"`
-	Promise       bool          `cbor:"16,keyasint,omitempty"`
-	Term          uint64        `cbor:"17,keyasint,omitempty"`
-	Beat          uint64        `cbor:"18,keyasint,omitempty"`
-	Number        uint64        `cbor:"19,keyasint,omitempty"` // of a table of Term
-	Part          int           `cbor:"20,keyasint,omitempty"` // of a report
-	Parts         uint64        `cbor:"21,keyasint,omitempty"` // of a table: those that are there, or how many there are
-	Index         int           `cbor:"22,keyasint,omitempty"` // of a table's part
-	Packed        []byte        `cbor:"23,keyasint,omitempty"`
-	Holder        string        `cbor:"24,keyasint,omitempty"`
+	Contract         string        `cbor:"1,keyasint"`
+	Kind             kind          `cbor:"2,keyasint"`
+	From             string        `cbor:"3,keyasint"`
+	Incarnation      uint64        `cbor:"4,keyasint"`
+	Seq              uint64        `cbor:"5,keyasint,omitempty"`
+	To               string        `cbor:"6,keyasint"`
+	ToIncarnation    uint64        `cbor:"7,keyasint,omitempty"`
+	Ack              uint64        `cbor:"8,keyasint,omitempty"`
+	Demand           quota.Part    `cbor:"9,keyasint,omitempty"`
+	Lend             quota.Part    `cbor:"10,keyasint,omitempty"`
+	Grant            quota.Part    `cbor:"11,keyasint,omitempty"`
+	GrantTTL         time.Duration `cbor:"12,keyasint,omitempty"`
+	LendTarget       quota.Part    `cbor:"13,keyasint,omitempty"`
+	LoanInUse        quota.Part    `cbor:"14,keyasint,omitempty"`
+	KnownIncarnation uint64        `cbor:"15,keyasint,omitempty"`
+	Vote             bool          `cbor:"16,keyasint,omitempty"`
+	Term             uint64        `cbor:"17,keyasint,omitempty"`
+	Heartbeat        uint64        `cbor:"18,keyasint,omitempty"`
+	TableSeq         uint64        `cbor:"19,keyasint,omitempty"` // sequence number of a table of Term
+	Part             int           `cbor:"20,keyasint,omitempty"` // index of the part of a report
+	TableParts       uint64        `cbor:"21,keyasint,omitempty"` // of a table: a bit mask of the parts received, or the number of parts
+	Index            int           `cbor:"22,keyasint,omitempty"` // index of the part of a table
+	Packed           []byte        `cbor:"23,keyasint,omitempty"`
+	Leader           string        `cbor:"24,keyasint,omitempty"`
 }
 
 type kind uint8
@@ -74,19 +75,19 @@
 const (
 	report kind = iota + 1
 	reply
-	dutyReport
-	dutyReply
+	leaderReport
+	leaderReply
 	weightsReport
 	weightsAnswer
 )
 
-// version is that of a kind's messages; 0: it is not known.
+// version returns the version of messages of this kind; 0: the kind is unknown.
 func (k kind) version() byte {
 	switch k {
 	case report, reply:
 		return Version
-	case dutyReport, dutyReply, weightsReport, weightsAnswer:
-		return CouncilVersion
+	case leaderReport, leaderReply, weightsReport, weightsAnswer:
+		return CoordinationVersion
 	}
 	return 0
 }
@@ -102,21 +103,21 @@
 	return m
 }()
 
-// Append appends a message's bytes.
+// Append appends the encoding of m to b.
 func Append(b []byte, m Message) ([]byte, error) {
 	w := body{Contract: m.Contract}
 	switch {
 	case m.Report != nil:
 		r := m.Report
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = report, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
-		w.Demand, w.Cede = r.Demand, r.Lend
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Ack = report, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
+		w.Demand, w.Lend = r.Demand, r.Lend
 	case m.Reply != nil:
 		r := m.Reply
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = reply, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
-		w.Grant, w.For, w.Ask, w.Relied, w.Known = r.Grant, r.GrantTTL, r.LendTarget, r.LoanInUse, r.KnownIncarnation
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Ack = reply, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
+		w.Grant, w.GrantTTL, w.LendTarget, w.LoanInUse, w.KnownIncarnation = r.Grant, r.GrantTTL, r.LendTarget, r.LoanInUse, r.KnownIncarnation
 	default:
-		if !w.setCouncil(&m.Council) {
-			return b, errors.New("message: there is nothing in it")
+		if !w.setCoordination(&m.Council) {
+			return b, errors.New("message: no message is set")
 		}
 	}
 	if err := w.check(); err != nil {
@@ -129,13 +130,13 @@
 	return append(append(b, w.Kind.version()), text...), nil
 }
 
-// Parse reads a message. The error is ErrVersion where it has another version.
+// Parse decodes a message. The error is ErrVersion if its version is unknown.
 func Parse(b []byte) (Message, error) {
 	if len(b) == 0 || len(b) > MaxSize {
-		return Message{}, fmt.Errorf("message: 1 to %d bytes are expected, not %d", MaxSize, len(b))
+		return Message{}, fmt.Errorf("message: want 1 to %d bytes, got %d", MaxSize, len(b))
 	}
-	if b[0] != Version && b[0] != CouncilVersion {
-		return Message{}, fmt.Errorf("%w: %d, and %d is the last that is known", ErrVersion, b[0], CouncilVersion)
+	if b[0] != Version && b[0] != CoordinationVersion {
+		return Message{}, fmt.Errorf("%w: %d, the latest known is %d", ErrVersion, b[0], CoordinationVersion)
 	}
 	var w body
 	if err := decoder.Unmarshal(b[1:], &w); err != nil {
@@ -145,19 +146,19 @@
 		return Message{}, err
 	}
 	if w.Kind.version() != b[0] {
-		return Message{}, fmt.Errorf("message: kind %d is not of version %d", w.Kind, b[0])
+		return Message{}, fmt.Errorf("message: kind %d does not belong to version %d", w.Kind, b[0])
 	}
-	m := Message{Contract: w.Contract, Council: w.council()}
+	m := Message{Contract: w.Contract, Council: w.coordination()}
 	switch w.Kind {
 	case report:
-		m.Report = &quota.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Demand: w.Demand, Lend: w.Cede}
+		m.Report = &quota.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Ack, Demand: w.Demand, Lend: w.Lend}
 	case reply:
-		m.Reply = &quota.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Grant: w.Grant, GrantTTL: w.For, LendTarget: w.Ask, LoanInUse: w.Relied, KnownIncarnation: w.Known}
+		m.Reply = &quota.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Ack, Grant: w.Grant, GrantTTL: w.GrantTTL, LendTarget: w.LendTarget, LoanInUse: w.LoanInUse, KnownIncarnation: w.KnownIncarnation}
 	}
 	return m, nil
 }
 
-// check holds a message to its bounds.
+// check verifies that all fields are within their bounds.
 func (w *body) check() error {
 	names := []string{w.From, w.To}
 	if w.Kind.version() == Version {
@@ -165,71 +166,71 @@
 	}
 	for _, n := range names {
 		if n == "" || len(n) > MaxName {
-			return fmt.Errorf("message: names of 1 to %d bytes are expected, not %.80q", MaxName, n)
+			return fmt.Errorf("message: want names of 1 to %d bytes, got %.80q", MaxName, n)
 		}
 	}
-	if len(w.Holder) > MaxName {
-		return fmt.Errorf("message: names of %d bytes at most are expected", MaxName)
+	if len(w.Leader) > MaxName {
+		return fmt.Errorf("message: want names of at most %d bytes", MaxName)
 	}
-	for _, p := range []quota.Part{w.Demand, w.Cede, w.Grant, w.Ask, w.Relied} {
+	for _, p := range []quota.Part{w.Demand, w.Lend, w.Grant, w.LendTarget, w.LoanInUse} {
 		if p < 0 || p > quota.Whole {
-			return fmt.Errorf("message: parts of 0 to %d are expected, not %d", quota.Whole, p)
+			return fmt.Errorf("message: want parts of 0 to %d, got %d", quota.Whole, p)
 		}
 	}
 	switch {
 	case w.Kind.version() == 0:
-		return fmt.Errorf("message: kind %d is not known", w.Kind)
-	case w.For < 0 || w.For > time.Minute:
-		return fmt.Errorf("message: a time of 0 to 1m is expected, not %v", w.For)
+		return fmt.Errorf("message: unknown kind %d", w.Kind)
+	case w.GrantTTL < 0 || w.GrantTTL > time.Minute:
+		return fmt.Errorf("message: want a grant TTL of 0 to 1m, got %v", w.GrantTTL)
 	case w.Incarnation == 0 && w.Kind != weightsAnswer:
-		return errors.New("message: an incarnation over 0 is expected")
+		return errors.New("message: want an incarnation above 0")
 	case w.Part < 0 || w.Part > weights.MaxReportParts || w.Index < 0 || w.Index > weights.MaxEndpoints:
-		return errors.New("message: a part that is none")
+		return errors.New("message: part number out of range")
 	}
 	return nil
 }
 
-// setCouncil fills in a message of the council's; false: there is none.
-func (w *body) setCouncil(m *coordination.Message) bool {
+// setCoordination fills in a message of package coordination; false: it is empty.
+func (w *body) setCoordination(m *coordination.Message) bool {
 	switch {
 	case m.LeaderReport != nil:
 		r := m.LeaderReport
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = dutyReport, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
-		w.Promise, w.Term = r.Vote, uint64(r.Term)
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Ack = leaderReport, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
+		w.Vote, w.Term = r.Vote, uint64(r.Term)
 	case m.LeaderReply != nil:
 		r := m.LeaderReply
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Heard = dutyReply, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
-		w.Term, w.Holder, w.Known = uint64(r.Term), r.Leader, r.KnownIncarnation
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.ToIncarnation, w.Ack = leaderReply, r.From, r.Incarnation, r.Seq, r.To, r.ToIncarnation, r.Ack
+		w.Term, w.Leader, w.KnownIncarnation = uint64(r.Term), r.Leader, r.KnownIncarnation
 	case m.Report != nil:
 		r := m.Report
-		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.Beat = weightsReport, r.From, r.Incarnation, r.Seq, r.To, r.Heartbeat
-		w.Part, w.Term, w.Number, w.Parts, w.Packed = r.Part, r.TableVersion.Term, r.TableVersion.Seq, r.TableParts, r.Stats
+		w.Kind, w.From, w.Incarnation, w.Seq, w.To, w.Heartbeat = weightsReport, r.From, r.Incarnation, r.Seq, r.To, r.Heartbeat
+		w.Part, w.Term, w.TableSeq, w.TableParts, w.Packed = r.Part, r.TableVersion.Term, r.TableVersion.Seq, r.TableParts, r.Stats
 	case m.Answer != nil:
-		a := m.Answer // part and index are from -1 on there
-		w.Kind, w.From, w.Seq, w.To, w.ToIncarnation, w.Beat = weightsAnswer, a.From, a.Seq, a.To, a.ToIncarnation, a.Heartbeat
-		w.Part, w.Term, w.Number, w.Index, w.Parts, w.Packed = a.Part+1, a.Table.Term, a.Table.Seq, a.Index+1, uint64(a.Parts), a.Entries
+		a := m.Answer // Part and Index start at -1 there
+		w.Kind, w.From, w.Seq, w.To, w.ToIncarnation, w.Heartbeat = weightsAnswer, a.From, a.Seq, a.To, a.ToIncarnation, a.Heartbeat
+		w.Part, w.Term, w.TableSeq, w.Index, w.TableParts, w.Packed = a.Part+1, a.Table.Term, a.Table.Seq, a.Index+1, uint64(a.Parts), a.Entries
 	default:
 		return false
 	}
 	return true
 }
 
-// council is the council's message; none of another kind.
-func (w *body) council() (m coordination.Message) {
+// coordination returns the message of package coordination; it is empty for other kinds.
+func (w *body) coordination() (m coordination.Message) {
 	if len(w.Packed) == 0 {
 		w.Packed = nil
 	}
 	switch w.Kind {
-	case dutyReport:
-		m.LeaderReport = &election.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Vote: w.Promise, Term: election.Term(w.Term)}
-	case dutyReply:
-		m.LeaderReply = &election.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Heard, Term: election.Term(w.Term), Leader: w.Holder, KnownIncarnation: w.Known}
+	case leaderReport:
+		m.LeaderReport = &election.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Ack, Vote: w.Vote, Term: election.Term(w.Term)}
+	case leaderReply:
+		m.LeaderReply = &election.Reply{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Ack: w.Ack, Term: election.Term(w.Term), Leader: w.Leader, KnownIncarnation: w.KnownIncarnation}
 	case weightsReport:
-		m.Report = &weights.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, Heartbeat: w.Beat, Part: w.Part, TableVersion: weights.Version{Term: w.Term, Seq: w.Number}, TableParts: w.Parts, Stats: w.Packed}
+		m.Report = &weights.Report{From: w.From, Incarnation: w.Incarnation, Seq: w.Seq, To: w.To, Heartbeat: w.Heartbeat, Part: w.Part, TableVersion: weights.Version{Term: w.Term, Seq: w.TableSeq}, TableParts: w.TableParts, Stats: w.Packed}
 	case weightsAnswer:
 		m.Answer = &weights.Answer{
-			From: w.From, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Heartbeat: w.Beat, Part: w.Part - 1,
-			Table: weights.Version{Term: w.Term, Seq: w.Number}, Index: w.Index - 1, Parts: int(min(w.Parts, weights.MaxEndpoints)), Entries: w.Packed,
+			From: w.From, Seq: w.Seq, To: w.To, ToIncarnation: w.ToIncarnation, Heartbeat: w.Heartbeat, Part: w.Part - 1,
+			Table: weights.Version{Term: w.Term, Seq: w.TableSeq}, Index: w.Index - 1, Parts: int(min(w.TableParts, weights.MaxEndpoints)), Entries: w.Packed,
 		}
 	}
 	return m
--- a/internal/fleet/message/message_test.go
+++ b/internal/fleet/message/message_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A later program may add fields, which are left out; another version is told apart.
-func TestLaterProgram(t *testing.T) {
+// Fields added by a later release must be ignored; another version must be reported as such.
+func TestLaterRelease(t *testing.T) {
 	b, _ := Append(nil, examples[0])
 	var fields map[int]any
 	if err := cbor.Unmarshal(b[1:], &fields); err != nil {
@@ -52,28 +52,28 @@
 	if got, err := Parse(append([]byte{Version}, more...)); err != nil || !reflect.DeepEqual(got, examples[0]) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if _, err := Parse(append([]byte{CouncilVersion}, b[1:]...)); err == nil || errors.Is(err, ErrVersion) {
-		t.Errorf("a quota's of the other version: %v", err)
+	if _, err := Parse(append([]byte{CoordinationVersion}, b[1:]...)); err == nil || errors.Is(err, ErrVersion) {
+		t.Errorf("a quota message with the other version: %v", err)
 	}
-	if _, err := Parse(append([]byte{CouncilVersion + 1}, b[1:]...)); !errors.Is(err, ErrVersion) {
-		t.Errorf("of another version: %v", err)
+	if _, err := Parse(append([]byte{CoordinationVersion + 1}, b[1:]...)); !errors.Is(err, ErrVersion) {
+		t.Errorf("an unknown version: %v", err)
 	}
 }
 
-// What is impossible is turned down, whoever made it up.
+// Invalid fields must be rejected, whoever sends them.
 func TestBounds(t *testing.T) {
 	for name, change := range map[string]func(*body){
-		"no contract":          func(w *body) { w.Contract = "" },
-		"a long name":          func(w *body) { w.From = string(bytes.Repeat([]byte("x"), MaxName+1)) },
-		"a part under 0":       func(w *body) { w.Cede = -1 },
-		"a part over all":      func(w *body) { w.Demand = quota.Whole + 1 },
-		"no kind":              func(w *body) { w.Kind = 0 },
-		"an unknown kind":      func(w *body) { w.Kind = 100 },
-		"a part of no report":  func(w *body) { w.Part = weights.MaxReportParts + 1 },
-		"a part of no table":   func(w *body) { w.Index = -1 },
-		"a time under 0":       func(w *body) { w.For = -1 },
-		"a time over a minute": func(w *body) { w.For = time.Minute + 1 },
-		"no incarnation":       func(w *body) { w.Incarnation = 0 },
+		"no contract":                func(w *body) { w.Contract = "" },
+		"a long name":                func(w *body) { w.From = string(bytes.Repeat([]byte("x"), MaxName+1)) },
+		"a negative part":            func(w *body) { w.Lend = -1 },
+		"a part above the whole":     func(w *body) { w.Demand = quota.Whole + 1 },
+		"no kind":                    func(w *body) { w.Kind = 0 },
+		"an unknown kind":            func(w *body) { w.Kind = 100 },
+		"a report part out of range": func(w *body) { w.Part = weights.MaxReportParts + 1 },
+		"a table index out of range": func(w *body) { w.Index = -1 },
+		"a negative grant TTL":       func(w *body) { w.GrantTTL = -1 },
+		"a grant TTL over a minute":  func(w *body) { w.GrantTTL = time.Minute + 1 },
+		"no incarnation":             func(w *body) { w.Incarnation = 0 },
 	} {
 		w := body{Contract: "c", Kind: report, From: "g1", Incarnation: 1, Seq: 1, To: "g2"}
 		change(&w)
@@ -96,7 +96,7 @@
 		}
 		again, err := Append(nil, m)
 		if err != nil {
-			t.Fatalf("%+v was read and can't be written: %v", m, err)
+			t.Fatalf("decoded %+v can't be encoded: %v", m, err)
 		}
 		if got, err := Parse(again); err != nil || !reflect.DeepEqual(got, m) {
 			t.Fatalf("%+v became %+v, %v", m, got, err)
--- a/internal/fleet/rank/rank.go
+++ b/internal/fleet/rank/rank.go
@@ -1,6 +1,6 @@
-// Package rank has locks that know their place in the one order in which they may be
-// taken. A test that sets EnableChecks finds a wrong order the first time that it is gone, not
-// when two goroutines meet in it.
+// Package rank provides mutexes with a rank in the one order in which they may be locked. With
+// EnableChecks set, a test finds a violation of that order when it first happens, not only when
+// two goroutines deadlock.
 package rank
 
 import (
@@ -12,8 +12,8 @@
 	"sync/atomic"
 )
 
-// Mutex is a lock with a rank. A goroutine takes locks of rising ranks only, so at most
-// one of each.
+// Mutex is a mutex with a rank. A goroutine locks mutexes in rising order of rank, so at most one
+// of each rank.
 type Mutex struct {
 	Rank int // above 0
 	Name string
@@ -21,45 +21,44 @@
 }
 
 var (
-	check atomic.Bool
-	mu    sync.Mutex
-	held  = map[int64][]*Mutex{} // by goroutine, of those that hold one
+	enabled atomic.Bool
+	mu      sync.Mutex
+	held    = map[int64][]*Mutex{} // by goroutine, of those that hold at least one
 )
 
-// EnableChecks has orders checked from now on, for tests: a wrong one panics. No lock may be held
-// meanwhile.
-func EnableChecks() { check.Store(true) }
+// EnableChecks turns on order checking, for tests: a violation panics. No Mutex may be locked
+// when it is called.
+func EnableChecks() { enabled.Store(true) }
 
-// Lock takes the lock.
 func (m *Mutex) Lock() {
-	if check.Load() {
-		m.note()
+	if enabled.Load() {
+		m.checkOrder()
 	}
 	m.mu.Lock()
 }
 
-// Unlock gives it back. It is for the goroutine that took it.
+// Unlock unlocks m. It must be called by the goroutine that locked it.
 func (m *Mutex) Unlock() {
 	m.mu.Unlock()
-	if check.Load() {
-		m.forget()
+	if enabled.Load() {
+		m.release()
 	}
 }
 
-func (m *Mutex) note() {
-	g := goroutine()
+func (m *Mutex) checkOrder() {
+	g := goroutineID()
 	mu.Lock()
 	defer mu.Unlock()
 	for _, h := range held[g] {
 		if h.Rank >= m.Rank {
-			panic(fmt.Sprintf("rank: %s (%d) is taken under %s (%d)", m.Name, m.Rank, h.Name, h.Rank))
+			panic(fmt.Sprintf("rank: %s (%d) is locked while %s (%d) is held", m.Name, m.Rank, h.Name, h.Rank))
 		}
 	}
 	held[g] = append(held[g], m)
 }
 
-func (m *Mutex) forget() {
-	g := goroutine()
+func (m *Mutex) release() {
+	g := goroutineID()
 	mu.Lock()
 	defer mu.Unlock()
 	left := held[g][:0]
@@ -73,9 +72,9 @@
 	}
 }
 
-// goroutine is the number of the goroutine that calls, as a trace of its stack begins
-// with. Nothing but checks may go by it.
-func goroutine() int64 {
+// goroutineID returns the number of the calling goroutine, which is at the start of its stack
+// trace. Only checks may rely on it.
+func goroutineID() int64 {
 	var b [32]byte
 	text := bytes.TrimPrefix(b[:runtime.Stack(b[:], false)], []byte("goroutine "))
 	number, _, _ := bytes.Cut(text, []byte(" "))
--- a/internal/fleet/rank/rank_test.go
+++ b/internal/fleet/rank/rank_test.go
@@ -5,7 +5,7 @@
 func TestOrder(t *testing.T) {
 	EnableChecks()
 	low, high, other := &Mutex{Rank: 1, Name: "low"}, &Mutex{Rank: 2, Name: "high"}, &Mutex{Rank: 2, Name: "other"}
-	takes := func(all ...*Mutex) (wrong bool) {
+	violates := func(all ...*Mutex) (wrong bool) {
 		defer func() { wrong = recover() != nil }()
 		for _, m := range all {
 			m.Lock()
@@ -21,10 +21,10 @@
 		{"rising", []*Mutex{low, high}, false},
 		{"falling", []*Mutex{high, low}, true},
 		{"two of one rank", []*Mutex{high, other}, true},
-		{"one alone", []*Mutex{low}, false}, // nothing is left of those before
+		{"one alone", []*Mutex{low}, false}, // no lock of the cases before is recorded any more
 	} {
-		if got := takes(c.locks...); got != c.wrong {
-			t.Errorf("%s: found wrong %t", c.name, got)
+		if got := violates(c.locks...); got != c.wrong {
+			t.Errorf("%s: violation found: %t", c.name, got)
 		}
 	}
 }
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -11,27 +11,27 @@
 	"spokegw/internal/fleet/rank"
 )
 
-// councilQueue bounds the messages that wait for the council's worker: of 500 gateways that
-// report each second to the one that holds the duty, several parts each. What comes to a full
-// queue is dropped, and counted: reports are told again.
-const councilQueue = 2048
+// coordinationQueue bounds the messages that wait for the coordinator's worker: 500 gateways
+// report to the leader each second, in several parts each. Messages that arrive at a full queue
+// are dropped and counted; reports are sent again.
+const coordinationQueue = 2048
 
-// dutyName is by which gateways are put in order for the duty.
-const dutyName = "weights"
+// leaderKey is hashed with a gateway's name to order the candidates for leadership.
+const leaderKey = "weights"
 
-// table is this gateway's part in what is decided for all, under a lock of its own.
+// table is this gateway's share in fleet-wide decisions, under a lock of its own.
 type table struct {
-	mu    rank.Mutex
-	queue chan message.Message
-	node  *coordination.Node // nil: the fleet decides on no weights
-	order order
-	was   coordination.Status // when it was last told
-	inUse bool                // factors are in force
-	hurt  bool                // a site is not met whole
+	mu       rank.Mutex
+	queue    chan message.Message
+	node     *coordination.Node // nil: the fleet decides on no weights
+	order    order
+	logged   coordination.Status // status that was last logged
+	inUse    bool                // factors are applied
+	degraded bool                // some site does not get all its traffic
 }
 
 func newTable(c *Config, incarnation uint64) *table {
-	t := &table{mu: rank.Mutex{Rank: rankCouncil, Name: "council"}, queue: make(chan message.Message, councilQueue)}
+	t := &table{mu: rank.Mutex{Rank: rankCoordination, Name: "council"}, queue: make(chan message.Message, coordinationQueue)}
 	if c.Pool != nil {
 		t.node = coordination.NewNode(0, election.Settings{Lease: c.Lease, Drift: c.Drift}, c.Name, incarnation, names(c.Gateways), c.Pool, c.Sites)
 	}
@@ -45,55 +45,55 @@
 	return all
 }
 
-func (f *Fleet) replaceTable(gateways []quota.Gateway, of *coordination.Sites) {
-	f.council.mu.Lock()
-	defer f.council.mu.Unlock()
-	if f.council.node != nil {
-		f.council.node.SetGateways(names(gateways), of)
+func (f *Fleet) replaceTable(gateways []quota.Gateway, layout *coordination.Sites) {
+	f.coordinator.mu.Lock()
+	defer f.coordinator.mu.Unlock()
+	if f.coordinator.node != nil {
+		f.coordinator.node.SetGateways(names(gateways), layout)
 	}
 }
 
-// workTable is the council's worker: it takes messages, and reports now and then, until the
+// workTable is the coordinator's worker: it handles messages and reports periodically until the
 // fleet stops.
 func (f *Fleet) workTable() {
 	tick := time.NewTicker(f.config.Period)
 	defer tick.Stop()
 	for {
 		select {
-		case m := <-f.council.queue:
-			f.sendCouncil(f.takeCouncil(m.Council))
+		case m := <-f.coordinator.queue:
+			f.sendCoordination(f.handleCoordination(m.Council))
 		case <-tick.C:
-			f.sendCouncil(f.tickCouncil())
+			f.sendCoordination(f.tickCoordinator())
 		case <-f.stopping:
 			return
 		}
 	}
 }
 
-func (f *Fleet) tickCouncil() []coordination.Outgoing {
-	t := f.council
+func (f *Fleet) tickCoordinator() []coordination.Outgoing {
+	t := f.coordinator
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := f.now()
-	out := t.node.Tick(now, f.candidates(dutyName, &t.order))
+	out := t.node.Tick(now, f.candidates(leaderKey, &t.order))
 	f.useTable(now)
 	return out
 }
 
-func (f *Fleet) takeCouncil(m coordination.Message) []coordination.Outgoing {
-	t := f.council
+func (f *Fleet) handleCoordination(m coordination.Message) []coordination.Outgoing {
+	t := f.coordinator
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out, meant := t.node.Handle(f.now(), m)
-	if !meant {
-		f.broken.Add(1)
+	out, valid := t.node.Handle(f.now(), m)
+	if !valid {
+		f.malformed.Add(1)
 	}
 	return out
 }
 
-// useTable puts the factors in force, and where things stand before readers.
+// useTable applies the factors and publishes the status.
 func (f *Fleet) useTable(now time.Duration) {
-	t := f.council
+	t := f.coordinator
 	factors, _ := t.node.Factors(now)
 	status := t.node.Status(now)
 	switch inUse := !status.Stale || len(factors) > 0; {
@@ -104,32 +104,32 @@
 		f.config.Pool.SetFactors(nil)
 		t.inUse = false
 	}
-	if door := t.node.Enforcer(now); door != nil {
-		if hurt := door.Degraded(); hurt || t.hurt {
-			f.config.Pool.SetEnforcer(door)
-			t.hurt = hurt
+	if enforcer := t.node.Enforcer(now); enforcer != nil {
+		if degraded := enforcer.Degraded(); degraded || t.degraded {
+			f.config.Pool.SetEnforcer(enforcer)
+			t.degraded = degraded
 		}
 	}
 	for _, c := range t.node.Changes() {
 		slog.Warn("fleet: site", "site", c.Site, "state", c.To.String(), "before", c.From.String())
 	}
-	if status.Leader != t.was.Leader {
-		slog.Info("fleet: duty", "holder", status.Leader, "before", t.was.Leader, "here", status.Leading)
+	if status.Leader != t.logged.Leader {
+		slog.Info("fleet: leader", "holder", status.Leader, "before", t.logged.Leader, "here", status.Leading)
 	}
-	if status.Stale != t.was.Stale && t.was.Table.Seq > 0 {
+	if status.Stale != t.logged.Stale && t.logged.Table.Seq > 0 {
 		slog.Warn("fleet: weights", "stale", status.Stale, "age", status.Age, "term", status.Table.Term, "table", status.Table.Seq)
 	}
-	t.was = status
+	t.logged = status
 	f.publish(func(s *Status) { s.Council = status })
 }
 
-// sendCouncil sends what is to go out. Messages to this process itself are taken at once.
-func (f *Fleet) sendCouncil(out []coordination.Outgoing) {
+// sendCoordination sends messages. Those to this process itself are handled at once.
+func (f *Fleet) sendCoordination(out []coordination.Outgoing) {
 	for len(out) > 0 {
-		var next []coordination.Outgoing // which ends: a report is answered, and an answer is not
+		var next []coordination.Outgoing // the loop ends: a report is answered, and an answer is not
 		for _, o := range out {
 			if o.To == f.config.Name {
-				next = append(next, f.takeCouncil(o.Message)...)
+				next = append(next, f.handleCoordination(o.Message)...)
 				continue
 			}
 			f.send(o.To, message.Message{Council: o.Message})
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	maxPacket   = 64 << 10 // bytes; memberlist's own are some 1,400
+	maxPacket   = 64 << 10 // bytes; memberlist's own packets have about 1,400
 	packetQueue = 256
 	streamQueue = 16
 )
 
-// transport carries memberlist's packets and streams. A peer is reached at the address
-// that the operator's file gives for its name, whatever address is told of it: so a
-// gateway may be behind another address for each of the others, and no message makes
-// this one send anywhere else.
+// transport carries memberlist's packets and streams. A peer is always reached at the address
+// that the operator's file has for its name, whatever address other gateways announce. So a
+// gateway may have a different address for each of the others, and no message can make this
+// process send anywhere else.
 type transport struct {
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
-	address func(name string) (string, bool) // that the operator's file gives
+	address func(name string) (string, bool) // from the operator's file
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	dropped atomic.Uint64 // packets for which there was no room
+	dropped atomic.Uint64 // packets that arrived at a full queue
 	closing chan struct{}
 	once    sync.Once
-	going   sync.WaitGroup
+	wg      sync.WaitGroup
 }
 
-// newTransport opens the address, with both protocols on one port.
+// newTransport opens the address for both protocols on the same port.
 func newTransport(listen string, address func(name string) (string, bool)) (*transport, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	at := l.Addr().(*net.TCPAddr)
-	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port})
+	addr := l.Addr().(*net.TCPAddr)
+	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: addr.IP, Port: addr.Port})
 	if err != nil {
 		l.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -49,8 +49,8 @@
 		udp: udp, tcp: l.(*net.TCPListener), address: address,
 		packets: make(chan *memberlist.Packet, packetQueue), streams: make(chan net.Conn, streamQueue), closing: make(chan struct{}),
 	}
-	t.going.Go(t.receive)
-	t.going.Go(t.accept)
+	t.wg.Go(t.receive)
+	t.wg.Go(t.accept)
 	return t, nil
 }
 
@@ -61,7 +61,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			t.rest()
+			t.backOff()
 			continue
 		}
 		p := &memberlist.Packet{Buf: append([]byte(nil), b[:n]...), From: from, Timestamp: time.Now()}
@@ -80,7 +80,7 @@
 			return
 		}
 		if err != nil {
-			t.rest()
+			t.backOff()
 			continue
 		}
 		select {
@@ -91,35 +91,35 @@
 	}
 }
 
-// rest waits after an error, such as a want of descriptors, that may pass.
-func (t *transport) rest() {
+// backOff waits after a possibly temporary error, such as too many open files.
+func (t *transport) backOff() {
 	select {
 	case <-time.After(5 * time.Millisecond):
 	case <-t.closing:
 	}
 }
 
-// FinalAdvertiseAddr tells the address that this process listens at.
+// FinalAdvertiseAddr returns the address that this process listens on.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	at := t.tcp.Addr().(*net.TCPAddr)
-	return at.IP, at.Port, nil
+	addr := t.tcp.Addr().(*net.TCPAddr)
+	return addr.IP, addr.Port, nil
 }
 
-var errNoPeer = errors.New("fleet: no gateway of that name is in the operator's file")
+var errNoPeer = errors.New("fleet: no gateway of that name in the operator's file")
 
-// WriteTo is for transports that know no names.
+// WriteTo is unsupported: it has no peer name.
 func (t *transport) WriteTo([]byte, string) (time.Time, error) { return time.Time{}, errNoPeer }
 
-// DialTimeout is for transports that know no names.
+// DialTimeout is unsupported: it has no peer name.
 func (t *transport) DialTimeout(string, time.Duration) (net.Conn, error) { return nil, errNoPeer }
 
 // WriteToAddress sends a packet to a peer.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	at, known := t.address(a.Name)
+	addr, known := t.address(a.Name)
 	if !known {
 		return time.Time{}, errNoPeer
 	}
-	to, err := net.ResolveUDPAddr("udp", at)
+	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -128,25 +128,25 @@
 }
 
 // DialAddressTimeout opens a stream to a peer.
-func (t *transport) DialAddressTimeout(a memberlist.Address, patience time.Duration) (net.Conn, error) {
-	at, known := t.address(a.Name)
+func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	addr, known := t.address(a.Name)
 	if !known {
 		return nil, errNoPeer
 	}
-	return net.DialTimeout("tcp", at, patience)
+	return net.DialTimeout("tcp", addr, timeout)
 }
 
-// PacketCh and StreamCh are what comes.
+// PacketCh and StreamCh return received packets and accepted streams.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
-// Shutdown ends the transport and its goroutines.
+// Shutdown closes the transport and waits for its goroutines.
 func (t *transport) Shutdown() error {
 	var err error
 	t.once.Do(func() {
 		close(t.closing)
 		err = errors.Join(t.udp.Close(), t.tcp.Close())
-		t.going.Wait()
+		t.wg.Wait()
 	})
 	return err
 }
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -17,23 +17,22 @@
 	quota.Outgoing
 }
 
-// out appends messages of the contract to those before.
-func (c *contract) out(all []quota.Outgoing, before []outgoing) []outgoing {
+// appendOutgoing appends the contract's messages to before.
+func (c *contract) appendOutgoing(all []quota.Outgoing, messages []outgoing) []outgoing {
 	for _, o := range all {
-		before = append(before, outgoing{c.Name, o})
+		messages = append(messages, outgoing{c.Name, o})
 	}
-	return before
+	return messages
 }
 
-// work is a shard's worker: it takes messages, and reports now and then, until the fleet
-// stops.
+// work is a shard's worker: it handles messages and reports periodically until the fleet stops.
 func (f *Fleet) work(s *shard) {
 	tick := time.NewTicker(f.config.Period)
 	defer tick.Stop()
 	for {
 		select {
 		case m := <-s.queue:
-			f.sendAll(s, f.take(s, m))
+			f.sendAll(s, f.handle(s, m))
 		case <-tick.C:
 			f.sendAll(s, f.tick(s))
 		case <-f.stopping:
@@ -42,7 +41,7 @@
 	}
 }
 
-// tick has each contract of a shard report.
+// tick makes the reports of all contracts of a shard.
 func (f *Fleet) tick(s *shard) (out []outgoing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,60 +51,60 @@
 	return out
 }
 
-// report puts the limit in force that goes with a report, and then lets that go out.
-func (f *Fleet) report(c *contract, before []outgoing) []outgoing {
+// report enforces the limit that goes with a report before the report can be sent.
+func (f *Fleet) report(c *contract, messages []outgoing) []outgoing {
 	requests, work := c.Account.Requested()
 	now := f.now()
 	c.demand = c.meter.Add(now, requests, work)
 	out := c.node.Tick(now, c.demand, f.candidates(c.Name, &c.order))
 	f.enforce(c)
-	return c.out(out, before)
+	return c.appendOutgoing(out, messages)
 }
 
-// take takes a message for a shard.
-func (f *Fleet) take(s *shard, m message.Message) []outgoing {
+// handle handles a message for a shard.
+func (f *Fleet) handle(s *shard, m message.Message) []outgoing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.contracts[m.Contract]
-	if c == nil { // of a file with other contracts
-		f.broken.Add(1)
+	if c == nil { // the sender's file has other contracts
+		f.malformed.Add(1)
 		return nil
 	}
 	if m.Report != nil {
-		return c.out(c.node.HandleReport(f.now(), *m.Report), nil)
+		return c.appendOutgoing(c.node.HandleReport(f.now(), *m.Report), nil)
 	}
-	const starts = 3 // of one process after another, each of which may be told of the one before
-	before := c.node.IncarnationBumps()
+	const maxRestarts = 3 // restarts of one process, each of which may be told of the previous one
+	bumps := c.node.IncarnationBumps()
 	out := c.node.HandleReply(f.now(), *m.Reply)
-	if c.node.IncarnationBumps() > max(before, starts) && !f.twice.Swap(true) {
-		slog.Error("fleet: another process has this gateway's name: each takes the part of both for its own", "name", f.config.Name)
+	if c.node.IncarnationBumps() > max(bumps, maxRestarts) && !f.duplicateLogged.Swap(true) {
+		slog.Error("fleet: another process uses this gateway's name: both use the same part", "name", f.config.Name)
 	}
 	f.enforce(c)
-	return c.out(out, nil)
+	return c.appendOutgoing(out, nil)
 }
 
-// enforce puts a contract's limit in force and before readers.
+// enforce enforces and publishes a contract's limit.
 func (f *Fleet) enforce(c *contract) {
 	now := f.now()
 	l := c.node.Limit(now)
 	c.Account.SetLimit(l, func() time.Duration { return l.Until - f.now() })
 	steward := c.node.Steward()
-	if steward != c.was {
-		slog.Debug("fleet: steward", "contract", c.Name, "steward", steward, "before", c.was)
-		c.was = steward
+	if steward != c.loggedSteward {
+		slog.Debug("fleet: steward", "contract", c.Name, "steward", steward, "before", c.loggedSteward)
+		c.loggedSteward = steward
 	}
 	f.publish(func(s *Status) { s.Contracts[c.Name] = ContractStatus{Limit: l, Steward: steward, Demand: c.demand} })
 }
 
-// sendAll sends what is to go out. Messages to this process itself are taken at once.
+// sendAll sends messages. Those to this process itself are handled at once.
 func (f *Fleet) sendAll(s *shard, out []outgoing) {
-	const most = 64 // rounds, against two that hurry one another
-	for round := 0; len(out) > 0 && round < most; round++ {
+	const maxRounds = 64 // bounds two sides that keep triggering each other
+	for round := 0; len(out) > 0 && round < maxRounds; round++ {
 		var next []outgoing
 		for _, o := range out {
 			m := message.Message{Contract: o.contract, Report: o.Report, Reply: o.Reply}
 			if o.To == f.config.Name {
-				next = append(next, f.take(s, m)...)
+				next = append(next, f.handle(s, m)...)
 				continue
 			}
 			f.send(o.To, m)
@@ -117,19 +116,19 @@
 func (f *Fleet) send(to string, m message.Message) {
 	b, err := message.Append(nil, m)
 	if err != nil {
-		slog.Error("fleet: a message can't be written", "error", err)
+		slog.Error("fleet: message can't be encoded", "error", err)
 		return
 	}
-	// What is lost is told again with the next report.
+	// A lost message is made up for by the next report.
 	if addr, known := f.address(to); known {
 		f.list.SendToAddress(memberlist.Address{Addr: addr, Name: to}, b)
 	}
 }
 
-// delegate takes what memberlist brings.
+// delegate receives memberlist's messages.
 type delegate struct{ f *Fleet }
 
-// NotifyMsg queues a message for its shard; it does not wait.
+// NotifyMsg queues a message for its shard without blocking.
 func (d delegate) NotifyMsg(b []byte) {
 	m, err := message.Parse(b)
 	switch {
@@ -137,14 +136,14 @@
 		d.f.otherVersion.Add(1)
 		return
 	case err != nil:
-		d.f.broken.Add(1)
+		d.f.malformed.Add(1)
 		return
 	}
-	queue := d.f.council.queue
+	queue := d.f.coordinator.queue
 	switch {
 	case m.Report != nil || m.Reply != nil:
 		queue = d.f.shardOf(m.Contract).queue
-	case d.f.council.node == nil: // the others' file has weights on
+	case d.f.coordinator.node == nil: // only the senders' files enable weights
 		return
 	}
 	select {
@@ -159,7 +158,7 @@
 func (delegate) LocalState(bool) []byte          { return nil }
 func (delegate) MergeRemoteState([]byte, bool)   {}
 
-// events takes word of who is up.
+// events receives membership changes.
 type events struct{ f *Fleet }
 
 func (e events) NotifyJoin(n *memberlist.Node)   { e.f.setUp(n.Name, true) }
