--- a/internal/fleet/election/election_test.go
+++ b/internal/fleet/election/election_test.go
@@ -204,9 +204,9 @@
 	return s
 }
 
-// twoTurned returns the system once both others take the first to be down and have reported to
+// twoPreferSecond returns the system once both others take the first to be down and have reported to
 // the second, just after they voted for the first.
-func twoTurned() model {
+func twoPreferSecond() model {
 	s := firstLeads()
 	s.prefersB[1], s.prefersB[2] = true, true
 	s.rounds(1, 1, 2)
@@ -215,8 +215,8 @@
 
 // Explores every order of reports, replies, losses, duplicates, waits, changes of preference and
 // a restart: there must never be two leaders.
-func TestEveryOrderOfDuty(t *testing.T) {
-	for name, start := range map[string]model{"the first is leader": firstLeads(), "the second votes for itself": secondVotesForItself(), "two prefer the second": twoTurned()} {
+func TestEveryOrderOfElection(t *testing.T) {
+	for name, start := range map[string]model{"the first is leader": firstLeads(), "the second votes for itself": secondVotesForItself(), "two prefer the second": twoPreferSecond()} {
 		if start.leader != 0 {
 			t.Fatalf("%s: the first gateway is not leader at the start", name)
 		}
--- a/internal/fleet/quota/partner_test.go
+++ b/internal/fleet/quota/partner_test.go
@@ -141,7 +141,7 @@
 
 // A lying gateway must get no more than what the others do not use: whatever demand it reports,
 // it takes nothing from an owner that wants its part.
-func TestLiar(t *testing.T) {
+func TestLyingGateway(t *testing.T) {
 	plan := partnersOf(map[string]Part{"a": PartOf(0.4), "b": PartOf(0.3), "c": PartOf(0.3)}, map[string]int{"a": 1, "b": 1, "c": 1}, "a", "b", "c")
 	lies := map[string]func(Report) Report{
 		"wants all":                func(r Report) Report { r.Demand = Whole; return r },
--- a/internal/fleet/sites/plan_test.go
+++ b/internal/fleet/sites/plan_test.go
@@ -272,16 +272,16 @@
 		}
 		return fraction
 	}
-	if part := fractionAt(time.Second, Plan{Sites: []SitePlan{{Site: Hash("s"), Fraction: 0.2}}}); part != 0.2 {
-		t.Errorf("it goes down to %.2f", part)
+	if fraction := fractionAt(time.Second, Plan{Sites: []SitePlan{{Site: Hash("s"), Fraction: 0.2}}}); fraction != 0.2 {
+		t.Errorf("it goes down to %.2f", fraction)
 	}
 	last := 0.2
 	for now := 2 * time.Second; now < 12*time.Second; now += time.Second {
-		part := fractionAt(now, Plan{})
-		if part > last+riseRate+1e-9 {
-			t.Errorf("%v: from %.2f to %.2f", now, last, part)
+		fraction := fractionAt(now, Plan{})
+		if fraction > last+riseRate+1e-9 {
+			t.Errorf("%v: from %.2f to %.2f", now, last, fraction)
 		}
-		last = part
+		last = fraction
 	}
 	if last != 1 || d.Degraded() {
 		t.Errorf("it ends at %.2f", last)
--- a/internal/fleet/weights/reporter.go
+++ b/internal/fleet/weights/reporter.go
@@ -34,17 +34,17 @@
 }
 
 // Less reports whether n is older than o.
-func (n Version) Less(o Version) bool { return n.Term < o.Term || n.Term == o.Term && n.Seq < o.Seq }
+func (v Version) Less(o Version) bool { return v.Term < o.Term || v.Term == o.Term && v.Seq < o.Seq }
 
 // Reporter reports a gateway's stats, each exactly once, also to successive leaders. One report
-// is pending at a time and is repeated until all of it is acknowledged; later observations go
+// is outstanding at a time and is repeated until all of it is acknowledged; later observations go
 // into the next one.
 type Reporter struct {
 	pending  map[ID]*Stats // stats that are in no report yet; at most MaxEndpoints
 	since    time.Duration
 	seq      uint64
-	packedAt time.Duration // when the pending report was packed
-	parts    [][]byte      // of the pending report
+	packedAt time.Duration // when the outstanding report was packed
+	parts    [][]byte      // of the outstanding report
 	acked    uint64        // bit mask of the parts acknowledged
 }
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// Tick returns the unacknowledged parts of the pending report, or else the parts of the next one:
-// at least one part, which is empty if there is nothing to report.
+// Tick returns the unacknowledged parts of the outstanding report, or else the parts of the next
+// one: at least one part, which is empty if there is nothing to report.
 func (r *Reporter) Tick(now time.Duration) (seq uint64, parts map[int][]byte) {
 	if r.acked == 1<<len(r.parts)-1 || now-r.packedAt > maxAge {
 		r.packNext()
--- a/internal/fleet/weights/weights_test.go
+++ b/internal/fleet/weights/weights_test.go
@@ -231,23 +231,23 @@
 		f.now += Period
 		f.SetEndpoints(f.now, f.list, func(ID) (float64, bool) { return 0, false })
 		for g := range gateways {
-			var sums []Stats
+			var stats []Stats
 			for i := range f.list {
 				s := Stats{ID: ID(i)}
-				part := load[i] / capacity[i]
+				busy := load[i] / capacity[i]
 				for range int(load[i] / work.Seconds() / float64(gateways)) {
 					factor := 1.0 // an M/M/1 queue
-					if f.rng.Float64() < part {
-						factor += f.rng.ExpFloat64() / (1 - part)
+					if f.rng.Float64() < busy {
+						factor += f.rng.ExpFloat64() / (1 - busy)
 					}
 					s.Record(1, false, Served, time.Duration(factor*float64(work)/capacity[i]), work)
 				}
 				if alter != nil {
 					alter(fmt.Sprint(g), &s)
 				}
-				sums = append(sums, s)
+				stats = append(stats, s)
 			}
-			f.Observe(fmt.Sprint(g), sums)
+			f.Observe(fmt.Sprint(g), stats)
 		}
 		f.Update(f.now)
 	}
@@ -310,7 +310,7 @@
 
 // A gateway that lies about its times, or claims arbitrary counts, must shift an estimate only by
 // a bounded amount, and a table's factors must stay within bounds.
-func TestLiar(t *testing.T) {
+func TestLyingGateway(t *testing.T) {
 	honest := newSimEstimator(0, 0, 0)
 	capacity, load := []float64{1, 1, 1}, []float64{0.5, 0.5, 0.5}
 	honest.play(30, 5, capacity, load, nil)
