--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// patience is for one step with the other process. All together a new
-	// process loses at most askPatience by one that hangs.
-	patience    = 400 * time.Millisecond
-	askPatience = time.Second
-	busyPause   = 50 * time.Millisecond
-	// latePatience is for what has come already when the time for it is over.
-	latePatience = 20 * time.Millisecond
-	// writeRoom is for what is told to a process that stands still, in bytes, some 550 notes of keys:
-	// the system gives half of it by itself.
-	writeRoom = 208 << 10
-	// relayPatience is for the successor to take a record. One that hangs is as
-	// good as gone: it reads all the time otherwise.
-	relayPatience = time.Second
+	// stepTimeout bounds one exchange with the other process. A peer that hangs delays the start of
+	// a new process by at most requestTimeout in total.
+	stepTimeout       = 400 * time.Millisecond
+	requestTimeout    = time.Second
+	busyRetryInterval = 50 * time.Millisecond
+	// lateReadTimeout bounds reading data that had already arrived when the read deadline expired.
+	lateReadTimeout = 20 * time.Millisecond
+	// writeBufferSize is the socket's write buffer in bytes: records written to a process that is
+	// stalled wait there, about 550 key notes. The system default holds half as much.
+	writeBufferSize = 208 << 10
+	// relayTimeout bounds the write of one record to the other process. A process reads
+	// continuously unless it hangs, and one that hangs is treated as ended.
+	relayTimeout = time.Second
 )
 
 var (
 	errBusy = errors.New("handover: the other process has a successor already")
-	// ErrNoProcess tells that no process serves at the path.
-	ErrNoProcess = errors.New("handover: nobody is there")
-	errForeign   = errors.New("handover: the other end is of another user")
+	// ErrNoProcess reports that no process serves at the path.
+	ErrNoProcess = errors.New("handover: no process serves at the path")
+	errOtherUser = errors.New("handover: the other process runs as another user")
 )
 
-// Path is where the sidecar that listens at an address is asked, in a folder
-// that its processes share; "" if they can't be told apart from others by it.
+// Path returns the socket path for handing over the sidecar that listens at an address, in a folder
+// that its processes share. It is "" if the address does not identify the sidecar (port 0).
 func Path(dir, listen string) string {
 	_, port, err := net.SplitHostPort(listen)
 	if dir == "" || err != nil || port == "0" {
@@ -48,11 +48,10 @@
 	return filepath.Join(dir, fmt.Sprintf("spokegw-%016x.sock", h.Sum64()))
 }
 
-// peer is a connection to another process.
 type peer struct {
-	conn *net.UnixConn
-	in   *inbox
-	mu   sync.Mutex // of writing
+	conn  *net.UnixConn
+	inbox *inbox
+	mu    sync.Mutex // serializes writes
 }
 
 func newPeer(c *net.UnixConn) (*peer, error) {
@@ -69,37 +68,38 @@
 		return nil, err
 	}
 	if int(cred.Uid) != os.Getuid() {
-		return nil, errForeign
+		return nil, errOtherUser
 	}
-	c.SetWriteBuffer(writeRoom)
+	c.SetWriteBuffer(writeBufferSize)
 	in, err := newInbox(c)
 	if err != nil {
 		return nil, err
 	}
-	return &peer{conn: c, in: in}, nil
+	return &peer{conn: c, inbox: in}, nil
 }
 
-// close ends the connection. What has come is handled: the other process may have ended.
+// close closes the connection after handling all records received so far, because the other process
+// may have ended after sending them.
 func (p *peer) close() {
-	p.in.catchUp()
+	p.inbox.catchUp()
 	p.conn.Close()
 }
 
-// tellKey writes the note of a key to where the other process finds it, whatever becomes of
-// this one. Where that has ended nobody needs it.
-func (p *peer) tellKey(k Key) error {
-	err := p.send(&Record{Kind: KindKey, Key: &k}, nil, relayPatience)
+// sendKey writes a key's note into the socket, where the other process can read it even if this
+// process ends. If the other process has ended, nobody needs the note, so that is not an error.
+func (p *peer) sendKey(k Key) error {
+	err := p.send(&Record{Kind: KindKey, Key: &k}, nil, relayTimeout)
 	if err == nil {
 		return nil
 	}
-	p.close() // its follower notes it
+	p.close() // the follower goroutine sees the closed connection
 	if errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-// send writes a record, with a descriptor where one is given.
+// send writes a record and, if file is not nil, its descriptor.
 func (p *peer) send(r *Record, file *os.File, within time.Duration) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 	p.conn.SetWriteDeadline(time.Now().Add(within))
 	if file != nil {
-		n, err := p.writeWith(file, b)
+		n, err := p.writeWithFile(file, b)
 		if err != nil {
 			return err
 		}
@@ -123,9 +123,9 @@
 	return err
 }
 
-// writeWith writes the first bytes together with a descriptor. The descriptor is
-// not asked of the file: Fd would have it block, and what it stands for is in use.
-func (p *peer) writeWith(file *os.File, b []byte) (n int, err error) {
+// writeWithFile writes the first bytes together with a descriptor. It does not call file.Fd, which
+// would put the descriptor, and so the listener in use, into blocking mode.
+func (p *peer) writeWithFile(file *os.File, b []byte) (n int, err error) {
 	raw, err := file.SyscallConn()
 	if err != nil {
 		return 0, err
@@ -138,10 +138,9 @@
 	return n, err
 }
 
-// receive reads a record.
 func (p *peer) receive() (*Record, error) { return Decode(p.conn) }
 
-// receiveFile reads a record that a descriptor came with.
+// receiveFile reads a record and the descriptor sent with it.
 func (p *peer) receiveFile() (*Record, *os.File, error) {
 	r := &fileReader{conn: p.conn}
 	rec, err := Decode(r)
@@ -152,11 +151,11 @@
 	return rec, r.file, nil
 }
 
-// fileReader reads bytes and keeps the first descriptor that comes along.
+// fileReader reads bytes and keeps the first descriptor that is received with them.
 type fileReader struct {
-	conn *net.UnixConn
-	file *os.File
-	late bool // its time is over
+	conn     *net.UnixConn
+	file     *os.File
+	timedOut bool // the read deadline has expired once
 }
 
 func (r *fileReader) close() {
@@ -169,11 +168,12 @@
 func (r *fileReader) Read(b []byte) (int, error) {
 	oob := make([]byte, syscall.CmsgSpace(4*4))
 	n, oobn, _, _, err := r.conn.ReadMsgUnix(b, oob)
-	if errors.Is(err, os.ErrDeadlineExceeded) && !r.late {
-		// This process may have stood still. What has come meanwhile is taken: the other one
-		// may have ended since, and with the listener those in its queue would be lost.
-		r.late = true
-		r.conn.SetReadDeadline(time.Now().Add(latePatience))
+	if errors.Is(err, os.ErrDeadlineExceeded) && !r.timedOut {
+		// This process may have been stalled past the deadline. Data that arrived meanwhile is
+		// still read: the sender may have ended since, and the connections queued at the listener
+		// would be lost with the descriptor.
+		r.timedOut = true
+		r.conn.SetReadDeadline(time.Now().Add(lateReadTimeout))
 		n, oobn, _, _, err = r.conn.ReadMsgUnix(b, oob)
 	}
 	if n == 0 && err == nil {
--- a/internal/handover/conn_test.go
+++ b/internal/handover/conn_test.go
@@ -22,16 +22,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var maps = ServiceRef{Service: "maps"}
+var mapsService = ServiceRef{Service: "maps"}
 
-// host is a process that hands over.
+// host is a Host that reports its calls on channels.
 type host struct {
 	t        *testing.T
 	listener *net.TCPListener
 	state    *State
 
 	served chan struct{}
-	parts  chan float64
+	shares chan float64
 	ended  chan struct{}
 	keys   chan Key
 }
@@ -42,8 +42,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return &host{t: t, listener: l.(*net.TCPListener), state: &State{Services: []Service{{ServiceRef: maps, Members: Members{Version: 7, Full: true, Entries: []discovery.Entry{{ID: "s-1", Addr: "a", State: "leaving"}}}}}, IDs: IDs{Key: 3, Hashes: []uint64{1, 2}}},
-		served: make(chan struct{}, 8), parts: make(chan float64, 8), ended: make(chan struct{}, 8), keys: make(chan Key, 8)}
+	return &host{t: t, listener: l.(*net.TCPListener), state: &State{Services: []Service{{ServiceRef: mapsService, Members: Members{Version: 7, Full: true, Entries: []discovery.Entry{{ID: "s-1", Addr: "a", State: "leaving"}}}}}, IDs: IDs{Key: 3, Hashes: []uint64{1, 2}}},
+		served: make(chan struct{}, 8), shares: make(chan float64, 8), ended: make(chan struct{}, 8), keys: make(chan Key, 8)}
 }
 
 func (h *host) addr() string { return h.listener.Addr().String() }
@@ -52,33 +52,33 @@
 	f, err := h.listener.File()
 	return h.state, 0.5, f, err
 }
-func (h *host) SuccessorReady()                                 { h.served <- struct{}{} }
-func (h *host) SuccessorShareChanged(part float64, handed bool) { h.parts <- part }
-func (h *host) SuccessorEnded()                                 { h.ended <- struct{}{} }
-func (h *host) SuccessorKey(k Key)                              { h.keys <- k }
+func (h *host) SuccessorReady()                                        { h.served <- struct{}{} }
+func (h *host) SuccessorShareChanged(share float64, hasSuccessor bool) { h.shares <- share }
+func (h *host) SuccessorEnded()                                        { h.ended <- struct{}{} }
+func (h *host) SuccessorKey(k Key)                                     { h.keys <- k }
 
-// offer has a host wait at a path for the length of a test.
-func offer(t *testing.T, path string, h *host) *Offerer {
+// startOfferer starts an Offerer for a host, which stops at the end of the test.
+func startOfferer(t *testing.T, path string, h *host) *Offerer {
 	t.Helper()
 	o := NewOfferer(path, "n0", h.addr(), h)
 	ctx, cancel := context.WithCancel(context.Background())
-	var going sync.WaitGroup
+	var running sync.WaitGroup
 	t.Cleanup(func() {
 		cancel()
-		going.Wait()
+		running.Wait()
 	})
-	if err := o.Offer(ctx, &going); err != nil {
+	if err := o.Offer(ctx, &running); err != nil {
 		t.Fatal(err)
 	}
 	return o
 }
 
-func await[T any](t *testing.T, what string, c <-chan T) (v T) {
+func receive[T any](t *testing.T, description string, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", description)
 	}
 	return v
 }
@@ -86,81 +86,81 @@
 func TestHandover(t *testing.T) {
 	h := newHost(t)
 	path := Path(t.TempDir(), h.addr())
-	o := offer(t, path, h)
+	o := startOfferer(t, path, h)
 	p, err := Request(path, "n0", h.addr(), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	of := p.State.Find(maps)
-	if p.Share != 0.5 || of == nil || of.Members.Version != 7 || of.Members.Entries[0].State != "leaving" || len(p.State.IDs.Hashes) != 2 {
-		t.Errorf("part %v, state %+v", p.Share, p.State)
+	service := p.State.Find(mapsService)
+	if p.Share != 0.5 || service == nil || service.Members.Version != 7 || service.Members.Entries[0].State != "leaving" || len(p.State.IDs.Hashes) != 2 {
+		t.Errorf("share %v, state %+v", p.Share, p.State)
 	}
 	if p.Listener.Addr().String() != h.addr() {
-		t.Errorf("the listener is at %v", p.Listener.Addr())
+		t.Errorf("listener at %v", p.Listener.Addr())
 	}
 	defer p.Listener.Close()
-	told, keys := make(chan Members, 1), make(chan Key, 1)
-	parts := make(chan float64, 1)
+	members, keys := make(chan Members, 1), make(chan Key, 1)
+	shares := make(chan float64, 1)
 	followed := make(chan struct{})
 	go func() {
-		p.Follow(func(m Members) { told <- m }, func(k Key, _ uint64) { keys <- k }, func(part float64) { parts <- part })
+		p.Follow(func(m Members) { members <- m }, func(k Key, _ uint64) { keys <- k }, func(share float64) { shares <- share })
 		close(followed)
 	}()
 	if err := p.ReportServing(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the word that it serves", h.served)
+	receive(t, "the report that it serves", h.served)
 	p.SendShare(0.25, true)
-	if part := await(t, "its part", h.parts); part != 0.25 {
-		t.Errorf("part %v", part)
+	if share := receive(t, "the successor's share", h.shares); share != 0.25 {
+		t.Errorf("share %v", share)
 	}
 	o.SendMembers(Members{Version: 8, Entries: []discovery.Entry{{ID: "s-2"}}})
-	if m := await(t, "what discovery told", told); m.Version != 8 || m.Entries[0].ID != "s-2" {
+	if m := receive(t, "the discovery update", members); m.Version != 8 || m.Entries[0].ID != "s-2" {
 		t.Errorf("%+v", m)
 	}
-	o.SendKey(Key{ServiceRef: maps, Note: keyed.Note{Key: 9, Cell: 4}})
-	if k := await(t, "a keyed request", keys); !k.Is(maps) || k.Key != 9 || k.Cell != 4 {
+	o.SendKey(Key{ServiceRef: mapsService, Note: keyed.Note{Key: 9, Cell: 4}})
+	if k := receive(t, "a keyed request", keys); !k.Is(mapsService) || k.Key != 9 || k.Cell != 4 {
 		t.Errorf("%+v", k)
 	}
 	o.SendShare(0.125)
-	await(t, "the part of the one before", parts)
+	receive(t, "the predecessor's share", shares)
 	if _, err := Request(path, "n0", h.addr(), false); err == nil {
-		t.Error("a second successor was given something while the first is there")
+		t.Error("a second successor was accepted while the first runs")
 	}
 	p.Close()
-	await(t, "the end of the successor", h.ended)
+	receive(t, "the end of the successor", h.ended)
 	<-followed
-	again, err := Request(path, "n0", h.addr(), false) // the path is the host's again
+	second, err := Request(path, "n0", h.addr(), false) // the host has opened the path again
 	if err != nil {
 		t.Fatal(err)
 	}
-	again.Listener.Close()
-	again.Close()
-	await(t, "the end of the next successor", h.ended)
+	second.Listener.Close()
+	second.Close()
+	receive(t, "the end of the next successor", h.ended)
 }
 
-// frame is a record's bytes, right but for what is asked of it.
+// frame encodes a record with the given header fields, which may be invalid.
 func frame(version uint16, length uint32, body []byte, sum uint32) []byte {
 	b := binary.BigEndian.AppendUint16([]byte(magic), version)
 	b = binary.BigEndian.AppendUint32(b, length)
 	return append(binary.BigEndian.AppendUint32(b, sum), body...)
 }
 
-// A peer that lies, hangs, is of another version or dies midway costs a second
-// at most, and nothing is taken from it.
-func TestBadPredecessors(t *testing.T) {
-	hello := []byte(`{"Kind":"state","Part":0.5,"State":{}}`)
-	sum := crc32.ChecksumIEEE(hello)
-	for name, answer := range map[string][]byte{
-		"hangs":            nil,
-		"no listener":      frame(Version, uint32(len(hello)), hello, sum),
-		"another version":  frame(Version+1, uint32(len(hello)), hello, sum),
-		"wrong checksum":   frame(Version, uint32(len(hello)), hello, sum+1),
-		"too long":         frame(Version, MaxRecord+1, hello, sum),
-		"dies midway":      frame(Version, uint32(len(hello)+50), hello, sum),
-		"something else":   []byte("HTTP/1.1 200 OK\r\n\r\n"),
-		"part of a head":   []byte("SG"),
-		"a part of nought": frame(Version, 31, []byte(`{"Kind":"state","Part":0,"S":{}}`)[:31], 0),
+// A predecessor that sends invalid records, hangs, has another version or ends in the middle of a
+// record delays the start by at most about a second, and nothing of it is used.
+func TestInvalidPredecessors(t *testing.T) {
+	body := []byte(`{"Kind":"state","Part":0.5,"State":{}}`)
+	sum := crc32.ChecksumIEEE(body)
+	for name, reply := range map[string][]byte{
+		"hangs":           nil,
+		"no listener":     frame(Version, uint32(len(body)), body, sum),
+		"another version": frame(Version+1, uint32(len(body)), body, sum),
+		"wrong checksum":  frame(Version, uint32(len(body)), body, sum+1),
+		"too long":        frame(Version, MaxRecord+1, body, sum),
+		"dies midway":     frame(Version, uint32(len(body)+50), body, sum),
+		"something else":  []byte("HTTP/1.1 200 OK\r\n\r\n"),
+		"part of a head":  []byte("SG"),
+		"a share of zero": frame(Version, 31, []byte(`{"Kind":"state","Part":0,"S":{}}`)[:31], 0),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -177,28 +177,27 @@
 				}
 				defer c.Close()
 				Decode(c)
-				c.Write(answer)
-				if answer == nil {
-					io.Copy(io.Discard, c) // until it is given up
+				c.Write(reply)
+				if reply == nil {
+					io.Copy(io.Discard, c) // until the requester gives up
 				}
 			}()
-			begun := time.Now()
+			start := time.Now()
 			if p, err := Request(path, "n0", "127.0.0.1:1", false); err == nil {
-				t.Errorf("%+v was taken", p)
+				t.Errorf("%+v was accepted", p)
 			}
-			if took := time.Since(begun); took > 2*askPatience {
-				t.Errorf("it took %v", took)
+			if elapsed := time.Since(start); elapsed > 2*requestTimeout {
+				t.Errorf("Request took %v", elapsed)
 			}
 		})
 	}
 }
 
-// Whoever asks for another sidecar, or speaks badly, is given nothing, and the
-// next one is heard.
-func TestBadSuccessors(t *testing.T) {
+// A request for another sidecar or an invalid one is refused, and the next valid request is served.
+func TestInvalidSuccessors(t *testing.T) {
 	h := newHost(t)
 	path := Path(t.TempDir(), h.addr())
-	offer(t, path, h)
+	startOfferer(t, path, h)
 	for _, text := range []string{"", "x", strings.Repeat("SGWH", 1000)} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -208,7 +207,7 @@
 		c.Close()
 	}
 	if _, err := Request(path, "another", h.addr(), false); err == nil {
-		t.Error("a sidecar of another name was given something")
+		t.Error("a sidecar with another name was accepted")
 	}
 	p, err := Request(path, "n0", h.addr(), false)
 	if err != nil {
@@ -216,10 +215,10 @@
 	}
 	p.Listener.Close()
 	p.Close()
-	await(t, "the end of the successor", h.ended)
+	receive(t, "the end of the successor", h.ended)
 }
 
-func TestNobody(t *testing.T) {
+func TestNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	path := Path(dir, "127.0.0.1:8080")
 	if _, err := Request(path, "n0", "127.0.0.1:8080", false); !errors.Is(err, ErrNoProcess) {
@@ -230,12 +229,12 @@
 		t.Fatal(err)
 	}
 	l.SetUnlinkOnClose(false)
-	l.Close() // as of a process that was killed
+	l.Close() // as left by a killed process
 	if _, err := Request(path, "n0", "127.0.0.1:8080", false); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("a dead process: %v", err)
 	}
 	h := newHost(t)
-	offer(t, path, h)
+	startOfferer(t, path, h)
 	os.Remove(path)
 	if err := os.WriteFile(path, []byte("somebody's"), 0o600); err != nil {
 		t.Fatal(err)
@@ -244,14 +243,14 @@
 		t.Errorf("a file: %v", err)
 	}
 	if err := NewOfferer(path, "n0", "x", h).Offer(t.Context(), new(sync.WaitGroup)); err == nil {
-		t.Error("a file of somebody's was replaced")
+		t.Error("a regular file was replaced")
 	}
 	if Path(dir, "127.0.0.1:0") != "" || Path("", "127.0.0.1:1") != "" {
-		t.Error("there is a path where processes can't find each other")
+		t.Error("an ambiguous address or an empty folder has a path")
 	}
 }
 
-// A folder whose name does not fit into a socket's address will do.
+// The path of the folder may be too long for a socket address.
 func TestLongPath(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 100), strings.Repeat("e", 100))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -259,19 +258,19 @@
 	}
 	h := newHost(t)
 	path := Path(dir, h.addr())
-	offer(t, path, h)
+	startOfferer(t, path, h)
 	p, err := Request(path, "n0", h.addr(), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Listener.Close()
 	p.Close()
-	await(t, "the end of the successor", h.ended)
+	receive(t, "the end of the successor", h.ended)
 }
 
 func FuzzDecode(f *testing.F) {
 	for _, r := range []*Record{
-		{Kind: KindHello, Name: "n0", Listen: "127.0.0.1:1"}, {Kind: KindServing}, {Kind: KindPart, Part: 0.5},
+		{Kind: KindHello, Name: "n0", Listen: "127.0.0.1:1"}, {Kind: KindServing}, {Kind: KindShare, Part: 0.5},
 		{Kind: KindState, Part: 0.5, State: &State{IDs: IDs{1, []uint64{2}}}}, {Kind: KindMembers, Members: &Members{Version: 1}},
 	} {
 		b, err := Encode(r)
@@ -286,12 +285,12 @@
 		if err != nil {
 			return
 		}
-		again, err := Encode(r)
+		encoded, err := Encode(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(strings.NewReader(string(again))); err != nil {
-			t.Fatalf("what was read can't be read again: %v", err)
+		if _, err := Decode(strings.NewReader(string(encoded))); err != nil {
+			t.Fatalf("a decoded record can't be decoded again after encoding: %v", err)
 		}
 	})
 }
--- a/internal/handover/division.go
+++ b/internal/handover/division.go
@@ -1,63 +1,64 @@
 package handover
 
-// Division is how much of the one sidecar's limits a process may use. It is a
-// value of its owner's, who tells it what happens. What a process leaves goes to
-// its successor, and to its predecessor only if there is none; so the parts of
-// all processes that are up never add up to more than 1, whichever ends when.
+// Division is the share of one sidecar's limits that a process may use. It is owned by one process,
+// which reports to it what happens to its neighbours. A process's share passes to its successor
+// when it ends, and to its predecessor only if it has no successor. Each share thus has one heir,
+// so the shares of all running processes never sum to more than 1, in whatever order they end.
 type Division struct {
-	own  float64 // without what predecessor and successor have
-	pred float64 // the predecessor's, to be had when it ends; 0: none
-	succ float64 // the successor's, as long as it is there
-	gone bool    // the successor has one of its own, which is to have what it leaves
+	own              float64 // excludes the shares of predecessor and successor
+	pred             float64 // the predecessor's share, inherited when it ends; 0: none
+	succ             float64 // the successor's share while it runs; 0: none
+	succHasSuccessor bool    // the successor has a successor itself, which inherits its share
 }
 
-// FullDivision is the division of a process that found none before it.
+// FullDivision is the division of a process that found no predecessor.
 func FullDivision() Division { return Division{own: 1} }
 
-// SuccessorDivision is that of one whose predecessor has kept so much and given as much.
-func SuccessorDivision(kept float64) Division { return Division{own: kept, pred: kept} }
+// SuccessorDivision is the division of a process whose predecessor has kept and given the same
+// share.
+func SuccessorDivision(share float64) Division { return Division{own: share, pred: share} }
 
-// Share is what the process may use, over 0 and at most 1.
+// Share is the share that the process may use, in (0, 1].
 func (d *Division) Share() float64 { return d.own }
 
-// Split gives half to a successor; it returns what each has then.
+// Split gives half of the share to a successor and returns the share that each has then.
 func (d *Division) Split() float64 {
 	d.own /= 2
-	d.succ, d.gone = d.own, false
+	d.succ, d.succHasSuccessor = d.own, false
 	return d.own
 }
 
-// HasSuccessor reports whether a successor is there: it has what this one leaves.
+// HasSuccessor reports whether a successor runs. It inherits this process's share.
 func (d *Division) HasSuccessor() bool { return d.succ > 0 }
 
-// SetPredecessorShare notes what the predecessor has by its own word.
-func (d *Division) SetPredecessorShare(part float64) {
+// SetPredecessorShare records the share that the predecessor reports.
+func (d *Division) SetPredecessorShare(share float64) {
 	if d.pred > 0 {
-		d.pred = part
+		d.pred = share
 	}
 }
 
-// SetSuccessorShare notes what the successor has by its own word, and whether it has
-// a successor itself.
-func (d *Division) SetSuccessorShare(part float64, handed bool) {
+// SetSuccessorShare records the share that the successor reports, and whether the successor has a
+// successor itself.
+func (d *Division) SetSuccessorShare(share float64, hasSuccessor bool) {
 	if d.succ > 0 {
-		d.succ, d.gone = part, handed
+		d.succ, d.succHasSuccessor = share, hasSuccessor
 	}
 }
 
-// PredecessorEnded takes on what the predecessor had. It never reaches over 1,
-// whatever was told.
+// PredecessorEnded adds the predecessor's share to this process's. The result never exceeds 1,
+// whatever was reported.
 func (d *Division) PredecessorEnded() {
 	d.own = min(d.own+d.pred, 1-min(d.succ, 0.5))
 	d.pred = 0
 }
 
-// SuccessorEnded takes back what the successor had, unless one of its own has it
-// now. If that one has ended too and nobody said so, the part is lost until the
-// next start: too little does less harm than too much.
+// SuccessorEnded takes back the successor's share, unless a successor of its own inherits it. If
+// that process has ended too and this was not reported, the share is unused until the next start:
+// using too little does less harm than exceeding the limits.
 func (d *Division) SuccessorEnded() {
-	if !d.gone {
+	if !d.succHasSuccessor {
 		d.own = min(d.own+d.succ, 1-min(d.pred, 0.5))
 	}
-	d.succ, d.gone = 0, false
+	d.succ, d.succHasSuccessor = 0, false
 }
--- a/internal/handover/division_test.go
+++ b/internal/handover/division_test.go
@@ -9,11 +9,12 @@
 	"spokegw/internal/explore"
 )
 
-// Up to four processes, each started from the one before it, that end in any
-// order; what one has reaches the others late, and that it has ended last of all.
+// chain models up to four processes, each the successor of the one before it, that end in any
+// order. Share reports and the notice of an end arrive late, in order; the notice of an end is the
+// last message.
 type chain struct {
 	procs []process
-	links []link // between i and i+1
+	links []link // the link between processes i and i+1
 }
 
 type process struct {
@@ -21,32 +22,32 @@
 	alive bool
 }
 
-// link holds what is on its way: parts, and -1 for the end.
-type link struct{ down, up []word }
+// link holds the messages in flight; a share of -1 means that the sender has ended.
+type link struct{ down, up []shareMessage }
 
-type word struct {
-	part   float64
-	handed bool
+type shareMessage struct {
+	share        float64
+	hasSuccessor bool
 }
 
 type chainEvent struct {
-	do string
-	at int
+	action string
+	index  int
 }
 
-const mostProcesses = 4
+const maxProcesses = 4
 
 func (c chain) clone() chain {
 	n := chain{procs: append([]process(nil), c.procs...)}
 	for _, l := range c.links {
-		n.links = append(n.links, link{append([]word(nil), l.down...), append([]word(nil), l.up...)})
+		n.links = append(n.links, link{append([]shareMessage(nil), l.down...), append([]shareMessage(nil), l.up...)})
 	}
 	return n
 }
 
 func (c chain) events() (events []chainEvent) {
 	last := len(c.procs) - 1
-	if p := c.procs[last]; p.alive && len(c.procs) < mostProcesses {
+	if p := c.procs[last]; p.alive && len(c.procs) < maxProcesses {
 		events = append(events, chainEvent{"start", last})
 	}
 	for i, p := range c.procs {
@@ -65,87 +66,87 @@
 	return events
 }
 
-// told sends a process's part to its neighbours.
-func (c *chain) told(i int, alsoDown bool) {
+// sendShare sends a process's share to its neighbours.
+func (c *chain) sendShare(i int, toSuccessor bool) {
 	if i > 0 {
-		c.links[i-1].up = append(c.links[i-1].up, word{c.procs[i].Share(), c.procs[i].HasSuccessor()})
+		c.links[i-1].up = append(c.links[i-1].up, shareMessage{c.procs[i].Share(), c.procs[i].HasSuccessor()})
 	}
-	if alsoDown && i < len(c.links) {
-		c.links[i].down = append(c.links[i].down, word{part: c.procs[i].Share()})
+	if toSuccessor && i < len(c.links) {
+		c.links[i].down = append(c.links[i].down, shareMessage{share: c.procs[i].Share()})
 	}
 }
 
 var (
-	errMore = errors.New("together they use more than the one sidecar may")
-	errNone = errors.New("a process has nothing")
-	errLost = errors.New("a part is lost for good")
+	errOverLimit = errors.New("the shares sum to more than 1")
+	errNoShare   = errors.New("a process has no share")
+	errShareLost = errors.New("a share is lost for good")
 )
 
 func (c chain) step(e chainEvent) (chain, error) {
 	n := c.clone()
-	p := &n.procs[e.at]
-	switch e.do {
+	p := &n.procs[e.index]
+	switch e.action {
 	case "start":
-		kept := p.Split()
-		n.told(e.at, false)
-		n.procs = append(n.procs, process{Division: SuccessorDivision(kept), alive: true})
+		share := p.Split()
+		n.sendShare(e.index, false)
+		n.procs = append(n.procs, process{Division: SuccessorDivision(share), alive: true})
 		n.links = append(n.links, link{})
 	case "end":
 		p.alive = false
-		if e.at > 0 {
-			n.links[e.at-1].up = append(n.links[e.at-1].up, word{part: -1})
+		if e.index > 0 {
+			n.links[e.index-1].up = append(n.links[e.index-1].up, shareMessage{share: -1})
 		}
-		if e.at < len(n.links) {
-			n.links[e.at].down = append(n.links[e.at].down, word{part: -1})
+		if e.index < len(n.links) {
+			n.links[e.index].down = append(n.links[e.index].down, shareMessage{share: -1})
 		}
 	case "down", "up":
-		l, to := &n.links[e.at], e.at+1
+		l, target := &n.links[e.index], e.index+1
 		queue := &l.down
-		if e.do == "up" {
-			queue, to = &l.up, e.at
+		if e.action == "up" {
+			queue, target = &l.up, e.index
 		}
-		part := (*queue)[0]
+		message := (*queue)[0]
 		*queue = (*queue)[1:]
-		if q := &n.procs[to]; q.alive {
-			n.hear(to, q, e.do == "down", part)
+		if q := &n.procs[target]; q.alive {
+			n.receive(target, q, e.action == "down", message)
 		}
 	}
 	sum := 0.0
 	for _, p := range n.procs {
 		if p.alive {
 			if p.Share() <= 0 {
-				return n, errNone
+				return n, errNoShare
 			}
 			sum += p.Share()
 		}
 	}
 	if sum > 1+1e-9 {
-		return n, fmt.Errorf("%w: %v", errMore, sum)
+		return n, fmt.Errorf("%w: %v", errOverLimit, sum)
 	}
 	return n, nil
 }
 
-func (c *chain) hear(at int, p *process, fromBefore bool, w word) {
-	part := w.part
-	before, handed := p.Share(), p.HasSuccessor()
+func (c *chain) receive(index int, p *process, fromPredecessor bool, m shareMessage) {
+	share := m.share
+	before, hadSuccessor := p.Share(), p.HasSuccessor()
 	switch {
-	case fromBefore && part < 0:
+	case fromPredecessor && share < 0:
 		p.PredecessorEnded()
-	case fromBefore:
-		p.SetPredecessorShare(part)
-	case part < 0:
+	case fromPredecessor:
+		p.SetPredecessorShare(share)
+	case share < 0:
 		p.SuccessorEnded()
 	default:
-		p.SetSuccessorShare(part, w.handed)
+		p.SetSuccessorShare(share, m.hasSuccessor)
 	}
-	if p.Share() != before || p.HasSuccessor() != handed {
-		c.told(at, true)
+	if p.Share() != before || p.HasSuccessor() != hadSuccessor {
+		c.sendShare(index, true)
 	}
 }
 
-// rest judges a state in which all has been told: where one process is left it
-// has the whole.
-func (c chain) rest() error {
+// checkQuiescent checks a state without messages in flight: a process that is left alone has the
+// whole.
+func (c chain) checkQuiescent() error {
 	var alive []process
 	for _, p := range c.procs {
 		if p.alive {
@@ -153,7 +154,7 @@
 		}
 	}
 	if len(alive) == 1 && math.Abs(alive[0].Share()-1) > 1e-9 && len(c.procs) <= 2 {
-		return fmt.Errorf("%w: %v", errLost, alive[0].Share())
+		return fmt.Errorf("%w: %v", errShareLost, alive[0].Share())
 	}
 	return nil
 }
@@ -164,7 +165,7 @@
 		Events: chain.events,
 		Step:   chain.step,
 		Key:    func(c chain) string { return fmt.Sprintf("%+v", c) },
-		Rest:   chain.rest,
+		Rest:   chain.checkQuiescent,
 		Most:   400_000, Depth: 14,
 	}
 	report, err := model.Explore(2)
--- a/internal/handover/inbox.go
+++ b/internal/handover/inbox.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	// readRoom is how much is read at once, in bytes.
-	readRoom = 16 << 10
-	// mostWaiting bounds the records that have been read and wait to be handled.
-	mostWaiting = 8
+	// readSize is the minimum free buffer space for one read, in bytes.
+	readSize = 16 << 10
+	// maxQueued bounds the records that are read and not yet handled.
+	maxQueued = 8
 )
 
-// errNotFollowed tells that what the other process tells is not handled yet.
-var errNotFollowed = errors.New("handover: the other process is not followed yet")
+// errNoKeyHandler reports that records on keys can't be handled yet.
+var errNoKeyHandler = errors.New("handover: the other process is not followed yet")
 
-// inbox is what another process has told. What it tells of keys is handled by whoever reads it,
-// so that a request can be decided by all that has come; other records wait for who follows
-// that process.
+// inbox receives the records of another process. A record on a key is handled by the goroutine that
+// reads it, so that a request can be decided with every record received so far; all other records
+// are queued for the goroutine that follows the process.
 type inbox struct {
 	raw    syscall.RawConn
-	others chan *Record // closed at the end
+	others chan *Record // closed when reading ends
 
-	mu   sync.Mutex
-	key  func(*Record) // handles a record on keys, and must not wait; nil: not followed yet
-	come []byte        // the beginning of a record whose rest has not come
-	err  error         // why nothing more is read; nil: it goes on
+	mu        sync.Mutex
+	handleKey func(*Record) // handles a record on a key and must not block; nil: not set yet
+	buffered  []byte        // an incomplete record
+	err       error         // why reading ended; nil: it has not
 }
 
 func newInbox(c *net.UnixConn) (*inbox, error) {
 	raw, err := c.SyscallConn()
-	return &inbox{raw: raw, others: make(chan *Record, mostWaiting)}, err
+	return &inbox{raw: raw, others: make(chan *Record, maxQueued)}, err
 }
 
-// onKey sets what handles records on keys.
-func (in *inbox) onKey(key func(*Record)) {
+// setKeyHandler sets the function that handles records on keys.
+func (in *inbox) setKeyHandler(handler func(*Record)) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.key = key
+	in.handleKey = handler
 }
 
-// catchUp has all handled that has been told of keys by now. It does not wait for the other
-// process: of what that has begun to write and not finished, nothing has been done yet.
+// catchUp handles all records on keys that have been received by now. It does not wait for the rest
+// of an incomplete record: the other process acts on a key only after it has written the whole
+// record, so nothing has been done yet.
 func (in *inbox) catchUp() error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.key == nil {
-		return errNotFollowed
+	if in.handleKey == nil {
+		return errNoKeyHandler
 	}
 	for in.err == nil {
 		err := in.read()
@@ -61,10 +62,10 @@
 		}
 		in.fail(err)
 	}
-	return nil // there is nothing more to catch up with
+	return nil // reading has ended: there is nothing left to read
 }
 
-// fail notes why nothing more is read.
+// fail records why reading ended.
 func (in *inbox) fail(err error) {
 	if err != nil && in.err == nil {
 		in.err = err
@@ -72,12 +73,12 @@
 	}
 }
 
-// read takes what one read finds; unix.EAGAIN: nothing.
+// read handles the data of one receive call. It returns unix.EAGAIN if there is none.
 func (in *inbox) read() error {
-	in.come = slices.Grow(in.come, readRoom)
+	in.buffered = slices.Grow(in.buffered, readSize)
 	n, err := 0, error(nil)
 	if closed := in.raw.Control(func(fd uintptr) {
-		n, _, err = unix.Recvfrom(int(fd), in.come[len(in.come):cap(in.come)], unix.MSG_DONTWAIT)
+		n, _, err = unix.Recvfrom(int(fd), in.buffered[len(in.buffered):cap(in.buffered)], unix.MSG_DONTWAIT)
 	}); closed != nil {
 		return closed
 	}
@@ -89,46 +90,47 @@
 	case n == 0:
 		return io.EOF
 	}
-	in.come = in.come[:len(in.come)+n]
-	return in.handle()
+	in.buffered = in.buffered[:len(in.buffered)+n]
+	return in.dispatch()
 }
 
-// handle handles the records that have come whole.
-func (in *inbox) handle() error {
-	rest := in.come
+// dispatch handles the complete records in the buffer.
+func (in *inbox) dispatch() error {
+	remaining := in.buffered
 	for {
-		r, n, err := next(rest)
+		r, n, err := parseNext(remaining)
 		if err != nil {
 			return err
 		}
 		if n == 0 {
 			break
 		}
-		rest = rest[n:]
-		if r.Kind == KindKey || r.Kind == KindKept {
-			in.key(r)
+		remaining = remaining[n:]
+		if r.Kind == KindKey || r.Kind == KindConfirmation {
+			in.handleKey(r)
 		} else {
 			in.others <- r
 		}
 	}
-	if in.come = in.come[:copy(in.come, rest)]; len(rest) == 0 && cap(in.come) > 8*readRoom {
-		in.come = nil // it was for a long list
+	if in.buffered = in.buffered[:copy(in.buffered, remaining)]; len(remaining) == 0 && cap(in.buffered) > 8*readSize {
+		in.buffered = nil // it grew for a long list
 	}
 	return nil
 }
 
-// follow hands on what is told, but for what onKey has, until the other process ends.
+// follow returns the records of the other process, except those handled by the key handler, until
+// it ends.
 func (in *inbox) follow() <-chan *Record {
-	go func() { // ends with the connection
-		for in.await() {
+	go func() { // exits when the connection ends
+		for in.waitReadable() {
 			in.catchUp()
 		}
 	}()
 	return in.others
 }
 
-// await waits until there is something to read; false: there won't be.
-func (in *inbox) await() bool {
+// waitReadable waits until there is data to read. It returns false if reading has ended.
+func (in *inbox) waitReadable() bool {
 	err := in.raw.Read(func(fd uintptr) bool {
 		_, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return !errors.Is(err, unix.EAGAIN)
@@ -139,8 +141,8 @@
 	return in.err == nil
 }
 
-// reason is why nothing more is read.
-func (in *inbox) reason() error {
+// readErr returns why reading ended.
+func (in *inbox) readErr() error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.err
--- a/internal/handover/offerer.go
+++ b/internal/handover/offerer.go
@@ -14,50 +14,49 @@
 	"spokegw/internal/unixsocket"
 )
 
-// Host is the process that hands over. Its methods are called one at a time.
+// Host is the process that hands over. Its methods are called one at a time, except SuccessorKey.
 type Host interface {
-	// Offer is called when a successor asks: it returns the state, the listener's
-	// descriptor, which is closed once it is passed, and the part of the limits
-	// that each of the two has from then on. It must not tell the successor
-	// anything.
-	Offer() (s *State, part float64, listener *os.File, err error)
-	SuccessorReady()                                 // and takes all that is new
-	SuccessorShareChanged(part float64, handed bool) // of the limits, by its own word
-	SuccessorKey(k Key)                              // that is to be sent there; called beside the others, and must not wait
+	// Offer is called when a successor requests the handover. It returns the state, the listener's
+	// descriptor, which is closed once it is sent, and the share of the limits that each of the two
+	// processes has from then on. It must not send anything to the successor.
+	Offer() (s *State, share float64, listener *os.File, err error)
+	SuccessorReady()                                        // the successor serves, and takes all new work
+	SuccessorShareChanged(share float64, hasSuccessor bool) // the share that the successor reports, and whether it has a successor itself
+	SuccessorKey(k Key)                                     // the successor is about to send this keyed request; called concurrently with the other methods, must not block
 	SuccessorEnded()
 }
 
-// Offerer waits for a successor at a path.
+// Offerer accepts successors at a path and hands over to them.
 type Offerer struct {
 	path, name, listen string
 	host               Host
 	ctx                context.Context
-	going              *sync.WaitGroup // of its goroutines, which end with ctx
+	running            *sync.WaitGroup // counts its goroutines, which end with ctx
 
-	asked atomic.Bool // there is a successor, or was
+	hadSuccessor atomic.Bool // there is or was a successor
 
-	mu        sync.Mutex
-	listener  *net.UnixListener
-	successor *peer // nil: none
-	keeps     bool  // it says when a key is on its disk
-	numbers   uint64
-	unkept    map[uint64]chan error // keys that it has not said that of, by number; each takes one word
+	mu           sync.Mutex
+	listener     *net.UnixListener
+	successor    *peer // nil: none
+	confirmsKeys bool  // the successor confirms when a key is on its disk
+	lastNumber   uint64
+	pendingKeys  map[uint64]chan error // keys that the successor has not confirmed, by number; each channel receives one result
 }
 
-// NewOfferer makes the offer of a process; Offer begins it.
+// NewOfferer creates an Offerer; its method Offer starts it.
 func NewOfferer(path, name, listen string, h Host) *Offerer {
-	return &Offerer{path: path, name: name, listen: listen, host: h, unkept: map[uint64]chan error{}}
+	return &Offerer{path: path, name: name, listen: listen, host: h, pendingKeys: map[uint64]chan error{}}
 }
 
-// Offer takes the path over, whoever had it, and waits there for successors
-// until ctx ends. It returns at once; going counts its goroutines.
-func (o *Offerer) Offer(ctx context.Context, going *sync.WaitGroup) error {
-	o.ctx, o.going = ctx, going
-	return o.open()
+// Offer replaces whatever socket is at the path and accepts successors there until ctx ends. It
+// returns at once; running counts its goroutines.
+func (o *Offerer) Offer(ctx context.Context, running *sync.WaitGroup) error {
+	o.ctx, o.running = ctx, running
+	return o.listenAtPath()
 }
 
-// open takes the path.
-func (o *Offerer) open() error {
+// listenAtPath opens the socket at the path and starts accepting.
+func (o *Offerer) listenAtPath() error {
 	l, err := unixsocket.Listen(o.path)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -65,7 +64,7 @@
 	o.mu.Lock()
 	o.listener = l
 	o.mu.Unlock()
-	o.going.Go(func() {
+	o.running.Go(func() {
 		stop := context.AfterFunc(o.ctx, func() { l.Close() })
 		defer stop()
 		o.accept(l)
@@ -80,48 +79,49 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(busyPause)
+			time.Sleep(busyRetryInterval)
 			continue
 		}
 		p, err := newPeer(c)
 		if err == nil {
-			err = o.greet(p)
+			err = o.handleHello(p)
 		}
 		if err != nil {
-			slog.Warn("handover: a process asked and was given nothing", "error", err)
+			slog.Warn("handover: refused a request to hand over", "error", err)
 			c.Close()
 		}
 	}
 }
 
-// greet hears a process that asks, and hands over. Only one is there at a time.
-func (o *Offerer) greet(p *peer) error {
-	p.conn.SetReadDeadline(time.Now().Add(patience))
+// handleHello reads a process's hello and hands over to it. There is at most one successor at a
+// time.
+func (o *Offerer) handleHello(p *peer) error {
+	p.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	r, err := p.receive()
 	if err != nil {
 		return err
 	}
 	if r.Kind != KindHello || r.Listen != o.listen || r.Name != o.name {
-		return fmt.Errorf("handover: %s of %.60q at %.60q: it is not for this sidecar", r.Kind, r.Name, r.Listen)
+		return fmt.Errorf("handover: %s of %.60q at %.60q: the request is for another sidecar", r.Kind, r.Name, r.Listen)
 	}
 	o.mu.Lock()
-	taken := o.successor != nil
-	if !taken {
-		p.in.onKey(o.key)
-		o.successor, o.keeps = p, r.Keeps
-		o.asked.Store(true)
+	busy := o.successor != nil
+	if !busy {
+		p.inbox.setKeyHandler(o.handleKeyRecord)
+		o.successor, o.confirmsKeys = p, r.Keeps
+		o.hadSuccessor.Store(true)
 	}
 	o.mu.Unlock()
-	if taken {
-		p.send(&Record{Kind: KindBusy}, nil, patience)
+	if busy {
+		p.send(&Record{Kind: KindBusy}, nil, stepTimeout)
 		return errBusy
 	}
-	if err := o.give(p); err != nil {
-		o.ended(p)
+	if err := o.sendState(p); err != nil {
+		o.successorEnded(p)
 		return err
 	}
 	p.conn.SetReadDeadline(time.Time{})
-	o.going.Go(func() {
+	o.running.Go(func() {
 		stop := context.AfterFunc(o.ctx, func() { p.conn.Close() })
 		defer stop()
 		o.follow(p)
@@ -129,168 +129,170 @@
 	return nil
 }
 
-// give hands over. What is told meanwhile waits until the state is out: it is
-// newer than that.
-func (o *Offerer) give(p *peer) error {
+// sendState sends the state. It holds the write lock from before the state is collected, so that
+// any other record is written after it: such a record is newer than the state.
+func (o *Offerer) sendState(p *peer) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	state, part, file, err := o.host.Offer()
+	state, share, file, err := o.host.Offer()
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	return p.sendLocked(&Record{Kind: KindState, Part: part, State: state}, file, patience)
+	return p.sendLocked(&Record{Kind: KindState, Part: share, State: state}, file, stepTimeout)
 }
 
-// follow hears a successor until it ends.
+// follow handles the records of a successor until it ends.
 func (o *Offerer) follow(p *peer) {
-	for r := range p.in.follow() {
+	for r := range p.inbox.follow() {
 		switch r.Kind {
 		case KindServing:
 			o.host.SuccessorReady()
-			p.send(&Record{Kind: KindServing}, nil, relayPatience) // one that has ended shows in what is read
-		case KindPart:
+			p.send(&Record{Kind: KindServing}, nil, relayTimeout) // if the successor has ended, reading fails too
+		case KindShare:
 			o.host.SuccessorShareChanged(r.Part, r.Handed)
 		}
 	}
 	p.conn.Close()
-	o.ended(p)
+	o.successorEnded(p)
 }
 
-// key takes what a successor tells of a key.
-func (o *Offerer) key(r *Record) {
-	if r.Kind == KindKept {
-		o.kept(r)
+// handleKeyRecord handles a record on a key.
+func (o *Offerer) handleKeyRecord(r *Record) {
+	if r.Kind == KindConfirmation {
+		o.handleConfirmation(r)
 	} else {
 		o.host.SuccessorKey(*r.Key)
 	}
 }
 
-// ended notes that the successor has ended. It had taken the path over: another
-// one finds this process again.
-func (o *Offerer) ended(p *peer) {
+// successorEnded records that the successor has ended. The successor had replaced the socket at the
+// path, so this process opens it again for the next one.
+func (o *Offerer) successorEnded(p *peer) {
 	o.mu.Lock()
 	o.successor = nil
-	for _, word := range o.unkept {
-		word <- ErrNotPersisted
+	for _, result := range o.pendingKeys {
+		result <- ErrNotPersisted
 	}
-	clear(o.unkept)
-	before := o.listener
+	clear(o.pendingKeys)
+	previous := o.listener
 	o.mu.Unlock()
 	defer o.host.SuccessorEnded()
 	if o.ctx.Err() != nil {
 		return
 	}
-	if err := o.open(); err != nil {
-		slog.Warn("handover: no further process can ask this one", "error", err)
+	if err := o.listenAtPath(); err != nil {
+		slog.Warn("handover: can't accept another successor", "error", err)
 		return
 	}
-	before.Close() // only now: there is no moment at which nobody is there
+	previous.Close() // closed only after the new one is open, so that a process listens at every moment
 }
 
-// SendMembers relays what discovery told to the successor, if there is one. One that
-// does not read is taken for ended.
-func (o *Offerer) SendMembers(m Members) { o.tell(&Record{Kind: KindMembers, Members: &m}) }
+// SendMembers relays a discovery update to the successor, if there is one. A successor that does
+// not read is treated as ended.
+func (o *Offerer) SendMembers(m Members) { o.send(&Record{Kind: KindMembers, Members: &m}) }
 
-// SendKey tells the successor, if there is one, of a keyed request that is to be sent. When it
-// returns the note is where the successor's CatchUp finds it; on an error that is not so.
+// SendKey sends the successor, if there is one, the note of a keyed request that is about to be
+// sent to an endpoint. When it returns nil, the note is where the successor's CatchUp finds it;
+// after an error it may not be.
 func (o *Offerer) SendKey(k Key) error {
 	if p := o.peer(); p != nil {
-		return p.tellKey(k)
+		return p.sendKey(k)
 	}
 	return nil
 }
 
-// CatchUp has all handled that the successor, if there is one, has told of keys by now.
+// CatchUp handles all records on keys that the successor, if there is one, has sent by now.
 func (o *Offerer) CatchUp() error {
 	if p := o.peer(); p != nil {
-		return p.in.catchUp()
+		return p.inbox.catchUp()
 	}
 	return nil
 }
 
 var (
-	// ErrNoPersistence tells that the successor does not say when a key is on its disk: it is
-	// of an earlier version, or keeps none.
-	ErrNoPersistence = errors.New("handover: the successor does not say what it keeps")
-	// ErrNotPersisted tells that a key is not on the successor's disk.
-	ErrNotPersisted = errors.New("handover: the successor has not kept it")
+	// ErrNoPersistence reports that the successor does not confirm when a key is on its disk: it is
+	// an earlier version, or does not persist keys.
+	ErrNoPersistence = errors.New("handover: the successor does not confirm that keys are on its disk")
+	// ErrNotPersisted reports that a key is not confirmed to be on the successor's disk.
+	ErrNotPersisted = errors.New("handover: the successor has not confirmed that the key is on its disk")
 )
 
-// mostUnkept bounds the keys whose being kept is waited for.
-const mostUnkept = 1024
+// maxPendingKeys bounds the keys that wait for the successor's confirmation.
+const maxPendingKeys = 1024
 
-// PersistKey has the successor keep the note of a keyed request, and waits until it says
-// that it is on its disk.
+// PersistKey has the successor persist the note of a keyed request, and waits until the successor
+// confirms that it is on its disk.
 func (o *Offerer) PersistKey(ctx context.Context, k Key) error {
-	p, number, word, err := o.await()
+	p, number, result, err := o.registerKey()
 	if err != nil {
 		return err
 	}
-	if p.send(&Record{Kind: KindKey, Key: &k, Number: number}, nil, relayPatience) != nil {
-		p.close() // follow notes it
+	if p.send(&Record{Kind: KindKey, Key: &k, Number: number}, nil, relayTimeout) != nil {
+		p.close() // follow sees the closed connection
 	}
 	select {
-	case err := <-word:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
 		o.mu.Lock()
-		delete(o.unkept, number)
+		delete(o.pendingKeys, number)
 		o.mu.Unlock()
-		return context.Cause(ctx) // it may be kept yet: that does no harm
+		return context.Cause(ctx) // the successor may still persist the key, which is harmless
 	}
 }
 
-// await takes a number for a key, and what its word comes by.
-func (o *Offerer) await() (p *peer, number uint64, word chan error, err error) {
+// registerKey assigns a number to a key and creates the channel for its result.
+func (o *Offerer) registerKey() (p *peer, number uint64, result chan error, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
-	case o.successor == nil || len(o.unkept) >= mostUnkept:
+	case o.successor == nil || len(o.pendingKeys) >= maxPendingKeys:
 		return nil, 0, nil, ErrNotPersisted
-	case !o.keeps:
+	case !o.confirmsKeys:
 		return nil, 0, nil, ErrNoPersistence
 	}
-	o.numbers++
-	word = make(chan error, 1)
-	o.unkept[o.numbers] = word
-	return o.successor, o.numbers, word, nil
+	o.lastNumber++
+	result = make(chan error, 1)
+	o.pendingKeys[o.lastNumber] = result
+	return o.successor, o.lastNumber, result, nil
 }
 
-// kept takes a successor's word on a key. One that nobody waits for is no matter.
-func (o *Offerer) kept(r *Record) {
+// handleConfirmation handles the successor's confirmation of a key. One that nobody waits for is
+// ignored.
+func (o *Offerer) handleConfirmation(r *Record) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	word := o.unkept[r.Number]
-	if word == nil {
+	result := o.pendingKeys[r.Number]
+	if result == nil {
 		return
 	}
-	delete(o.unkept, r.Number)
+	delete(o.pendingKeys, r.Number)
 	if r.Failed {
-		word <- ErrNotPersisted
+		result <- ErrNotPersisted
 	} else {
-		word <- nil
+		result <- nil
 	}
 }
 
-// HadSuccessor reports whether there is a successor, or was.
-func (o *Offerer) HadSuccessor() bool { return o.asked.Load() }
+// HadSuccessor reports whether there is or was a successor.
+func (o *Offerer) HadSuccessor() bool { return o.hadSuccessor.Load() }
 
-// HasSuccessor reports whether there is one.
+// HasSuccessor reports whether there is a successor.
 func (o *Offerer) HasSuccessor() bool { return o.peer() != nil }
 
-// peer is the connection to the successor; nil: there is none.
+// peer returns the connection to the successor; nil: there is none.
 func (o *Offerer) peer() *peer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.successor
 }
 
-// SendShare tells the successor this process's part.
-func (o *Offerer) SendShare(part float64) { o.tell(&Record{Kind: KindPart, Part: part}) }
+// SendShare sends this process's share to the successor.
+func (o *Offerer) SendShare(share float64) { o.send(&Record{Kind: KindShare, Part: share}) }
 
-func (o *Offerer) tell(r *Record) {
-	if p := o.peer(); p != nil && p.send(r, nil, relayPatience) != nil {
-		p.close() // follow notes it
+func (o *Offerer) send(r *Record) {
+	if p := o.peer(); p != nil && p.send(r, nil, relayTimeout) != nil {
+		p.close() // follow sees the closed connection
 	}
 }
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -16,59 +16,59 @@
 	"spokegw/internal/unixsocket"
 )
 
-// Predecessor is the process that served before this one.
+// Predecessor is the connection to the process that served before this one.
 type Predecessor struct {
 	peer     *peer
 	State    *State
-	Share    float64 // of the limits, that it has kept; this one has as much
+	Share    float64 // of the limits; predecessor and successor have this share each
 	Listener *net.TCPListener
 
-	noted chan struct{} // closed when it has noted that this one serves
-	once  sync.Once
+	acknowledged chan struct{} // closed when the predecessor has acknowledged that this process serves
+	once         sync.Once
 }
 
-// Request asks the process that serves at path to hand over. It returns nil and the
-// reason if there is none or it does not in time: then this one starts from
-// nothing. keeps promises a word of ConfirmKey for each key that comes with a number. It takes
-// at most a second.
-func Request(path, name, listen string, keeps bool) (*Predecessor, error) {
-	until := time.Now().Add(askPatience)
+// Request asks the process that serves at path to hand over. If there is none, or it does not
+// answer in time, Request returns nil and the reason, and this process starts without a state.
+// confirmsKeys promises a call of ConfirmKey for each key that has a number. Request takes at most
+// one second.
+func Request(path, name, listen string, confirmsKeys bool) (*Predecessor, error) {
+	deadline := time.Now().Add(requestTimeout)
 	for {
-		p, err := ask(path, &Record{Kind: KindHello, Name: name, Listen: listen, Keeps: keeps}, until)
-		if again := errors.Is(err, errBusy) || unheard(err); !again || time.Until(until) < 2*busyPause {
+		p, err := requestOnce(path, &Record{Kind: KindHello, Name: name, Listen: listen, Keeps: confirmsKeys}, deadline)
+		if retry := errors.Is(err, errBusy) || connectionReset(err); !retry || time.Until(deadline) < 2*busyRetryInterval {
 			return p, err
 		}
-		time.Sleep(busyPause)
+		time.Sleep(busyRetryInterval)
 	}
 }
 
-// unheard reports whether an asker was reset: the listener that he was connected to was closed
-// before anybody read what he asked. By then another one may have the path.
-func unheard(err error) bool {
+// connectionReset reports whether the listener was closed before the request on its connection was
+// read. By then another process may listen at the path, so a retry can succeed.
+func connectionReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-func ask(path string, hello *Record, until time.Time) (*Predecessor, error) {
+func requestOnce(path string, hello *Record, deadline time.Time) (*Predecessor, error) {
 	info, err := os.Lstat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, ErrNoProcess
 	}
 	if err == nil && info.Mode().Type() != fs.ModeSocket {
-		return nil, fmt.Errorf("handover: %s is no socket", filepath.Base(path))
+		return nil, fmt.Errorf("handover: %s is not a socket", filepath.Base(path))
 	}
 	var conn net.Conn
 	err = unixsocket.WithShortPath(path, func(name string) error {
 		var err error
-		conn, err = net.DialTimeout("unix", name, patience)
+		conn, err = net.DialTimeout("unix", name, stepTimeout)
 		return err
 	})
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, ErrNoProcess // a process that was killed left it
+		return nil, ErrNoProcess // a killed process left the socket behind
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	p, err := talk(conn.(*net.UnixConn), hello, until)
+	p, err := exchangeHello(conn.(*net.UnixConn), hello, deadline)
 	if err != nil {
 		conn.Close()
 		return nil, err
@@ -76,13 +76,13 @@
 	return p, nil
 }
 
-func talk(conn *net.UnixConn, hello *Record, until time.Time) (*Predecessor, error) {
+func exchangeHello(conn *net.UnixConn, hello *Record, deadline time.Time) (*Predecessor, error) {
 	p, err := newPeer(conn)
 	if err != nil {
 		return nil, err
 	}
-	conn.SetReadDeadline(until)
-	if err := p.send(hello, nil, patience); err != nil {
+	conn.SetReadDeadline(deadline)
+	if err := p.send(hello, nil, stepTimeout); err != nil {
 		return nil, err
 	}
 	r, file, err := p.receiveFile()
@@ -96,96 +96,97 @@
 		return nil, errBusy
 	}
 	if r.Kind != KindState || file == nil {
-		return nil, fmt.Errorf("handover: %s without a listener in place of a state", r.Kind)
+		return nil, fmt.Errorf("handover: received %s, a state with a listener is expected", r.Kind)
 	}
-	l, err := listenerOf(file, hello.Listen)
+	l, err := listenerFromFile(file, hello.Listen)
 	if err != nil {
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	return &Predecessor{peer: p, State: r.State, Share: r.Part, Listener: l, noted: make(chan struct{})}, nil
+	return &Predecessor{peer: p, State: r.State, Share: r.Part, Listener: l, acknowledged: make(chan struct{})}, nil
 }
 
-// listenerOf is the listener that a descriptor stands for. It has to be one, at
-// the address that this process is to listen at.
-func listenerOf(file *os.File, listen string) (*net.TCPListener, error) {
-	want, err := net.ResolveTCPAddr("tcp", listen)
+// listenerFromFile returns the listener of a descriptor, which must be a TCP listener at the port
+// that this process is to listen at.
+func listenerFromFile(file *os.File, listen string) (*net.TCPListener, error) {
+	wanted, err := net.ResolveTCPAddr("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	any, err := net.FileListener(file)
+	generic, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("handover: the descriptor is no listener: %w", err)
+		return nil, fmt.Errorf("handover: the descriptor is not a listener: %w", err)
 	}
-	l, ok := any.(*net.TCPListener)
-	if !ok || l.Addr().(*net.TCPAddr).Port != want.Port {
-		any.Close()
-		return nil, fmt.Errorf("handover: the listener is at %v, %v is expected", any.Addr(), want)
+	l, ok := generic.(*net.TCPListener)
+	if !ok || l.Addr().(*net.TCPAddr).Port != wanted.Port {
+		generic.Close()
+		return nil, fmt.Errorf("handover: the listener is at %v, %v is expected", generic.Addr(), wanted)
 	}
 	return l, nil
 }
 
-// ReportServing tells the predecessor that this process serves, and waits until it has
-// noted that: who stops it from then on stops one that has a successor. It needs
-// Follow to run.
+// ReportServing notifies the predecessor that this process serves, and waits for the
+// acknowledgement: whoever stops the predecessor after that stops a process that knows it has a
+// successor. It requires Follow to be running.
 func (p *Predecessor) ReportServing() error {
-	if err := p.peer.send(&Record{Kind: KindServing}, nil, patience); err != nil {
+	if err := p.peer.send(&Record{Kind: KindServing}, nil, stepTimeout); err != nil {
 		return err
 	}
-	late := time.NewTimer(patience)
-	defer late.Stop()
+	timeout := time.NewTimer(stepTimeout)
+	defer timeout.Stop()
 	select {
-	case <-p.noted:
+	case <-p.acknowledged:
 		return nil
-	case <-late.C:
-		return errors.New("handover: it does not answer")
+	case <-timeout.C:
+		return errors.New("handover: the predecessor did not acknowledge in time")
 	}
 }
 
-// SendShare tells the predecessor this process's part, and whether another is to have
-// it.
-func (p *Predecessor) SendShare(part float64, handed bool) {
-	p.peer.send(&Record{Kind: KindPart, Part: part, Handed: handed}, nil, patience) // it may have ended: then it needs no word
+// SendShare sends the predecessor this process's share, and whether this process has a successor
+// that inherits it.
+func (p *Predecessor) SendShare(share float64, hasSuccessor bool) {
+	p.peer.send(&Record{Kind: KindShare, Part: share, Handed: hasSuccessor}, nil, stepTimeout) // an error is ignored: a predecessor that has ended needs no report
 }
 
-// ConfirmKey tells the predecessor that the key of a number is on this process's disk, or can't
-// be.
+// ConfirmKey notifies the predecessor that the key with this number is on this process's disk, or
+// that it can't be stored.
 func (p *Predecessor) ConfirmKey(number uint64, ok bool) {
-	p.peer.send(&Record{Kind: KindKept, Number: number, Failed: !ok}, nil, patience) // it may have ended: then nobody waits
+	p.peer.send(&Record{Kind: KindConfirmation, Number: number, Failed: !ok}, nil, stepTimeout) // an error is ignored: if the predecessor has ended, nobody waits
 }
 
-// Close ends the connection: the predecessor takes this process for ended.
+// Close closes the connection: the predecessor then treats this process as ended.
 func (p *Predecessor) Close() { p.peer.conn.Close() }
 
-// SendKey tells the predecessor that a keyed request is to be sent here.
-func (p *Predecessor) SendKey(k Key) error { return p.peer.tellKey(k) }
+// SendKey sends the predecessor the note of a keyed request that this process is about to send to
+// an endpoint.
+func (p *Predecessor) SendKey(k Key) error { return p.peer.sendKey(k) }
 
-// CatchUp has all handled that the predecessor has told of keys by now.
-func (p *Predecessor) CatchUp() error { return p.peer.in.catchUp() }
+// CatchUp handles all records on keys that the predecessor has sent by now.
+func (p *Predecessor) CatchUp() error { return p.peer.inbox.catchUp() }
 
-// Follow hands on what the predecessor tells until it ends. A key with a number is sent
-// once ConfirmKey tells that it is on the disk. Keys are handed on by CatchUp too, one at a time;
-// key must not wait.
-func (p *Predecessor) Follow(members func(Members), key func(k Key, number uint64), part func(float64)) {
+// Follow passes on the predecessor's records until it ends. The predecessor sends the request of a
+// key with a number only after ConfirmKey has reported that the key is on disk. CatchUp passes on
+// keys too, one at a time; the function key must not block.
+func (p *Predecessor) Follow(members func(Members), key func(k Key, number uint64), share func(float64)) {
 	defer p.peer.conn.Close()
-	noted := func() { p.once.Do(func() { close(p.noted) }) }
-	defer noted() // one that has ended needs no word
-	p.peer.in.onKey(func(r *Record) {
+	acknowledge := func() { p.once.Do(func() { close(p.acknowledged) }) }
+	defer acknowledge() // a predecessor that has ended sends no acknowledgement
+	p.peer.inbox.setKeyHandler(func(r *Record) {
 		if r.Kind == KindKey {
 			key(*r.Key, r.Number)
 		}
 	})
-	for r := range p.peer.in.follow() {
+	for r := range p.peer.inbox.follow() {
 		switch r.Kind {
 		case KindServing:
-			noted()
+			acknowledge()
 		case KindMembers:
 			members(*r.Members)
-		case KindPart:
-			part(r.Part)
+		case KindShare:
+			share(r.Part)
 		}
 	}
-	if err := p.peer.in.reason(); !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-		slog.Warn("handover: the process before this one is heard no more", "error", err)
+	if err := p.peer.inbox.readErr(); !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
+		slog.Warn("handover: lost the connection to the predecessor", "error", err)
 	}
 }
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -1,7 +1,7 @@
-// Package handover lets a new process take the place of one that serves, with
-// nothing lost between the two. What is passed is read here, and how the limits
-// of the one sidecar that the two are for are divided is decided in Division;
-// both are pure. The sockets are in conn.go. docs/design/upgrade.md tells why.
+// Package handover lets a new process replace a serving one without losing a request. This file
+// holds the records that the two exchange, and Division decides how the two share the limits of the
+// one sidecar; both are free of side effects. The sockets are in conn.go. docs/design/upgrade.md
+// gives the reasons.
 package handover
 
 import (
@@ -20,84 +20,83 @@
 	"spokegw/internal/moves"
 )
 
-// Version is that of the records. Processes of different versions pass nothing:
-// the new one starts from what its configuration tells.
+// Version is the version of the record format. Processes of different versions exchange no state:
+// the new process starts from its configuration.
 const Version = 1
 
-// MaxRecord bounds a record in bytes. A list has 4,096 entries at most, at some
-// 200 bytes each, the ids take 200 KB, and MaxKeys notes of 170 bytes 1.4 MB.
+// MaxRecord bounds a record in bytes. A list has at most 4,096 entries of about 200 bytes, the
+// request IDs take 200 KB, and MaxKeys notes of 170 bytes take 1.4 MB.
 const MaxRecord = 4 << 20
 
-// MaxKeys bounds the keys that are passed of a service: all that it remembers. With
-// fewer the older ones of a busy service were lost on the way.
+// MaxKeys bounds the keys that are handed over per service: all that a service remembers. With a
+// smaller bound, the older keys of a busy service were lost in the handover.
 const MaxKeys = keyed.MaxKeys
 
 const (
 	magic    = "SGWH"
-	headSize = len(magic) + 2 + 4 + 4 // version, length, checksum
+	headSize = len(magic) + 2 + 4 + 4
 )
 
-// Kind says what a record tells.
+// Kind is the type of a record.
 type Kind string
 
 const (
-	KindHello   Kind = "hello"   // the new process asks
-	KindState   Kind = "state"   // what it is given, once
-	KindBusy    Kind = "busy"    // another successor is there already
-	KindServing Kind = "serving" // the new process serves from now on; back: the old one has noted it
-	KindMembers Kind = "members" // what discovery told the old process
-	KindKey     Kind = "key"     // a keyed request that the sender is to send, the old process maybe once it is kept
-	KindKept    Kind = "kept"    // back: it is on the new process's disk, or can't be
-	KindPart    Kind = "part"    // the part of the sender has changed
+	KindHello        Kind = "hello"   // the new process requests the handover
+	KindState        Kind = "state"   // the answer to hello, once
+	KindBusy         Kind = "busy"    // the answer to hello if there is another successor already
+	KindServing      Kind = "serving" // the new process serves from now on; in reply: the old process acknowledges it
+	KindMembers      Kind = "members" // a discovery update from the old process
+	KindKey          Kind = "key"     // a keyed request that the sender is about to send, if it has a Number once confirmed
+	KindConfirmation Kind = "kept"    // in reply: the key is on the new process's disk, or can't be stored
+	KindShare        Kind = "part"    // the sender's share has changed
 )
 
-// Record is one message between two processes.
 type Record struct {
 	Kind    Kind
-	Name    string   `json:",omitempty"` // of the sidecar; hello
-	Listen  string   `json:",omitempty"` // where it listens; hello
-	Part    float64  `json:",omitempty"` // of the sender; state and part
-	Handed  bool     `json:",omitempty"` // the sender has a successor; part
+	Name    string   `json:",omitempty"` // of the sidecar; in hello
+	Listen  string   `json:",omitempty"` // the sidecar's listen address; in hello
+	Part    float64  `json:",omitempty"` // the sender's share; in state and part
+	Handed  bool     `json:",omitempty"` // the sender has a successor; in part
 	State   *State   `json:",omitempty"`
 	Members *Members `json:",omitempty"`
 	Key     *Key     `json:",omitempty"`
-	Keeps   bool     `json:",omitempty"` // it says when a key is on its disk; hello
-	Number  uint64   `json:",omitempty"` // of a key whose being kept is waited for; key and kept
-	Failed  bool     `json:",omitempty"` // it can't be; kept
+	Keeps   bool     `json:",omitempty"` // the sender confirms when a key is on its disk; in hello
+	Number  uint64   `json:",omitempty"` // identifies a key that needs a confirmation; in key and kept
+	Failed  bool     `json:",omitempty"` // the key can't be stored; in kept
 }
 
-// State is what one process knows that the next should.
+// State is the part of a process's state that its successor continues with.
 type State struct {
-	At       time.Duration `json:",omitempty"` // by the machine's clock, before it was collected; 0: not known
-	IDs      IDs           // of requests taken of late
-	Drained  bool          `json:",omitempty"` // the sidecar is, by operators
+	At       time.Duration `json:",omitempty"` // machine clock, read before the state was collected; 0: unknown
+	IDs      IDs           // of recent requests
+	Drained  bool          `json:",omitempty"` // operators have drained the sidecar
 	Services []Service
 }
 
-// Service is what is known of one service.
+// Service is the state of one service.
 type Service struct {
 	ServiceRef
-	Members  Members          // none where its endpoints stand in the operator's file
-	Disabled []string         `json:",omitempty"` // endpoints, by operators
-	Classes  []string         // names, by the places that the rest knows
+	Members  Members          // empty if the operator's file lists the endpoints
+	Disabled []string         `json:",omitempty"` // endpoints disabled by operators
+	Classes  []string         // class names; the other fields refer to their indexes
 	Learnt   learnt.Record    `json:",omitempty"`
-	Standing *broker.Snapshot `json:",omitempty"` // of its contracts
-	Keys     []keyed.Note     `json:",omitempty"` // of requests whose effect may have run
+	Standing *broker.Snapshot `json:",omitempty"` // of the service's contracts
+	Keys     []keyed.Note     `json:",omitempty"` // of requests whose effect may have happened
 	Moves    []moves.Record   `json:",omitempty"`
 }
 
-// ServiceRef names a service.
+// ServiceRef identifies a service.
 type ServiceRef struct {
 	Service  string
-	Platform bool // it is the platform's own, whatever its name
+	Platform bool // the platform's own service, whatever its name
 }
 
-// Is reports whether two names are of one service.
+// Is reports whether both identify the same service.
 func (o ServiceRef) Is(other ServiceRef) bool {
 	return o.Platform == other.Platform && (o.Platform || o.Service == other.Service)
 }
 
-// Find is what is known of a service; nil where nothing is.
+// Find returns the state of a service, or nil.
 func (s *State) Find(of ServiceRef) *Service {
 	for i := range s.Services {
 		if s.Services[i].Is(of) {
@@ -107,22 +106,23 @@
 	return nil
 }
 
-// Key is the note of a keyed request of a service.
+// Key is the note of a keyed request to a service.
 type Key struct {
 	ServiceRef
 	keyed.Note
-	At time.Duration `json:",omitempty"` // by the machine's clock, when it was as old as the note says; 0: not known
+	At time.Duration `json:",omitempty"` // machine clock at which the note had its age; 0: unknown
 }
 
-// Aged is the key at a time of the machine's clock, which both processes go by: either may have
-// stood still while it was told.
+// Aged returns the key with its age advanced to a time of the machine clock, which both processes
+// share. It accounts for a stall of either process while the key was sent.
 func (k Key) Aged(now time.Duration) Key {
 	k.Note = AgeNote(k.Note, k.At, now)
 	k.At = now
 	return k
 }
 
-// AgeNote is a note that was as old as it says at a time, at a later one. It is remembered no shorter.
+// AgeNote returns a note whose age was current at one time, as of a later time. It adds only time
+// that has passed, and none if at is unknown, so no note is forgotten early.
 func AgeNote(n keyed.Note, at, now time.Duration) keyed.Note {
 	if at > 0 {
 		n.Age += max(now-at, 0)
@@ -130,56 +130,55 @@
 	return n
 }
 
-// Members are entries from discovery: the whole list, or only changes.
+// Members are discovery entries: the whole list, or only changes.
 type Members struct {
 	ServiceRef
-	Version int64 // that they are at least as new as; 0: not known
+	Version int64 // the entries are at least as new as this version; 0: unknown
 	Full    bool
 	Entries []discovery.Entry
 }
 
-// IDs are hashes of ids, and the key that they were made with.
+// IDs are hashes of request IDs, and the hash key.
 type IDs struct {
 	Key    uint64
 	Hashes []uint64
 }
 
-// maxIDs bounds the ids that are taken over.
+// maxIDs bounds the request IDs in a state.
 const maxIDs = 1 << 14
 
-// check refuses a record that has come whole and can't be meant.
-func (r *Record) check() error {
+// validate reports an error for a complete record whose content is invalid.
+func (r *Record) validate() error {
 	switch r.Kind {
 	case KindHello, KindBusy, KindServing:
-	case KindState, KindPart:
+	case KindState, KindShare:
 		if !(r.Part > 0 && r.Part <= 1) {
-			return fmt.Errorf("handover: %s: a part of %v, more than 0 and at most 1 is expected", r.Kind, r.Part)
+			return fmt.Errorf("handover: %s: a share of %v, more than 0 and at most 1 is expected", r.Kind, r.Part)
 		}
 		if r.Kind == KindState && r.State == nil {
-			return fmt.Errorf("handover: state: nothing in it")
+			return fmt.Errorf("handover: state: the record has no state")
 		}
 		if r.State != nil && len(r.State.IDs.Hashes) > maxIDs {
 			return fmt.Errorf("handover: state: %d ids, at most %d are expected", len(r.State.IDs.Hashes), maxIDs)
 		}
 	case KindMembers:
 		if r.Members == nil {
-			return fmt.Errorf("handover: members: nothing in it")
+			return fmt.Errorf("handover: members: the record has no members")
 		}
 	case KindKey:
 		if r.Key == nil {
-			return fmt.Errorf("handover: key: nothing in it")
+			return fmt.Errorf("handover: key: the record has no key")
 		}
-	case KindKept:
+	case KindConfirmation:
 		if r.Number == 0 {
-			return fmt.Errorf("handover: kept: no number, one that a key came with is expected")
+			return fmt.Errorf("handover: kept: the number of a key is expected")
 		}
 	default:
-		return fmt.Errorf("handover: a record of kind %.20q", r.Kind)
+		return fmt.Errorf("handover: unknown record kind %.20q", r.Kind)
 	}
 	return nil
 }
 
-// Encode writes a record.
 func Encode(r *Record) ([]byte, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -196,8 +195,9 @@
 	return append(b, body...), nil
 }
 
-// next is the record that some bytes begin with, and its length; 0: it has not come whole.
-func next(b []byte) (r *Record, n int, err error) {
+// parseNext decodes the record at the start of b and returns its length, or 0 if the record is
+// incomplete.
+func parseNext(b []byte) (r *Record, n int, err error) {
 	if len(b) < headSize {
 		return nil, 0, nil
 	}
@@ -210,21 +210,21 @@
 	return r, n, err
 }
 
-// Decode reads a record. It holds no more than has come, so a length that lies
-// costs nothing.
+// Decode reads a record. It buffers no more than the data received, so that a false length field
+// does not allocate memory.
 func Decode(from io.Reader) (*Record, error) {
 	var head [headSize]byte
 	if _, err := io.ReadFull(from, head[:]); err != nil {
 		return nil, err
 	}
 	if string(head[:len(magic)]) != magic {
-		return nil, fmt.Errorf("handover: %q in place of %q: something else speaks there", head[:len(magic)], magic)
+		return nil, fmt.Errorf("handover: the record begins with %q, %q is expected", head[:len(magic)], magic)
 	}
-	rest := head[len(magic):]
-	if v := binary.BigEndian.Uint16(rest); v != Version {
+	header := head[len(magic):]
+	if v := binary.BigEndian.Uint16(header); v != Version {
 		return nil, fmt.Errorf("handover: version %d, %d is expected", v, Version)
 	}
-	length, sum := binary.BigEndian.Uint32(rest[2:]), binary.BigEndian.Uint32(rest[6:])
+	length, sum := binary.BigEndian.Uint32(header[2:]), binary.BigEndian.Uint32(header[6:])
 	if length > MaxRecord {
 		return nil, fmt.Errorf("handover: a record of %d bytes, at most %d are expected", length, MaxRecord)
 	}
@@ -236,11 +236,11 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if crc32.ChecksumIEEE(body) != sum {
-		return nil, fmt.Errorf("handover: the checksum does not fit")
+		return nil, fmt.Errorf("handover: the checksum does not match")
 	}
 	r := &Record{}
 	if err := json.Unmarshal(body, r); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return r, r.check()
+	return r, r.validate()
 }
