--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -6,7 +6,6 @@
 	"strings"
 )
 
-// checkServices checks the services against one another.
 func (f *File) checkServices() {
 	r := f.reader
 	names, prefixes := map[string]bool{}, map[string]string{}
@@ -14,55 +13,55 @@
 	for i := range f.Services {
 		s := &f.Services[i]
 		if names[s.Name] {
-			r.fault(s.key+".name", "the service %q stands there twice", s.Name)
+			r.fault(s.key+".name", "the service %q is defined twice", s.Name)
 		}
 		names[s.Name] = true
 		if s.Platform {
 			if platform++; platform == 2 {
-				r.fault(s.key, "endpoints or a registry are expected: the platform's own service stands there already")
+				r.fault(s.key, "endpoints or a registry are expected: the platform's own service is already defined")
 			}
 		}
 		classes := map[string]bool{}
 		for _, c := range s.Classes {
 			if classes[c.Name] {
-				r.fault(c.key+".name", "the class %q stands there twice", c.Name)
+				r.fault(c.key+".name", "the class %q is defined twice", c.Name)
 			}
 			classes[c.Name] = true
 			for _, p := range c.Paths {
-				if by := prefixes[p]; by != "" {
-					r.fault(c.key+".paths", "the path %s is that of %s already", p, by)
+				if owner := prefixes[p]; owner != "" {
+					r.fault(c.key+".paths", "the path %s already belongs to %s", p, owner)
 				}
 				prefixes[p] = fmt.Sprintf("class %q of service %q", c.Name, s.Name)
-				if len(s.Paths) > 0 && !slices.ContainsFunc(s.Paths, func(fence string) bool { return p == fence || strings.HasPrefix(p, fence+"/") }) {
+				if len(s.Paths) > 0 && !slices.ContainsFunc(s.Paths, func(prefix string) bool { return p == prefix || strings.HasPrefix(p, prefix+"/") }) {
 					r.fault(c.key, "the path %s of the class is outside the paths of its service", p)
 				}
 			}
 		}
 	}
-	f.checkFences(prefixes)
+	f.checkServicePaths(prefixes)
 	if platform == 0 {
 		r.fault("", `the platform's own service is expected too, as a [[service]] with nothing but a name, such as name = "maps"`)
 	}
 }
 
-// checkFences checks that the paths of a service are no other's.
-func (f *File) checkFences(prefixes map[string]string) {
+// checkServicePaths checks that no service or class has a path of another service.
+func (f *File) checkServicePaths(prefixes map[string]string) {
 	owners := map[string]string{}
 	for i := range f.Services {
 		s := &f.Services[i]
 		for _, p := range s.Paths {
-			if by, taken := owners[p]; taken {
-				f.reader.fault(s.key+".paths", "the path %s is that of service %q already", p, by)
+			if owner, taken := owners[p]; taken {
+				f.reader.fault(s.key+".paths", "the path %s already belongs to service %q", p, owner)
 			}
 			owners[p] = s.Name
-			if by := prefixes[p]; by != "" && !strings.HasSuffix(by, fmt.Sprintf("of service %q", s.Name)) {
-				f.reader.fault(s.key+".paths", "the path %s is that of %s", p, by)
+			if owner := prefixes[p]; owner != "" && !strings.HasSuffix(owner, fmt.Sprintf("of service %q", s.Name)) {
+				f.reader.fault(s.key+".paths", "the path %s belongs to %s", p, owner)
 			}
 		}
 	}
 }
 
-// checkTeams checks the contracts against one another and the services.
+// checkTeams checks the contracts for consistency with one another and with the services.
 func (f *File) checkTeams() {
 	r := f.reader
 	sum := 0.0
@@ -73,12 +72,12 @@
 	for i := range f.Teams {
 		t := &f.Teams[i]
 		if names[t.Name] {
-			r.fault(t.key+".name", "the team %q stands there twice", t.Name)
+			r.fault(t.key+".name", "the team %q is defined twice", t.Name)
 		}
 		names[t.Name] = true
-		if before := sum; before <= 1+shareSlack {
-			if sum += t.Share; sum > 1+shareSlack {
-				r.fault(t.key+".share", "shares up to here, that without a contract included, sum to %.4g; at most 1 is expected: more can't be owed", sum)
+		if before := sum; before <= 1+shareTolerance {
+			if sum += t.Share; sum > 1+shareTolerance {
+				r.fault(t.key+".share", "shares up to here, including that of teams without a contract, sum to %.4g; at most 1 is expected: more can't be guaranteed", sum)
 			}
 		}
 		f.checkAllows(t)
@@ -87,8 +86,8 @@
 
 func (f *File) checkAllows(t *Team) {
 	r := f.reader
-	type call struct{ service, class string }
-	taken := map[call]bool{}
+	type serviceClass struct{ service, class string }
+	taken := map[serviceClass]bool{}
 	for _, a := range t.Allow {
 		i := slices.IndexFunc(f.Services, func(s Service) bool { return s.Name == a.Service })
 		if i < 0 {
@@ -100,39 +99,39 @@
 		s := &f.Services[i]
 		classes := a.Classes
 		if len(classes) == 0 {
-			classes = []string{""} // all
+			classes = []string{""} // all classes
 		}
 		for _, c := range classes {
 			if c != "" && !s.Platform && !slices.ContainsFunc(s.Classes, func(k Class) bool { return k.Name == c }) {
 				r.fault(a.key+".classes", "service %q has no class %.60q", s.Name, c)
 			}
-			if taken[call{a.Service, c}] || taken[call{a.Service, ""}] || c == "" && slices.ContainsFunc(t.Allow, func(b Allow) bool { return b.Service == a.Service && b.key != a.key }) {
-				r.fault(a.key, "class %q of service %q stands in two allows of team %q", c, a.Service, t.Name)
+			if taken[serviceClass{a.Service, c}] || taken[serviceClass{a.Service, ""}] || c == "" && slices.ContainsFunc(t.Allow, func(b Allow) bool { return b.Service == a.Service && b.key != a.key }) {
+				r.fault(a.key, "class %q of service %q is in two allows of team %q", c, a.Service, t.Name)
 			}
-			taken[call{a.Service, c}] = true
+			taken[serviceClass{a.Service, c}] = true
 		}
 	}
 }
 
-// Check checks the file against the platform's classes: their paths are their
-// names, and contracts may name them. The error is of type fault.Faults.
+// Check checks the file against the platform's classes: their names are also their paths, and
+// contracts may name them. The error is of type fault.Faults.
 func (f *File) Check(platform []string) error {
 	r := f.reader
-	theirs := func(path string) bool { // a class of the platform's, or within one
+	ofPlatform := func(path string) bool { // the path of a platform class, or below it
 		first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 		return slices.Contains(platform, first)
 	}
 	for i := range f.Services {
 		s := &f.Services[i]
 		for _, p := range s.Paths {
-			if theirs(p) {
-				r.fault(s.key+".paths", "the path %s is that of a class of the platform's", p)
+			if ofPlatform(p) {
+				r.fault(s.key+".paths", "the path %s belongs to a class of the platform's", p)
 			}
 		}
 		for _, c := range s.Classes {
 			for _, p := range c.Paths {
-				if theirs(p) {
-					r.fault(c.key, "the path %s is that of a class of the platform's", p)
+				if ofPlatform(p) {
+					r.fault(c.key, "the path %s belongs to a class of the platform's", p)
 				}
 			}
 		}
--- a/internal/operator/contracts.go
+++ b/internal/operator/contracts.go
@@ -7,7 +7,6 @@
 	"spokegw/internal/broker"
 )
 
-// Team is one team's contract.
 type Team struct {
 	Name  string
 	Share float64
@@ -16,27 +15,27 @@
 	key string
 }
 
-// Allow are calls that a team may make, with limits over all of them together.
+// Allow is a set of requests that a team may send, with limits on their total.
 type Allow struct {
 	Service string
 	Classes []string // empty: all
-	Rate    float64  // requests a second; 0: no limit
+	Rate    float64  // requests per second; 0: no limit
 	Burst   float64
-	Work    float64 // seconds of endpoint work a second; 0: no limit
-	Shared  bool    // the limits are the whole fleet's
+	Work    float64 // endpoint seconds per second; 0: no limit
+	Shared  bool    // the limits apply to the whole fleet
 
 	key string
 }
 
-// Strangers are the terms of those without a contract.
+// Strangers are the common terms of all teams without a contract.
 type Strangers struct {
 	Share       float64
-	Rate, Burst float64 // over all of them and all classes of a service
+	Rate, Burst float64 // for all of these teams together, per service and over all its classes
 }
 
 func readTeam(t *table) Team {
-	team := Team{key: t.key, Name: name(t), Share: t.number("share", 0, 0, 1)}
-	for _, a := range t.tables("allow", maxCalls) {
+	team := Team{key: t.key, Name: readName(t), Share: t.number("share", 0, 0, 1)}
+	for _, a := range t.tables("allow", maxAllows) {
 		team.Allow = append(team.Allow, readAllow(a))
 	}
 	if len(team.Allow) == 0 {
@@ -51,7 +50,7 @@
 		key: t.key, Service: t.text("service", ""), Classes: t.texts("classes", broker.MaxClasses),
 		Rate: t.number("rate", 0, 0.001, 1e6), Work: t.number("work", 0, 0.0001, 1e6),
 	}
-	a.Burst = t.number("burst", math.Max(1, a.Rate), 1, 1e7) // a second's worth
+	a.Burst = t.number("burst", math.Max(1, a.Rate), 1, 1e7) // the default is one second's worth
 	if t.has("burst") && !t.has("rate") {
 		t.fault("burst", "a burst is expected with a rate only")
 	}
@@ -68,7 +67,7 @@
 	return a
 }
 
-func readStrangers(t *table) *Strangers {
+func readNoContract(t *table) *Strangers {
 	if t == nil {
 		return nil
 	}
@@ -77,8 +76,8 @@
 	s.Burst = t.number("burst", math.Max(1, s.Rate), 1, 1e7)
 	t.end()
 	if action == "refuse" {
-		if given, ok := t.values["action"]; ok && given != "refuse" {
-			return nil // that is a fault already
+		if value, ok := t.values["action"]; ok && value != "refuse" {
+			return nil // already reported as a fault
 		}
 		for _, k := range []string{"share", "rate", "burst"} {
 			if t.has(k) {
@@ -90,21 +89,21 @@
 	return s
 }
 
-// Terms are the contracts with one service, whose classes are in this order.
-// The file has been checked.
+// Terms returns the contracts for one service with the given classes, in their order. The file must
+// have been checked.
 func (f *File) Terms(service string, classes []string) broker.Terms {
 	t := broker.Terms{Classes: len(classes)}
 	for i := range f.Teams {
 		c := broker.Contract{Team: f.Teams[i].Name, Share: f.Teams[i].Share}
 		for _, a := range f.Teams[i].Allow {
 			if a.Service == service {
-				c.Calls = append(c.Calls, broker.CallLimits{Classes: a.set(classes), Rate: a.Rate, Burst: a.Burst, Work: a.Work, Shared: a.Shared})
+				c.Calls = append(c.Calls, broker.CallLimits{Classes: a.classSet(classes), Rate: a.Rate, Burst: a.Burst, Work: a.Work, Shared: a.Shared})
 			}
 		}
 		if len(c.Calls) > 0 {
 			t.Contracts = append(t.Contracts, c)
 		} else {
-			t.Contracts = append(t.Contracts, broker.Contract{Team: c.Team}) // known, with no call here: no stranger
+			t.Contracts = append(t.Contracts, broker.Contract{Team: c.Team}) // no calls here, but still a team with a contract
 		}
 	}
 	if s := f.Strangers; s != nil {
@@ -113,14 +112,14 @@
 	return t
 }
 
-func (a *Allow) set(classes []string) (set broker.Classes) {
+func (a *Allow) classSet(classes []string) (bits broker.Classes) {
 	if len(a.Classes) == 0 {
 		return broker.AllClasses
 	}
 	for i, c := range classes {
 		if slices.Contains(a.Classes, c) && i < broker.MaxClasses {
-			set |= 1 << i
+			bits |= 1 << i
 		}
 	}
-	return set
+	return bits
 }
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Change is what a file would change: a thing that is added, dropped, or another.
+// Change is a difference between two files: an item that is added, removed or changed.
 type Change struct {
 	What string `json:"what"` // such as team "lisina", allow 0, rate
 	Old  string `json:"old,omitempty"`
@@ -25,98 +25,99 @@
 	return fmt.Sprintf("~ %s: %s, was %s", c.What, c.New, c.Old)
 }
 
-// Diff tells what changes from one file to another. Services, classes, teams and moves
-// are told apart by their names, whatever their order is.
-func Diff(old, next *File) (all []Change) {
+// Diff returns the changes from one file to another. It matches services, classes, teams and moves
+// by name, regardless of order.
+func Diff(old, next *File) (changes []Change) {
 	d := differ{}
-	d.value("file", reflect.ValueOf(*old), reflect.ValueOf(*next))
-	for i := range d.all {
-		d.all[i].What = strings.TrimPrefix(strings.TrimPrefix(d.all[i].What, "file"), ", ")
+	d.compare("file", reflect.ValueOf(*old), reflect.ValueOf(*next))
+	for i := range d.changes {
+		d.changes[i].What = strings.TrimPrefix(strings.TrimPrefix(d.changes[i].What, "file"), ", ")
 	}
-	return d.all
+	return d.changes
 }
 
-type differ struct{ all []Change }
+type differ struct{ changes []Change }
 
-func (d *differ) note(what, old, next string) {
+func (d *differ) add(what, old, next string) {
 	if old != next {
-		d.all = append(d.all, Change{what, old, next})
+		d.changes = append(d.changes, Change{what, old, next})
 	}
 }
 
-// value compares two values of one type. Fields that are not exported, such as where
-// something stands in its file, do not count.
-func (d *differ) value(what string, old, next reflect.Value) {
+// compare compares two values of one type. Unexported fields, such as an item's position in its
+// file, are ignored.
+func (d *differ) compare(what string, old, next reflect.Value) {
 	switch old.Kind() {
 	case reflect.Pointer:
 		switch {
 		case old.IsNil() && next.IsNil():
 		case old.IsNil():
-			d.note(what, "", short(next.Elem().Interface()))
+			d.add(what, "", abbreviate(next.Elem().Interface()))
 		case next.IsNil():
-			d.note(what, short(old.Elem().Interface()), "")
+			d.add(what, abbreviate(old.Elem().Interface()), "")
 		default:
-			d.value(what, old.Elem(), next.Elem())
+			d.compare(what, old.Elem(), next.Elem())
 		}
 	case reflect.Struct:
 		for i := range old.NumField() {
 			f := old.Type().Field(i)
 			switch {
 			case f.Anonymous && f.Type.Kind() == reflect.Struct:
-				d.value(what, old.Field(i), next.Field(i))
+				d.compare(what, old.Field(i), next.Field(i))
 			case f.IsExported():
-				d.value(what+", "+plainName(f.Name), old.Field(i), next.Field(i))
+				d.compare(what+", "+kebabCase(f.Name), old.Field(i), next.Field(i))
 			}
 		}
 	case reflect.Slice:
-		d.list(what, old, next)
+		d.compareLists(what, old, next)
 	default:
-		d.note(what, text(old), text(next))
+		d.add(what, formatValue(old), formatValue(next))
 	}
 }
 
-// list compares two lists: by names where its things have some, else whole.
-func (d *differ) list(what string, old, next reflect.Value) {
-	named := old.Type().Elem().Kind() == reflect.Struct
-	if named {
-		_, named = old.Type().Elem().FieldByName("Name")
+// compareLists compares lists of named items by name, lists of other structs by index if they are
+// equally long, and all others as a whole.
+func (d *differ) compareLists(what string, old, next reflect.Value) {
+	hasName := old.Type().Elem().Kind() == reflect.Struct
+	if hasName {
+		_, hasName = old.Type().Elem().FieldByName("Name")
 	}
-	if !named {
+	if !hasName {
 		if old.Type().Elem().Kind() != reflect.Struct || old.Len() != next.Len() {
-			d.note(what, text(old), text(next))
+			d.add(what, formatValue(old), formatValue(next))
 			return
 		}
 		for i := range old.Len() {
-			d.value(fmt.Sprintf("%s %d", what, i), old.Index(i), next.Index(i))
+			d.compare(fmt.Sprintf("%s %d", what, i), old.Index(i), next.Index(i))
 		}
 		return
 	}
 	name := func(v reflect.Value) string { return v.FieldByName("Name").String() }
-	names := func(v reflect.Value) (all []string) {
+	names := func(v reflect.Value) (result []string) {
 		for i := range v.Len() {
-			all = append(all, name(v.Index(i)))
+			result = append(result, name(v.Index(i)))
 		}
-		return all
+		return result
 	}
 	before, after := names(old), names(next)
-	one := strings.TrimSuffix(strings.TrimSuffix(what, "es"), "s")
+	singular := strings.TrimSuffix(strings.TrimSuffix(what, "es"), "s")
 	for i, n := range before {
-		thing := fmt.Sprintf("%s %q", one, n)
+		item := fmt.Sprintf("%s %q", singular, n)
 		if j := slices.Index(after, n); j >= 0 {
-			d.value(thing, old.Index(i), next.Index(j))
+			d.compare(item, old.Index(i), next.Index(j))
 		} else {
-			d.note(thing, "there", "")
+			d.add(item, "there", "")
 		}
 	}
 	for _, n := range after {
 		if !slices.Contains(before, n) {
-			d.note(fmt.Sprintf("%s %q", one, n), "", "there")
+			d.add(fmt.Sprintf("%s %q", singular, n), "", "there")
 		}
 	}
 }
 
-// text is a value as an operator would write it.
-func text(v reflect.Value) string {
+// formatValue formats a value as an operator would write it.
+func formatValue(v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case time.Duration:
 		return x.String()
@@ -132,8 +133,8 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// plainName is a field's name in words.
-func plainName(name string) string {
+// kebabCase returns a field name in lower case, with hyphens between its words.
+func kebabCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
 		if i > 0 && r >= 'A' && r <= 'Z' && name[i-1] >= 'a' && name[i-1] <= 'z' {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -14,13 +14,13 @@
 	"spokegw/internal/fleet/sites"
 )
 
-// Fleet is this gateway's place among those that decide together.
+// Fleet configures this gateway as a member of a fleet.
 type Fleet struct {
 	Name, Listen string
-	Key          []byte // nil: messages are not sealed
+	Key          []byte // nil: messages are not encrypted
 	Partners     []Partner
 	Gateways     []FleetGateway
-	Weights      bool // endpoints are weighed by what the whole fleet measures
+	Weights      bool // endpoint weights follow the measurements of the whole fleet
 	Places       []FleetSite
 	sites.Settings
 	Quota quota.Settings
@@ -28,13 +28,13 @@
 	key string
 }
 
-// FleetSite is one of the zones or data centres that the fleet plans for the loss of.
+// FleetSite is a zone or data centre whose loss the fleet plans for.
 type FleetSite struct {
-	Name string   // as discovery names the zone
-	Near []string // the others, the nearest first
+	Name string   // the zone's name in discovery
+	Near []string // other sites, nearest first
 }
 
-// Partner has gateways of its own in the fleet, and a part of each quota for them together.
+// Partner operates gateways in the fleet, which together own a part of each quota.
 type Partner struct {
 	Name string
 	Part float64
@@ -42,14 +42,13 @@
 	key string
 }
 
-// FleetGateway is one gateway of the fleet.
 type FleetGateway struct{ Name, Partner, Address, Site string }
 
 func readFleet(t *table) *Fleet {
 	if t == nil {
 		return nil
 	}
-	f := &Fleet{key: t.key, Name: name(t), Listen: t.text("listen", "")}
+	f := &Fleet{key: t.key, Name: readName(t), Listen: t.text("listen", "")}
 	f.Quota = quota.Settings{
 		Lease:  t.duration("lease", 2*time.Second, time.Millisecond, time.Hour),
 		Period: t.duration("period", 200*time.Millisecond, time.Millisecond, time.Hour),
@@ -58,12 +57,12 @@
 	f.Weights = get(t, "weights", "true or false", false)
 	f.Settings = sites.Settings{Utilisation: t.number("utilisation", sites.DefaultSettings.Utilisation, 0.1, 1), Floor: t.number("floor", sites.DefaultSettings.Floor, 0, 0.5)}
 	for _, s := range t.tables("site", sites.MaxSites) {
-		f.Places = append(f.Places, FleetSite{Name: name(s), Near: s.texts("near", sites.MaxSites)})
+		f.Places = append(f.Places, FleetSite{Name: readName(s), Near: s.texts("near", sites.MaxSites)})
 		s.end()
 	}
 	f.Key = readFleetKey(t)
 	for _, p := range t.tables("partner", quota.MaxGateways) {
-		partner := Partner{key: p.key, Name: name(p), Part: p.number("part", 0, 0, 1)}
+		partner := Partner{key: p.key, Name: readName(p), Part: p.number("part", 0, 0, 1)}
 		if !p.has("part") {
 			p.fault("part", "the part of each quota that the partner owns is expected, from 0 to 1")
 		}
@@ -83,16 +82,16 @@
 }
 
 func (f *Fleet) readGateway(t *table) FleetGateway {
-	g := FleetGateway{Name: name(t), Partner: t.text("partner", ""), Address: t.text("address", ""), Site: t.text("site", "")}
+	g := FleetGateway{Name: readName(t), Partner: t.text("partner", ""), Address: t.text("address", ""), Site: t.text("site", "")}
 	t.end()
 	t.checkAddr("address", g.Address)
 	if len(g.Name) > message.MaxName {
 		t.fault("name", "%d bytes at most are expected", message.MaxName)
 	}
 	if slices.ContainsFunc(f.Gateways, func(o FleetGateway) bool { return o.Name == g.Name }) {
-		t.fault("name", "the gateway %q stands there twice", g.Name)
+		t.fault("name", "the gateway %q is defined twice", g.Name)
 	}
-	switch known := f.site(g.Site); {
+	switch known := f.hasSite(g.Site); {
 	case len(f.Places) > 0 && !known:
 		t.fault("site", "one of [[fleet.site]] is expected, not %.60q", g.Site)
 	case len(f.Places) == 0 && g.Site != "":
@@ -104,7 +103,7 @@
 	return g
 }
 
-// readFleetKey reads the file with the key.
+// readFleetKey reads the key from its file.
 func readFleetKey(t *table) []byte {
 	path := t.text("key", "")
 	if path == "" {
@@ -123,31 +122,31 @@
 	return key
 }
 
-func (f *Fleet) site(name string) bool {
+func (f *Fleet) hasSite(name string) bool {
 	return slices.ContainsFunc(f.Places, func(s FleetSite) bool { return s.Name == name })
 }
 
-// checkSites checks sites against one another.
+// checkSites checks the sites for consistency with one another.
 func (f *Fleet) checkSites(t *table) {
 	if len(f.Places) == 1 {
-		t.fault("site", "two sites at least are expected: there is nowhere else to go")
+		t.fault("site", "at least two sites are expected: with one, no other can take its requests")
 	}
 	if len(f.Places) > 0 && !f.Weights {
-		t.fault("weights", "true is expected where there are sites: a plan goes by what is measured")
+		t.fault("weights", "true is expected with sites: their plan is based on measurements")
 	}
 	for i, s := range f.Places {
 		if slices.ContainsFunc(f.Places[:i], func(o FleetSite) bool { return o.Name == s.Name }) {
-			t.fault("site", "the site %q stands there twice", s.Name)
+			t.fault("site", "the site %q is defined twice", s.Name)
 		}
 		for _, near := range s.Near {
-			if near == s.Name || !f.site(near) {
+			if near == s.Name || !f.hasSite(near) {
 				t.fault("site", "%.60q: near are others of [[fleet.site]], not %.60q", s.Name, near)
 			}
 		}
 	}
 }
 
-// Sites are the fleet's; nil: it has none.
+// Sites returns the fleet's sites; nil: it has none.
 func (f *Fleet) Sites() *coordination.Sites {
 	if len(f.Places) == 0 {
 		return nil
@@ -162,18 +161,18 @@
 	return all
 }
 
-// check checks partners and gateways against one another.
+// check checks partners and gateways for consistency with one another.
 func (f *Fleet) check(t *table) {
 	f.checkSites(t)
 	sum := 0.0
 	for i, p := range f.Partners {
-		if before := sum; before <= 1+shareSlack {
-			if sum += p.Part; sum > 1+shareSlack {
+		if before := sum; before <= 1+shareTolerance {
+			if sum += p.Part; sum > 1+shareTolerance {
 				t.r.fault(p.key+".part", "parts up to here sum to %.4g; at most 1 is expected: more can't be owned", sum)
 			}
 		}
 		if slices.ContainsFunc(f.Partners[:i], func(o Partner) bool { return o.Name == p.Name }) {
-			t.r.fault(p.key+".name", "the partner %q stands there twice", p.Name)
+			t.r.fault(p.key+".name", "the partner %q is defined twice", p.Name)
 		}
 		if !slices.ContainsFunc(f.Gateways, func(g FleetGateway) bool { return g.Partner == p.Name }) {
 			t.r.fault(p.key, "the partner %q has no gateway", p.Name)
@@ -184,8 +183,9 @@
 	}
 }
 
-// Parts are the gateways with the parts that they own: each partner's, evenly divided.
-func (f *Fleet) Parts() (all []quota.Gateway) {
+// Parts returns the gateways with the part of each quota that they own: a partner's part is divided
+// evenly among its gateways.
+func (f *Fleet) Parts() (gateways []quota.Gateway) {
 	for _, g := range f.Gateways {
 		n, part := 0, 0.0
 		for _, o := range f.Gateways {
@@ -198,32 +198,32 @@
 				part = p.Part
 			}
 		}
-		all = append(all, quota.Gateway{Name: g.Name, Partner: g.Partner, Part: quota.PartOf(part / float64(n))})
+		gateways = append(gateways, quota.Gateway{Name: g.Name, Partner: g.Partner, Part: quota.PartOf(part / float64(n))})
 	}
-	return all
+	return gateways
 }
 
-// Addresses are those at which gateways are reached, by name.
+// Addresses returns the addresses of the gateways by name.
 func (f *Fleet) Addresses() map[string]string {
-	all := make(map[string]string, len(f.Gateways))
+	addresses := make(map[string]string, len(f.Gateways))
 	for _, g := range f.Gateways {
-		all[g.Name] = g.Address
+		addresses[g.Name] = g.Address
 	}
-	return all
+	return addresses
 }
 
-// Quota is a call of a team's whose limits the whole fleet shares.
+// Quota is a team's allowance whose limits apply to the whole fleet.
 type Quota struct {
 	Team    string
 	Service string
-	Class   string // one of the call's; "": any
+	Class   string // the first class of the allowance; "": it covers all
 }
 
-// Name is the quota's at all gateways.
+// Name is the name of the quota, the same at all gateways.
 func (q Quota) Name() string { return q.Service + "/" + q.Team + "/" + q.Class }
 
-// Quotas are those of the file.
-func (f *File) Quotas() (all []Quota) {
+// Quotas returns the quotas that the file defines.
+func (f *File) Quotas() (quotas []Quota) {
 	for i := range f.Teams {
 		for _, a := range f.Teams[i].Allow {
 			if a.Shared {
@@ -231,14 +231,14 @@
 				if len(a.Classes) > 0 {
 					q.Class = a.Classes[0]
 				}
-				all = append(all, q)
+				quotas = append(quotas, q)
 			}
 		}
 	}
-	return all
+	return quotas
 }
 
-// checkQuotas checks the shared calls against the fleet.
+// checkQuotas checks the shared limits against the fleet.
 func (f *File) checkQuotas() {
 	quotas := f.Quotas()
 	if len(quotas) > quota.MaxContracts {
@@ -253,7 +253,7 @@
 	}
 	for _, q := range quotas {
 		if n := q.Name(); len(n) > message.MaxName {
-			f.reader.fault("", "the quota %q is told by a name of %d bytes at most: service, team and first class", n, message.MaxName)
+			f.reader.fault("", "the quota name %q is too long, at most %d bytes are expected: it consists of service, team and first class", n, message.MaxName)
 		}
 	}
 }
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A partner gains no part by more gateways, and parts never sum to more than the quota,
-// however they are rounded.
+// More gateways do not increase a partner's part, and the gateways' rounded parts never sum to more
+// than the quota.
 func TestPartsOfGateways(t *testing.T) {
 	f := Fleet{Partners: []Partner{{Name: "a", Part: 0.4}, {Name: "b", Part: 0.6}}}
 	for n := range 300 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A faulty fleet is refused whole, with the place.
+// A faulty fleet is refused with the position of the fault.
 func TestFleetFaults(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(bad, []byte("00ff"), 0o600); err != nil {
@@ -122,8 +122,8 @@
 	}
 }
 
-// sited is the file with three sites.
-var sited = strings.NewReplacer(
+// fileWithSites is fleetFile with three sites.
+var fileWithSites = strings.NewReplacer(
 	`period = "200ms"`, "period = \"200ms\"\nweights = true\n[[fleet.site]]\nname = \"a\"\nnear = [\"c\"]\n[[fleet.site]]\nname = \"b\"\n[[fleet.site]]\nname = \"c\"",
 	`address = "127.0.0.1:7001"`, "address = \"127.0.0.1:7001\"\nsite = \"a\"",
 	`address = "127.0.0.1:7002"`, "address = \"127.0.0.1:7002\"\nsite = \"b\"",
@@ -131,7 +131,7 @@
 ).Replace(fleetFile)
 
 func TestFleetSites(t *testing.T) {
-	f, err := Parse("operator.toml", []byte(sited))
+	f, err := Parse("operator.toml", []byte(fileWithSites))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,15 +150,15 @@
 		{"weights = true", "weights = true\nfloor = 0.9", "fleet.floor", "0 to 0.5"},
 		{"weights = true", "weights = 1", "fleet.weights", "true or false"},
 	} {
-		if !strings.Contains(sited, c.old) {
+		if !strings.Contains(fileWithSites, c.old) {
 			t.Fatalf("%q is not in the file", c.old)
 		}
-		_, err := Parse("operator.toml", []byte(strings.Replace(sited, c.old, c.new, 1)))
+		_, err := Parse("operator.toml", []byte(strings.Replace(fileWithSites, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.place) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
 	if _, err := Parse("operator.toml", []byte(strings.Replace(fleetFile, `address = "127.0.0.1:7003"`, "address = \"127.0.0.1:7003\"\nsite = \"c\"", 1))); err == nil || !strings.Contains(err.Error(), "there is no [[fleet.site]]") {
-		t.Errorf("a site where there are none: %v", err)
+		t.Errorf("a gateway's site without [[fleet.site]]: %v", err)
 	}
 }
--- a/internal/operator/fronts.go
+++ b/internal/operator/fronts.go
@@ -8,32 +8,33 @@
 	"spokegw/internal/quiclb"
 )
 
-// HTTP1 is the front for HTTP/1.1 clients.
+// HTTP1 configures the listener for HTTP/1.1 clients.
 type HTTP1 struct {
-	Pipelining bool // requests may be sent ahead of answers
+	Pipelining bool // clients may send requests before earlier ones are answered
 }
 
-// HTTP3 is the front for HTTP/3 clients.
+// HTTP3 configures the listener for HTTP/3 clients.
 type HTTP3 struct {
 	Listen           string
-	Certificate, Key string // files
+	Certificate, Key string // file names
 	Connections      int
-	Streams          int   // requests that may be open on a connection
+	Streams          int   // concurrent requests per connection
 	StreamWindow     int64 // bytes
 	ConnectionWindow int64 // bytes
 	MaxHead          int   // bytes
 	Handshake, Idle  time.Duration
-	Resets           float64 // a second on a connection
+	Resets           float64 // per second and connection
 	Unvalidated      int
-	Routing          *Routing // nil: connection IDs tell a balancer nothing
+	Routing          *Routing // nil: connection IDs hold no routing information
 }
 
-// Routing is what connection IDs tell a balancer before many instances.
+// Routing configures the routing information in connection IDs, for a load balancer in front of
+// several instances.
 type Routing struct {
 	Config byte   // rotation codepoint
 	Server string // this instance's ID, in hexadecimal digits
 	Nonce  int    // bytes
-	Key    string // a file with a key in hexadecimal digits; "": all is in plain
+	Key    string // name of a file with a key in hexadecimal digits; "": no encryption
 }
 
 func readHTTP3(t *table) *HTTP3 {
@@ -79,7 +80,7 @@
 	return r
 }
 
-// checkAddrOrFreePort: port 0 is a free one, for tests and the lab.
+// checkAddrOrFreePort also allows port 0, which selects a free port, for tests and the lab.
 func (t *table) checkAddrOrFreePort(key, addr string) {
 	if host, port, err := net.SplitHostPort(addr); err == nil && port == "0" {
 		addr = net.JoinHostPort(host, "1")
--- a/internal/operator/moves.go
+++ b/internal/operator/moves.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	maxMoves      = 32 // in a file; moves.MaxMoves of a service at once
+	maxMoves      = 32 // per file; moves.MaxMoves bounds those of one service
 	maxSteps      = 32
 	maxMoveGuards = 64
 )
 
-// Move is a move of a service's requests from one pool of its endpoints to another.
+// Move shifts a service's requests from one pool of its endpoints to another.
 type Move struct {
 	Service string
 	moves.Config
-	Guards []MoveGuard // the first that names a class, or all, is its guard
+	Guards []MoveGuard // the first one that names a class, or all classes, applies to it
 
 	key string
 }
 
-// MoveGuard is what is allowed of some classes.
+// MoveGuard sets the limits for some classes.
 type MoveGuard struct {
 	Classes []string // empty: all
 	moves.Guards
@@ -33,7 +33,7 @@
 	key string
 }
 
-// GuardsOf is what is allowed of a class.
+// GuardsOf returns the limits for a class.
 func (m *Move) GuardsOf(class string) moves.Guards {
 	for _, g := range m.Guards {
 		if len(g.Classes) == 0 || slices.Contains(g.Classes, class) {
@@ -43,7 +43,7 @@
 	return defaultGuards
 }
 
-// defaultGuards are those of a class that no guard of a move names.
+// defaultGuards apply to a class that no guard of a move names.
 var defaultGuards = moves.Guards{
 	moves.Failed:   {Bound: 0.005, Margin: 1.5},
 	moves.Late:     {Bound: 0.02, Margin: 1.5},
@@ -53,8 +53,8 @@
 
 func readMove(t *table) Move {
 	m := Move{key: t.key, Service: t.text("service", "")}
-	m.Name = name(t)
-	m.Steps = t.parts("steps", []string{"1%", "5%", "25%", "50%", "100%"})
+	m.Name = readName(t)
+	m.Steps = t.percentages("steps", []string{"1%", "5%", "25%", "50%", "100%"})
 	m.StepTime = t.duration("step-time", time.Minute, time.Second, 24*time.Hour)
 	m.StepRequests = int(t.number("step-requests", 100, 1, 1e9))
 	m.Watch = t.duration("watch", 10*time.Minute, 0, 7*24*time.Hour)
@@ -77,26 +77,26 @@
 	return m
 }
 
-// parts reads rising parts of a whole, such as "25%".
-func (t *table) parts(key string, fallback []string) (parts []float64) {
+// percentages reads a list of increasing percentages, such as "25%", as fractions.
+func (t *table) percentages(key string, fallback []string) (fractions []float64) {
 	texts := fallback
 	if t.has(key) {
 		texts = t.texts(key, maxSteps)
 	}
 	for _, text := range texts {
-		number, isPart := strings.CutSuffix(text, "%")
+		number, isPercentage := strings.CutSuffix(text, "%")
 		x, err := strconv.ParseFloat(number, 64)
-		if x /= 100; err != nil || !isPart || !(x > 0 && x <= 1) || len(parts) > 0 && x <= parts[len(parts)-1] {
+		if x /= 100; err != nil || !isPercentage || !(x > 0 && x <= 1) || len(fractions) > 0 && x <= fractions[len(fractions)-1] {
 			t.fault(key, `rising parts such as "1%%", "25%%", "100%%" are expected, not %.20q`, text)
 			return []float64{1}
 		}
-		parts = append(parts, x)
+		fractions = append(fractions, x)
 	}
-	if len(parts) == 0 {
+	if len(fractions) == 0 {
 		t.fault(key, "at least one step is expected")
 		return []float64{1}
 	}
-	return parts
+	return fractions
 }
 
 func readSelector(t *table, key string) moves.Selector {
@@ -135,32 +135,32 @@
 	return g
 }
 
-// checkMoves checks the moves against one another and the services.
+// checkMoves checks the moves for consistency with one another and with the services.
 func (f *File) checkMoves() {
 	r := f.reader
-	names, of := map[string]bool{}, map[string]int{}
+	names, perService := map[string]bool{}, map[string]int{}
 	for i := range f.Moves {
 		m := &f.Moves[i]
 		if names[m.Name] {
-			r.fault(m.key+".name", "the move %q stands there twice", m.Name)
+			r.fault(m.key+".name", "the move %q is defined twice", m.Name)
 		}
 		names[m.Name] = true
-		at := slices.IndexFunc(f.Services, func(s Service) bool { return s.Name == m.Service })
-		if at < 0 {
+		serviceIndex := slices.IndexFunc(f.Services, func(s Service) bool { return s.Name == m.Service })
+		if serviceIndex < 0 {
 			if m.Service != "" {
 				r.fault(m.key+".service", "there is no service %.60q", m.Service)
 			}
 			continue
 		}
-		if of[m.Service]++; of[m.Service] == moves.MaxMoves+1 {
-			r.fault(m.key, "%d moves over service %q are too many, %d are allowed", of[m.Service], m.Service, moves.MaxMoves)
+		if perService[m.Service]++; perService[m.Service] == moves.MaxMoves+1 {
+			r.fault(m.key, "%d moves over service %q are too many, %d are allowed", perService[m.Service], m.Service, moves.MaxMoves)
 		}
 		for j := range f.Moves[:i] {
 			if o := &f.Moves[j]; o.Service == m.Service && o.From == m.To && o.To == m.From {
-				r.fault(m.key, "it goes the other way round than move %q; one of them is expected", o.Name)
+				r.fault(m.key, "it goes the other way round than move %q; only one of them is expected", o.Name)
 			}
 		}
-		f.checkMoveGuards(m, &f.Services[at])
+		f.checkMoveGuards(m, &f.Services[serviceIndex])
 	}
 }
 
@@ -174,8 +174,8 @@
 	}
 }
 
-// checkPlatformGuards checks the guards of moves over the platform's service, whose
-// classes the file does not tell.
+// checkPlatformGuards checks the guards of moves of the platform's service, whose classes are not
+// in the file.
 func (f *File) checkPlatformGuards(classes []string) {
 	for i := range f.Moves {
 		m := &f.Moves[i]
--- a/internal/operator/moves_test.go
+++ b/internal/operator/moves_test.go
@@ -8,7 +8,7 @@
 	"spokegw/internal/moves"
 )
 
-const goodMove = `[[service]]
+const validMoveFile = `[[service]]
 name = "maps"
 
 [[service]]
@@ -45,7 +45,7 @@
 `
 
 func TestMoves(t *testing.T) {
-	f := parse(t, goodMove)
+	f := parse(t, validMoveFile)
 	m := &f.Moves[0]
 	if m.Name != "std-new" || m.Steps[0] != 0.005 || len(m.Steps) != 3 || m.StepTime != 10*time.Second || !m.Auto || m.To.Pod != 3 || m.From.Pod != -1 {
 		t.Errorf("%+v", m)
@@ -55,14 +55,14 @@
 		t.Errorf("the guard of map-tile: %+v", tile)
 	}
 	if report[moves.Slow].Margin != 0 || report[moves.Failed] != defaultGuards[moves.Failed] {
-		t.Errorf("the guard of the rest: %+v", report)
+		t.Errorf("the guard of other classes: %+v", report)
 	}
 	if g := f.Moves[1].GuardsOf("lift-state"); g != defaultGuards || f.Moves[1].Auto || f.Moves[1].Watch != 10*time.Minute {
 		t.Errorf("defaults: %+v, %+v", g, f.Moves[1])
 	}
 }
 
-// Every fault of a move tells its place and what was expected.
+// Every fault of a move has its position and what was expected.
 func TestMoveFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, place, want string }{
 		{`"0.5%", `, `"0.5", `, "move[0].steps", `not "0.5"`},
@@ -82,9 +82,9 @@
 		{`name = "lifts-new"`, `name = "std-new"`, "move[1].name", "twice"},
 		{`service = "lifts"` + "\nfrom.zone = \"a\"\nto.zone = \"b\"", `service = "maps"` + "\nfrom = { kind = \"std-2core\", pod = 3 }\nto.kind = \"std-1core\"", "move[1]", `the other way round than move "std-new"`},
 	} {
-		text := strings.Replace(goodMove, c.old, c.new, 1)
-		if text == goodMove {
-			t.Fatalf("%s is not there", c.old)
+		text := strings.Replace(validMoveFile, c.old, c.new, 1)
+		if text == validMoveFile {
+			t.Fatalf("%q is not in the file", c.old)
 		}
 		f, err := Parse("operator.toml", []byte(text))
 		if err == nil {
@@ -94,7 +94,7 @@
 			t.Errorf("%s: error %v; %s: %s is expected", c.new, err, c.place, c.want)
 		}
 	}
-	five := goodMove
+	five := validMoveFile
 	for _, name := range []string{"a", "b", "c", "d"} {
 		five += "\n[[move]]\nname = '" + name + "'\nservice = 'maps'\nfrom.zone = '" + name + "'\nto.kind = '" + name + "'\n"
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,7 +1,6 @@
-// Package operator reads the operator's file: the services behind the sidecar
-// and the contracts of the teams that use them. Reading is strict: what is not
-// known, does not fit, or contradicts something else is a fault with its place
-// and what was expected, and all faults are told at once.
+// Package operator reads the operator's file: the services behind the sidecar and the contracts of
+// the teams that use them. Reading is strict: an unknown key, an invalid value or a contradiction
+// is a fault, with its position and what was expected, and all faults are reported at once.
 package operator
 
 import (
@@ -15,69 +14,68 @@
 	"spokegw/internal/overload"
 )
 
-// MaxDeadline is the longest deadline that a class may have.
+// MaxDeadline bounds the deadline of a class.
 const MaxDeadline = time.Minute
 
-// Bounds on what a file may hold.
+// Bounds on the size of a file.
 const (
-	maxFile      = 4 << 20 // bytes
-	maxServices  = 32
-	maxEndpoints = 1024
-	maxTeams     = 16384
-	maxCalls     = 32
-	maxPaths     = 64
-	maxName      = 256 // bytes; a longer Req-Owner is refused
-	shareSlack   = 1e-9
+	maxFile        = 4 << 20 // bytes
+	maxServices    = 32
+	maxEndpoints   = 1024
+	maxTeams       = 16384
+	maxAllows      = 32
+	maxPaths       = 64
+	maxName        = 256 // bytes; requests with a longer Req-Owner are refused
+	shareTolerance = 1e-9
 )
 
-// File is what an operator's file says. It has been checked by itself, and
-// against the platform's class table by Check.
+// File is the content of an operator's file. Parse has checked it for consistency; Check checks it
+// against the platform's class table.
 type File struct {
 	Services []Service
 	Teams    []Team
-	// Strangers are the terms of all that have no contract, together; nil: they
-	// are refused.
+	// Strangers are the common terms of all teams without a contract; nil: their requests are
+	// refused.
 	Strangers *Strangers
 	HTTP3     *HTTP3 // nil: off
 	HTTP1     HTTP1
-	Metrics   string // address that tells the figures to Prometheus; "": off
+	Metrics   string // listen address for Prometheus scrapes; "": off
 	Moves     []Move
 	Console   string             // path of the socket for operators' tools; "": off
-	Keys      Keys               // how keyed requests come to the disk of State
-	State     string             // folder on a lasting disk; "": there is none
-	Overload  *overload.Settings // of the brake for the sidecar's own processor; nil: off
+	Keys      Keys               // how keyed requests are persisted in State
+	State     string             // folder on a persistent disk; "": none
+	Overload  *overload.Settings // of load shedding when the sidecar's own processor is overloaded; nil: off
 	Fleet     *Fleet             // nil: this process decides alone
 
-	reader *reader // for faults that show later
+	reader *reader // for faults found later
 	text   []byte
 }
 
-// Text is what the file was read from.
+// Text returns the text that the file was read from.
 func (f *File) Text() []byte { return f.text }
 
-// Keys is how keyed requests come to a disk.
+// Keys selects how keyed requests are persisted.
 type Keys string
 
 const (
-	KeysInSnapshot Keys = "image"  // with all else, every two seconds
-	KeysAsync      Keys = "soon"   // together with those that come meanwhile, at once; nothing waits for it
-	KeysBeforeSend Keys = "before" // before they are sent
+	KeysInSnapshot Keys = "image"  // with the rest of the state, every two seconds
+	KeysAsync      Keys = "soon"   // at once, batched with others that arrive meanwhile; requests do not wait for it
+	KeysBeforeSend Keys = "before" // before the request is sent
 )
 
-// UsesStore reports whether keys are kept by themselves, apart from the image.
+// UsesStore reports whether keys are persisted in a store of their own, apart from the snapshot.
 func (k Keys) UsesStore() bool { return k == KeysAsync || k == KeysBeforeSend }
 
-// Load reads the file at path.
 func Load(path string) (*File, error) {
-	text, err := read(path)
+	text, err := readLimited(path)
 	if err != nil {
 		return nil, err
 	}
 	return Parse(path, text)
 }
 
-// read reads a file, and one byte more than it may have.
-func read(path string) ([]byte, error) {
+// readLimited reads a file up to one byte over maxFile, so that Parse can refuse a longer one.
+func readLimited(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
@@ -90,7 +88,7 @@
 	return text, nil
 }
 
-// Parse reads a file's text. The error is of type fault.Faults.
+// Parse parses the text of a file. The error is of type fault.Faults.
 func Parse(name string, text []byte) (*File, error) {
 	r := &reader{file: name}
 	f := &File{reader: r, text: text}
@@ -109,7 +107,7 @@
 	for _, t := range root.tables("team", maxTeams) {
 		f.Teams = append(f.Teams, readTeam(t))
 	}
-	f.Strangers = readStrangers(root.table("no-contract"))
+	f.Strangers = readNoContract(root.table("no-contract"))
 	f.HTTP3 = readHTTP3(root.table("http3"))
 	if h := root.table("http1"); h != nil {
 		f.HTTP1.Pipelining = get(h, "pipelining", "true or false", false)
@@ -128,7 +126,7 @@
 	}
 	if t := root.table("state"); t != nil {
 		if f.State = t.text("directory", ""); f.State == "" {
-			t.fault("directory", "the name of a folder on a lasting disk is expected")
+			t.fault("directory", "the name of a folder on a persistent disk is expected")
 		}
 		f.Keys = Keys(t.oneOf("keys", string(KeysInSnapshot), string(KeysInSnapshot), string(KeysAsync), string(KeysBeforeSend)))
 		t.end()
@@ -148,7 +146,7 @@
 	return f, f.err()
 }
 
-// err are the faults so far, by line; nil where there are none.
+// err returns the faults so far, by line; nil if there are none.
 func (f *File) err() error {
 	if len(f.reader.faults) == 0 {
 		return nil
@@ -157,16 +155,16 @@
 	return f.reader.faults
 }
 
-// readOverload reads the brake's settings; what is not told is as overload.DefaultSettings has it.
+// readOverload reads the load shedding settings; overload.DefaultSettings has the default values.
 func readOverload(t *table) *overload.Settings {
-	d := overload.DefaultSettings
-	set := overload.Settings{
-		Target:   t.duration("target", d.Target, time.Millisecond, time.Second),
-		Interval: t.duration("interval", d.Interval, 2*time.Millisecond, 10*time.Second),
+	defaults := overload.DefaultSettings
+	settings := overload.Settings{
+		Target:   t.duration("target", defaults.Target, time.Millisecond, time.Second),
+		Interval: t.duration("interval", defaults.Interval, 2*time.Millisecond, 10*time.Second),
 	}
-	if err := set.Validate(); err != nil {
+	if err := settings.Validate(); err != nil {
 		t.fault("", "%v", err)
 	}
 	t.end()
-	return &set
+	return &settings
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -12,7 +12,7 @@
 	"spokegw/policy"
 )
 
-const good = `
+const validFile = `
 [[service]]
 name = "maps"
 
@@ -81,8 +81,8 @@
 	return f
 }
 
-func TestGood(t *testing.T) {
-	f := parse(t, good)
+func TestValidFile(t *testing.T) {
+	f := parse(t, validFile)
 	if !f.Services[0].Platform || f.Services[1].Platform || f.Services[1].Weight != 0.5 || f.Services[1].Attempts != 3 {
 		t.Errorf("services %+v", f.Services)
 	}
@@ -108,12 +108,11 @@
 		t.Errorf("strangers %+v", s)
 	}
 	if f := parse(t, "[[service]]\nname = 'maps'\n"); f.Strangers != nil {
-		t.Error("without a word on it those without a contract are let in")
+		t.Error("teams without a contract are admitted by default")
 	}
 }
 
-// Every fault tells its line and what was expected. Each case changes one thing
-// in the good file.
+// Every fault has its line and what was expected. Each case changes one thing in validFile.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, place, want string }{
 		{`share = 0.27`, `share = 1.4`, "team[0].share", "a number from 0 to 1 is expected, not 1.4"},
@@ -137,7 +136,7 @@
 		{`paths = ["/forecast", "/alerts"]`, `paths = ["/forecast/"]`, "service[1].paths", "a path such as /forecast"},
 		{`paths = ["/forecast", "/alerts"]`, `paths = ["/map-tile/..", "/alerts"]`, "service[1].paths", "dot segment"},
 		{`paths = ["/forecast", "/alerts"]`, `paths = ["/alerts"]`, "10: service[1].class[0]", "outside the paths of its service"},
-		{`paths = ["/alerts/new"]`, `paths = ["/forecast"]`, "service[1].class[1].paths", `the path /forecast is that of class "forecast" of service "weather" already`},
+		{`paths = ["/alerts/new"]`, `paths = ["/forecast"]`, "service[1].class[1].paths", `the path /forecast already belongs to class "forecast" of service "weather"`},
 		{`paths = ["/forecast", "/alerts"]`, `paths = ["/forecast", "/alerts", "/map-tile"]`, "service[1].paths", "a class of the platform's"},
 		{`name = "forecast"`, `name = "map-tile"`, "10: service[1].class[0]", "outside the paths"},
 		{`endpoints = ["127.0.0.1:9001", "127.0.0.1:9002"]`, `endpoints = ["weather.local:9001"]`, "service[1].endpoints", "an address such as"},
@@ -177,19 +176,19 @@
 		{`worth = 3`, `worth = `, "", "TOML is expected"},
 		{`worth = 3`, "worth = 3\nworth = 4", "", "TOML is expected"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if text == good {
+		text := strings.Replace(validFile, c.old, c.new, 1)
+		if text == validFile {
 			t.Fatalf("%q is not in the file", c.old)
 		}
 		f, err := Parse("operator.toml", []byte(text))
 		if err == nil {
 			err = f.Check([]string{"map-tile", "status-report"})
 		}
-		// A fault is told at the line of its key, which is the one changed, unless
-		// the case says otherwise.
+		// A fault is reported at the line of its key, which is the changed one, unless the case
+		// names another.
 		place := c.place
 		if place != "" && (place[0] < '0' || place[0] > '9') {
-			place = fmt.Sprintf("%d: %s", 1+strings.Count(good[:strings.Index(good, c.old)], "\n"), place)
+			place = fmt.Sprintf("%d: %s", 1+strings.Count(validFile[:strings.Index(validFile, c.old)], "\n"), place)
 		}
 		if err == nil || place != "" && !strings.Contains(err.Error(), "operator.toml:"+place+": ") || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q for %q: the error is\n%v\nwant %s and %q", c.new, c.old, err, place, c.want)
@@ -197,9 +196,9 @@
 	}
 }
 
-// All faults are told at once, by line.
+// All faults are reported at once, by line.
 func TestAllFaults(t *testing.T) {
-	text := strings.NewReplacer(`share = 0.27`, `share = 2`, `aim = "400ms"`, `aim = "soon"`, `rate = 5`, `rates = 5`).Replace(good)
+	text := strings.NewReplacer(`share = 0.27`, `share = 2`, `aim = "400ms"`, `aim = "soon"`, `rate = 5`, `rates = 5`).Replace(validFile)
 	_, err := Parse("f", []byte(text))
 	var faults fault.Faults
 	if !errors.As(err, &faults) || len(faults) != 3 {
@@ -207,15 +206,15 @@
 	}
 	for i := 1; i < len(faults); i++ {
 		if faults[i].Line < faults[i-1].Line {
-			t.Errorf("not by line:\n%v", err)
+			t.Errorf("not sorted by line:\n%v", err)
 		}
 	}
 }
 
-// FuzzParse: never a panic; a fault has its place and reason; what is taken can
-// be used.
+// FuzzParse checks that Parse never panics, that a fault has its position and reason, and that a
+// valid file can be used.
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add("[[service]]\nname='maps'\n[[team]]\n[team.allow]\n")
 	f.Add("service = [{name='maps'}, {name='w', endpoints=['127.0.0.1:1'], class=[{name='x', effect='safe', aim='1s', deadline='1s'}]}]")
 	f.Add("[[service.class]]\n[service]\n[[a.b]]\n[a.b.c]\n'x.y'.z = [[1]]")
@@ -228,7 +227,7 @@
 		if errors.As(err, &faults) {
 			for _, fault := range faults {
 				if fault.Text == "" || fault.File != "f" || fault.Line < 0 || fault.Line > strings.Count(text, "\n")+1 {
-					t.Fatalf("the fault %+v has no place or reason", fault)
+					t.Fatalf("the fault %+v has no position or reason", fault)
 				}
 			}
 			return
--- a/internal/operator/services.go
+++ b/internal/operator/services.go
@@ -13,26 +13,26 @@
 	"spokegw/policy"
 )
 
-// Service is one service behind the sidecar.
+// Service configures one service behind the sidecar.
 type Service struct {
 	Name   string
-	Weight float64 // of its reserve of descriptors, memory and places
-	// Platform tells that the list, class table and settings are those that the
-	// platform gives the sidecar. Nothing below is set then.
+	Weight float64 // relative weight when descriptors, memory and request slots are reserved
+	// Platform reports that the endpoint list, class table and settings come from the platform. The
+	// fields below are then not set.
 	Platform       bool
-	Paths          []string // prefixes of whole segments that are the service's
-	Endpoints      []string // addresses; or
-	Registry       string   // the address of a registry that lists them
+	Paths          []string // path prefixes of whole segments that belong to the service
+	Endpoints      []string // addresses; alternative to Registry
+	Registry       string   // address of a registry that lists the endpoints
 	Classes        []Class
-	Attempts       int // of a request at most
+	Attempts       int // maximum per request
 	SecondCopies   bool
 	ConnectTimeout time.Duration
-	Idle           time.Duration // endpoints close connections that were idle for so long
+	Idle           time.Duration // endpoints close connections that have been idle for this time
 
 	key string
 }
 
-// ClearPositions drops where the service stands in its file, for comparisons.
+// ClearPositions clears the service's positions in its file, for comparisons.
 func (s *Service) ClearPositions() {
 	s.key = ""
 	s.Classes = slices.Clone(s.Classes)
@@ -41,7 +41,7 @@
 	}
 }
 
-// Class is one class of a service's requests.
+// Class configures one class of a service's requests.
 type Class struct {
 	Name    string
 	Paths   []string // prefixes of whole segments
@@ -53,8 +53,8 @@
 
 func readService(t *table) Service {
 	s := Service{
-		key: t.key, Name: name(t), Weight: t.number("weight", 1, 0.01, 100),
-		Paths: t.paths("paths"), Endpoints: t.texts("endpoints", maxEndpoints), Registry: t.text("registry", ""),
+		key: t.key, Name: readName(t), Weight: t.number("weight", 1, 0.01, 100),
+		Paths: t.pathPrefixes("paths"), Endpoints: t.texts("endpoints", maxEndpoints), Registry: t.text("registry", ""),
 		Attempts: int(t.number("attempts", 3, 1, 10)), SecondCopies: get(t, "second-copies", "true or false", true),
 		ConnectTimeout: t.duration("connect-timeout", 250*time.Millisecond, time.Millisecond, time.Minute),
 		Idle:           t.duration("idle", 10*time.Second, 100*time.Millisecond, time.Hour),
@@ -68,7 +68,7 @@
 	case s.Platform:
 		for _, k := range []string{"paths", "class", "attempts", "second-copies", "connect-timeout", "idle"} {
 			if t.has(k) {
-				t.fault(k, "a service without endpoints or registry is the platform's own, whose %s the platform tells; endpoints or a registry are expected beside it", k)
+				t.fault(k, "a service without endpoints or registry is the platform's own, whose %s the platform configures; endpoints or a registry are expected with it", k)
 			}
 		}
 	case len(s.Endpoints) > 0 && s.Registry != "":
@@ -86,14 +86,14 @@
 	}
 	for i, addr := range s.Endpoints {
 		if slices.Contains(s.Endpoints[:i], addr) {
-			t.fault("endpoints", "%s stands there twice", addr)
+			t.fault("endpoints", "%s is listed twice", addr)
 		}
 	}
 	return s
 }
 
-// name reads the name of something.
-func name(t *table) string {
+// readName reads and checks the key "name".
+func readName(t *table) string {
 	n := t.text("name", "")
 	if n == "" || len(n) > maxName || strings.ContainsFunc(n, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
 		t.fault("name", "a name of 1 to %d bytes without spaces is expected, not %.60q", maxName, n)
@@ -101,7 +101,7 @@
 	return n
 }
 
-// checkAddr: there are no names to look up, so an address is expected.
+// checkAddr requires an IP address and a port: names are not resolved.
 func (t *table) checkAddr(key, addr string) {
 	host, port, err := net.SplitHostPort(addr)
 	if n, portErr := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil || portErr != nil || n == 0 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// paths reads prefixes of paths.
-func (t *table) paths(key string) []string {
+// pathPrefixes reads a list of path prefixes.
+func (t *table) pathPrefixes(key string) []string {
 	paths := t.texts(key, maxPaths)
 	for _, p := range paths {
 		plain, query, err := target.Split(p)
@@ -131,7 +131,7 @@
 )
 
 func readClass(t *table) Class {
-	c := Class{key: t.key, Name: name(t), Paths: t.paths("paths"), Methods: t.texts("methods", len(methods))}
+	c := Class{key: t.key, Name: readName(t), Paths: t.pathPrefixes("paths"), Methods: t.texts("methods", len(methods))}
 	if !t.has("effect") {
 		t.r.fault(t.key, "effect is missing: safe, keyed or unsafe is expected")
 	}
@@ -166,7 +166,7 @@
 			t.fault("methods", "%s are expected, and only GET with a safe class, not %.20q", strings.Join(methods, ", "), m)
 		}
 		if m == "GET" && c.Effect != policy.Idempotent {
-			t.fault("methods", "GET is safe to repeat (RFC 9110, section 9.2.1), which this class is not")
+			t.fault("methods", "GET is safe to repeat (RFC 9110, section 9.2.1), but this class is not safe")
 		}
 	}
 	if len(c.Methods) == 0 {
--- a/internal/operator/toml.go
+++ b/internal/operator/toml.go
@@ -15,10 +15,10 @@
 	"spokegw/internal/fault"
 )
 
-// reader takes values from a file and collects what is wrong with them.
+// reader collects the faults of a file and knows the lines of its keys.
 type reader struct {
 	file   string
-	lines  fault.Lines // of keys, such as team[2].share
+	lines  fault.Lines // by key, such as team[2].share
 	faults fault.Faults
 }
 
@@ -26,29 +26,29 @@
 	r.faults = append(r.faults, fault.Fault{File: r.file, Line: r.lines.Lookup(key), Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-// decode reads the text into tables and notes the line of each key.
+// decode parses the text into tables and indexes the line of each key.
 func (r *reader) decode(text []byte) map[string]any {
 	var values map[string]any
 	if err := toml.Unmarshal(text, &values); err != nil {
 		line := 0
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			line, _ = at.Position()
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			line, _ = decodeErr.Position()
 		}
 		r.faults = append(r.faults, fault.Fault{File: r.file, Line: line, Text: strings.TrimPrefix(err.Error(), "toml: ") + "; TOML is expected"})
 		return nil
 	}
-	r.index(text)
+	r.indexLines(text)
 	return values
 }
 
-// index notes the lines of tables and keys. The text is known to be TOML.
-func (r *reader) index(text []byte) {
+// indexLines records the lines of tables and keys. The text must be valid TOML.
+func (r *reader) indexLines(text []byte) {
 	r.lines = fault.Lines{}
-	counts := map[string]int{} // of arrays of tables
+	counts := map[string]int{} // last index of each array of tables
 	var p unstable.Parser
 	p.Reset(text)
-	within := ""
+	enclosing := ""
 	for p.NextExpression() {
 		e := p.Expression()
 		var key string
@@ -61,8 +61,8 @@
 			if line == 0 {
 				line = p.Shape(p.Range(it.Node().Data)).Start.Line
 			}
-			if at, array := counts[key]; array && !(it.IsLast() && e.Kind == unstable.ArrayTable) && e.Kind != unstable.KeyValue {
-				key += fmt.Sprintf("[%d]", at)
+			if index, array := counts[key]; array && !(it.IsLast() && e.Kind == unstable.ArrayTable) && e.Kind != unstable.KeyValue {
+				key += fmt.Sprintf("[%d]", index)
 			}
 		}
 		switch e.Kind {
@@ -73,12 +73,12 @@
 				counts[key] = 0
 			}
 			key += fmt.Sprintf("[%d]", counts[key])
-			within = key
+			enclosing = key
 		case unstable.Table:
-			within = key
+			enclosing = key
 		case unstable.KeyValue:
-			if within != "" {
-				key = within + "." + key
+			if enclosing != "" {
+				key = enclosing + "." + key
 			}
 		default:
 			continue
@@ -87,10 +87,10 @@
 	}
 }
 
-// table is one table of a file. Keys that nobody asked for are faults.
+// table is one table of a file. Keys that were never read are faults.
 type table struct {
 	r      *reader
-	key    string // "": the file
+	key    string // "": the top level
 	values map[string]any
 	known  []string
 }
@@ -104,7 +104,7 @@
 
 func (t *table) fault(name, format string, args ...any) { t.r.fault(t.path(name), format, args...) }
 
-// has reports whether the key is there, and notes that it is known.
+// has reports whether the key is present, and marks it as known.
 func (t *table) has(name string) bool {
 	if !slices.Contains(t.known, name) {
 		t.known = append(t.known, name)
@@ -113,20 +113,20 @@
 	return ok
 }
 
-// get reads a value of one type; the fallback where the key is not there.
+// get reads a value of one type, or returns the fallback if the key is absent.
 func get[T any](t *table, name, want string, fallback T) T {
 	if !t.has(name) {
 		return fallback
 	}
 	v, ok := t.values[name].(T)
 	if !ok {
-		t.fault(name, "%s is expected, not %v", want, short(t.values[name]))
+		t.fault(name, "%s is expected, not %v", want, abbreviate(t.values[name]))
 		return fallback
 	}
 	return v
 }
 
-func short(v any) string {
+func abbreviate(v any) string {
 	text := fmt.Sprintf("%#v", v)
 	switch v.(type) {
 	case map[string]any:
@@ -142,20 +142,20 @@
 
 func (t *table) text(name, fallback string) string { return get(t, name, "a text in quotes", fallback) }
 
-// oneOf reads a text that has to be one of some.
-func (t *table) oneOf(name, fallback string, of ...string) string {
+// oneOf reads a string that must be one of the allowed values.
+func (t *table) oneOf(name, fallback string, allowed ...string) string {
 	v := t.text(name, fallback)
-	for _, one := range of {
-		if v == one {
+	for _, a := range allowed {
+		if v == a {
 			return v
 		}
 	}
-	t.fault(name, "%s is expected, not %q", strings.Join(of, ", "), v)
+	t.fault(name, "%s is expected, not %q", strings.Join(allowed, ", "), v)
 	return fallback
 }
 
-// number reads a number from least to most. Whole numbers may be written as such.
-func (t *table) number(name string, fallback, least, most float64) float64 {
+// number reads a number within bounds, which may be written as an integer.
+func (t *table) number(name string, fallback, lower, upper float64) float64 {
 	if !t.has(name) {
 		return fallback
 	}
@@ -166,45 +166,45 @@
 	case float64:
 		x = v
 	default:
-		t.fault(name, "a number from %v to %v is expected, not %v", least, most, short(v))
+		t.fault(name, "a number from %v to %v is expected, not %v", lower, upper, abbreviate(v))
 		return fallback
 	}
-	if math.IsNaN(x) || x < least || x > most {
-		t.fault(name, "a number from %v to %v is expected, not %v", least, most, x)
+	if math.IsNaN(x) || x < lower || x > upper {
+		t.fault(name, "a number from %v to %v is expected, not %v", lower, upper, x)
 		return fallback
 	}
 	return x
 }
 
-// duration reads a time such as "400ms", from least to most.
-func (t *table) duration(name string, fallback, least, most time.Duration) time.Duration {
+// duration reads a duration such as "400ms", within bounds.
+func (t *table) duration(name string, fallback, lower, upper time.Duration) time.Duration {
 	if !t.has(name) {
 		return fallback
 	}
-	want := fmt.Sprintf(`a time from "%v" to "%v"`, least, most)
+	want := fmt.Sprintf(`a time from "%v" to "%v"`, lower, upper)
 	d, err := time.ParseDuration(get(t, name, want, ""))
 	if _, isText := t.values[name].(string); !isText {
 		return fallback
 	}
-	if err != nil || d < least || d > most {
+	if err != nil || d < lower || d > upper {
 		t.fault(name, "%s is expected, not %q", want, t.values[name])
 		return fallback
 	}
 	return d
 }
 
-// texts reads a list of texts, at most so many.
-func (t *table) texts(name string, most int) []string {
+// texts reads a list of at most maxLen strings.
+func (t *table) texts(name string, maxLen int) []string {
 	list := get[[]any](t, name, "a list of texts", nil)
-	if len(list) > most {
-		t.fault(name, "%d entries are too many, %d are allowed", len(list), most)
+	if len(list) > maxLen {
+		t.fault(name, "%d entries are too many, %d are allowed", len(list), maxLen)
 		return nil
 	}
 	texts := make([]string, 0, len(list))
 	for i, v := range list {
 		s, ok := v.(string)
 		if !ok {
-			t.fault(name, "entry %d: a text in quotes is expected, not %v", i, short(v))
+			t.fault(name, "entry %d: a text in quotes is expected, not %v", i, abbreviate(v))
 			continue
 		}
 		texts = append(texts, s)
@@ -212,8 +212,8 @@
 	return texts
 }
 
-// tables reads an array of tables, at most so many.
-func (t *table) tables(name string, most int) []*table {
+// tables reads an array of at most maxLen tables.
+func (t *table) tables(name string, maxLen int) []*table {
 	if !t.has(name) {
 		return nil
 	}
@@ -222,24 +222,24 @@
 		t.fault(name, "[[%s]] is expected, with two brackets", name)
 		return nil
 	}
-	if len(list) > most {
-		t.fault(name, "%d of them are too many, %d are allowed", len(list), most)
+	if len(list) > maxLen {
+		t.fault(name, "%d of them are too many, %d are allowed", len(list), maxLen)
 		return nil
 	}
-	var all []*table
+	var tables []*table
 	for i, v := range list {
 		key := fmt.Sprintf("%s[%d]", t.path(name), i)
 		values, ok := v.(map[string]any)
 		if !ok {
-			t.r.fault(key, "a table is expected, not %v", short(v))
+			t.r.fault(key, "a table is expected, not %v", abbreviate(v))
 			continue
 		}
-		all = append(all, &table{r: t.r, key: key, values: values})
+		tables = append(tables, &table{r: t.r, key: key, values: values})
 	}
-	return all
+	return tables
 }
 
-// table reads a table; nil where it is not there.
+// table reads a table; nil if it is absent.
 func (t *table) table(name string) *table {
 	values := get[map[string]any](t, name, "a table", nil)
 	if values == nil {
@@ -248,7 +248,7 @@
 	return &table{r: t.r, key: t.path(name), values: values}
 }
 
-// end makes a fault of every key that nobody asked for.
+// end reports every key that was not read as a fault.
 func (t *table) end() {
 	for _, k := range slices.Sorted(maps.Keys(t.values)) {
 		if !slices.Contains(t.known, k) {
@@ -257,10 +257,10 @@
 	}
 }
 
-// StateFolder is the folder of [state] that a file names, however faulty the rest of it
-// is; "": it names none, or is no TOML.
+// StateFolder returns the folder of [state] in a file, even if the rest of the file is faulty; "":
+// there is none, or the file is not TOML.
 func StateFolder(path string) string {
-	text, err := read(path)
+	text, err := readLimited(path)
 	if err != nil {
 		return ""
 	}
