--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,4 +1,4 @@
-// Package fault says what is wrong with a file, and where.
+// Package fault describes the faults of a file and their positions.
 package fault
 
 import (
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one fault of a file.
 type Fault struct {
 	File string
-	Line int    // from 1; 0: of the whole file
-	Key  string // such as team[2].share; "": of the whole file
+	Line int    // from 1; 0: the whole file
+	Key  string // such as team[2].share; "": the whole file
 	Text string // what was found, and what was expected
 }
 
@@ -25,7 +25,7 @@
 	return place + ": " + f.Text
 }
 
-// Faults are all that is wrong with a file, by line.
+// Faults are all faults of a file, by line.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -36,10 +36,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// Lines are the lines of a file's keys.
+// Lines maps a file's keys to their lines.
 type Lines map[string]int
 
-// Lookup is the line of a key, or of the nearest table that holds it; 0: of none.
+// Lookup returns the line of a key, or of the nearest enclosing table that has one; 0: unknown.
 func (l Lines) Lookup(key string) int {
 	for k := key; k != ""; k = parent(k) {
 		if line := l[k]; line > 0 {
@@ -49,10 +49,10 @@
 			return line
 		}
 	}
-	return l[""] // of the file's first value, where it is known
+	return l[""] // the line of the file's first value, if it is known
 }
 
-// parent is the key of the table that holds a key.
+// parent returns the key of the table that contains a key.
 func parent(key string) string {
 	i := strings.LastIndexAny(key, ".[")
 	return key[:max(i, 0)]
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,10 +1,9 @@
-// Package figures counts what becomes of requests. A request is counted at the
-// point where its outcome is decided, whichever front it came by, so that at
-// every instant
+// Package figures counts the outcomes of requests. A request is counted when its outcome is
+// decided, whichever listener received it, so that at every instant
 //
 //	taken = completed + rejected + failed + abandoned + pending
 //
-// holds for each class. Counting takes no lock and no memory.
+// holds for each class. Counting neither locks nor allocates.
 package figures
 
 import (
@@ -16,22 +15,22 @@
 	"spokegw/internal/permit"
 )
 
-// Outcome is what became of a request.
+// Outcome is the final result of a request.
 type Outcome uint8
 
 const (
-	Completed Outcome = iota // served with the answer made for it
-	Rejected                 // refused: trying again is harmless
+	Completed Outcome = iota // answered with the endpoint's answer
+	Rejected                 // refused; a retry is harmless
 	Failed
-	Abandoned // its client left before there was an answer
-	outcomes
+	Abandoned // its client disconnected before there was an answer
+	numOutcomes
 )
 
-var names = [outcomes]string{"completed", "rejected", "failed", "abandoned"}
+var outcomeNames = [numOutcomes]string{"completed", "rejected", "failed", "abandoned"}
 
-func (o Outcome) String() string { return names[o] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// OutcomeForStatus is the outcome that an answer's status stands for.
+// OutcomeForStatus returns the outcome for the status of an answer.
 func OutcomeForStatus(status int) Outcome {
 	switch status {
 	case 200:
@@ -42,26 +41,25 @@
 	return Failed
 }
 
-// Class counts the requests of one class.
 type Class struct {
 	taken atomic.Uint64
-	ended [outcomes]atomic.Uint64
+	ended [numOutcomes]atomic.Uint64
 }
 
-// Begin counts a request whose life begins. It is owed one End.
+// Begin counts a request that was received. Each needs exactly one call of End.
 func (c *Class) Begin() { c.taken.Add(1) }
 
-// End counts what became of a request that was taken.
+// End counts the outcome of a request that Begin has counted.
 func (c *Class) End(o Outcome) { c.ended[o].Add(1) }
 
-// Counts are the figures of one class at an instant.
+// Counts are the counters of one class at an instant.
 type Counts struct {
 	Name  string
 	Taken uint64
-	Ended [outcomes]uint64 // by Outcome
+	Ended [numOutcomes]uint64 // by Outcome
 }
 
-// Pending is how many are taken and not ended.
+// Pending returns the number of requests without an outcome.
 func (c *Counts) Pending() uint64 {
 	sum := uint64(0)
 	for _, n := range c.Ended {
@@ -70,8 +68,8 @@
 	return c.Taken - sum
 }
 
-// read reads the counts of one instant or a little after: what has ended is
-// read first, and every end has been taken before, so Pending is never below 0.
+// read returns the counters as of one instant or slightly later. It reads the outcomes first, and
+// each request was counted as taken before its outcome, so Pending is never negative.
 func (c *Class) read(name string) Counts {
 	n := Counts{Name: name}
 	for o := range c.ended {
@@ -81,32 +79,30 @@
 	return n
 }
 
-// maxClasses bounds the names that are counted apart. Beyond it, which takes
-// settings that change their classes' names without end, the rest are counted
-// together under Other.
+// maxClasses bounds the class names with counters of their own. It is exceeded only if class names
+// in the settings keep changing; further classes are then counted together as Other.
 const maxClasses = 512
 
-// Other stands for the classes that came when there was no room for more.
+// Other is the name for all classes beyond maxClasses.
 const Other = "other"
 
-// Figures are those of a process.
+// Figures are the counters of a process.
 type Figures struct {
-	Attempts     atomic.Uint64 // written whole to endpoints
-	Reloads      atomic.Uint64 // files taken at SIGHUP
-	ReloadErrors atomic.Uint64 // and turned down
+	Attempts     atomic.Uint64 // written completely to endpoints
+	Reloads      atomic.Uint64 // files accepted at SIGHUP
+	ReloadErrors atomic.Uint64 // files rejected at SIGHUP
 
-	NotSent    [permit.NumReasons]atomic.Uint64 // attempts that were decided and not sent, by why
-	Violations [permit.NumRules]atomic.Uint64   // rules that were broken, as far as this process sees
+	NotSent    [permit.NumReasons]atomic.Uint64 // attempts that were decided and not sent, by reason
+	Violations [permit.NumRules]atomic.Uint64   // rule violations that this process can detect
 
 	mu      sync.Mutex
 	classes map[string]*Class
 }
 
-// New makes figures that stand at 0.
 func New() *Figures { return &Figures{classes: map[string]*Class{}} }
 
-// Class is the counter of a class by its name, the same one for the life of the
-// process: a class that was dropped and comes again counts on.
+// Class returns the counters of a class, the same ones for the lifetime of the process: a class
+// that is removed and added again continues its counters.
 func (f *Figures) Class(name string) *Class {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,12 +119,12 @@
 	return c
 }
 
-// Classes are the counts of all classes, by name.
-func (f *Figures) Classes() (all []Counts) {
+// Classes returns the counters of all classes, by name.
+func (f *Figures) Classes() (counts []Counts) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(f.classes)) {
-		all = append(all, f.classes[name].read(name))
+		counts = append(counts, f.classes[name].read(name))
 	}
-	return all
+	return counts
 }
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// The same verdict every time; another course is tried with -rapid.seed=N.
+// Makes runs reproducible; -rapid.seed=N selects another sequence.
 func init() { flag.Set("rapid.seed", "1") }
 
-// At every instant of a random run what is taken is what has ended and what is
-// pending, for each class.
-func TestSumLaw(t *testing.T) {
+// At every point of a random sequence, for each class, the requests taken are those that have ended
+// plus those pending.
+func TestSumInvariant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New()
 		open := map[string]int{}
@@ -31,9 +31,9 @@
 			"end": func(t *rapid.T) {
 				n := name.Draw(t, "class")
 				if open[n] == 0 {
-					t.Skip("nothing is open")
+					t.Skip("no request is open")
 				}
-				f.Class(n).End(Outcome(rapid.IntRange(0, int(outcomes)-1).Draw(t, "outcome")))
+				f.Class(n).End(Outcome(rapid.IntRange(0, int(numOutcomes)-1).Draw(t, "outcome")))
 				open[n]--
 			},
 			"": func(t *rapid.T) {
@@ -47,8 +47,9 @@
 	})
 }
 
-// Read while others count, pending is never below 0 and never over what is open.
-func TestReadBesideCounting(t *testing.T) {
+// Pending, read concurrently with counting, is never negative nor more than the number of open
+// requests.
+func TestReadWhileCounting(t *testing.T) {
 	const workers, each = 4, 20_000
 	f := New()
 	var counting sync.WaitGroup
@@ -57,7 +58,7 @@
 			c := f.Class("map-tile")
 			for i := range each {
 				c.Begin()
-				c.End(Outcome(i % int(outcomes)))
+				c.End(Outcome(i % int(numOutcomes)))
 			}
 		})
 	}
@@ -72,7 +73,7 @@
 	}
 }
 
-// Names without end do not grow the figures.
+// The number of counters is bounded, however many class names there are.
 func TestClassesAreBounded(t *testing.T) {
 	f := New()
 	for i := range 3 * maxClasses {
@@ -82,7 +83,7 @@
 		t.Errorf("%d classes are counted", n)
 	}
 	if f.Class("another") != f.Class(Other) {
-		t.Error("what there is no room for is not counted together")
+		t.Error("classes beyond the bound are not counted together")
 	}
 }
 
@@ -110,8 +111,8 @@
 	}
 }
 
-// A name can't forge a line.
-func TestOddNames(t *testing.T) {
+// A class name can't forge a line of the report.
+func TestSpecialCharactersInNames(t *testing.T) {
 	f := New()
 	f.Class("a:1|c\nnode.pending").Begin()
 	for _, line := range strings.Split(strings.TrimSpace(f.Report(Members{})), "\n") {
--- a/internal/figures/statsd.go
+++ b/internal/figures/statsd.go
@@ -6,35 +6,34 @@
 	"time"
 )
 
-// Members are the endpoints as the registry lists them.
+// Members counts the listed endpoints.
 type Members struct {
 	Listed      int
 	Unavailable int // of them, those that are avoided now
 	Lists       []List
 }
 
-// List is how current the list of a service's endpoints is.
+// List describes how current the endpoint list of a service is.
 type List struct {
 	Service                string        // "": the only one
-	Age                    time.Duration // since it was last known to be current
-	Answered, Failed, Late uint64        // calls to its registry
+	Age                    time.Duration // since the list was last known to be current
+	Answered, Failed, Late uint64        // calls to the service's registry
 }
 
-// plain leaves out of a name what means something in a line.
-func plain(r rune) rune {
+// sanitize replaces characters that are special in a statsd line.
+func sanitize(r rune) rune {
 	if r <= ' ' || r == 0x7f || strings.ContainsRune(":|@#", r) {
 		return '_'
 	}
 	return r
 }
 
-// Report writes the figures as lines of statsd (name:value|type, c a count, g a
-// gauge).
+// Report formats the counters as statsd lines (name:value|type, c for a counter, g for a gauge).
 func (f *Figures) Report(m Members) string {
 	var b strings.Builder
 	pending := uint64(0)
 	for _, c := range f.Classes() {
-		name := strings.Map(plain, c.Name)
+		name := strings.Map(sanitize, c.Name)
 		for o := range Abandoned {
 			fmt.Fprintf(&b, "node.downstream_requests.%s.%s:%d|c\n", name, o, c.Ended[o])
 		}
--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -1,6 +1,5 @@
-// Package jsonfile finds everything that is wrong with a JSON file, where
-// encoding/json tells the first. It is for a file that was refused: what it
-// reports is what json.Unmarshal would stumble over, one thing after another.
+// Package jsonfile finds all faults of a JSON file, where encoding/json reports only the first. It
+// is for a file that was refused: it reports everything that json.Unmarshal would fail on.
 package jsonfile
 
 import (
@@ -15,22 +14,22 @@
 	"spokegw/internal/fault"
 )
 
-// Bounds of what is looked at, against a file made to use up the memory.
+// Bounds on the work, against a file crafted to exhaust memory.
 const (
 	maxDepth  = 64
 	maxKeys   = 1 << 15
 	maxFaults = 100
 )
 
-// File is a file's text as values, with the line of each.
+// File is a decoded file with the line of each value.
 type File struct {
 	name   string
 	values any
 	lines  fault.Lines
-	Faults fault.Faults // those found so far, maxFaults at most
+	Faults fault.Faults // those found so far, at most maxFaults
 }
 
-// Read reads a file's text. Text that is no JSON has one fault, in Faults.
+// Read decodes a file's text. If the text is not JSON, File.Faults has one fault.
 func Read(name string, text []byte) *File {
 	f := &File{name: name, lines: fault.Lines{}}
 	r := reader{dec: json.NewDecoder(bytes.NewReader(text)), text: text, lines: f.lines}
@@ -49,22 +48,21 @@
 		return f
 	}
 	f.values = values
-	for _, key := range r.twice {
-		f.Fault(key, "the key is there twice, once is expected")
+	for _, key := range r.duplicates {
+		f.Fault(key, "duplicate key")
 	}
 	return f
 }
 
-// Fault notes that something is wrong with the value of a key.
+// Fault adds a fault for the value of a key.
 func (f *File) Fault(key, format string, args ...any) {
 	if len(f.Faults) < maxFaults {
 		f.Faults = append(f.Faults, fault.Fault{File: f.name, Line: f.lines.Lookup(key), Key: key, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
-// Check compares the file with the type that it is to be decoded into, as
-// encoding/json does: keys that the type doesn't have are skipped, null fits
-// everything.
+// Check compares the file with the type that it is to be decoded into, by the rules of
+// encoding/json: keys that the type does not have are ignored, and null is valid for every type.
 func (f *File) Check(as any) { f.check("", f.values, reflect.TypeOf(as)) }
 
 func (f *File) check(key string, v any, t reflect.Type) {
@@ -75,7 +73,7 @@
 	case reflect.Pointer:
 		f.check(key, v, t.Elem())
 	case reflect.Struct:
-		f.checkTable(key, v, t)
+		f.checkObject(key, v, t)
 	case reflect.Slice:
 		list, ok := v.([]any)
 		if !ok {
@@ -85,11 +83,11 @@
 			f.check(fmt.Sprintf("%s[%d]", key, i), entry, t.Elem())
 		}
 	default:
-		f.checkPlain(key, v, t)
+		f.checkScalar(key, v, t)
 	}
 }
 
-func (f *File) checkTable(key string, v any, t reflect.Type) {
+func (f *File) checkObject(key string, v any, t reflect.Type) {
 	table, ok := v.(map[string]any)
 	if !ok {
 		f.mismatch(key, "an object", v)
@@ -98,7 +96,7 @@
 	for _, field := range reflect.VisibleFields(t) {
 		name, tagged := field.Tag.Lookup("json")
 		if !tagged {
-			continue // embedded: its fields come by themselves
+			continue // embedded: VisibleFields also lists its fields
 		}
 		for k, entry := range table {
 			if strings.EqualFold(k, name) {
@@ -108,7 +106,7 @@
 	}
 }
 
-func (f *File) checkPlain(key string, v any, t reflect.Type) {
+func (f *File) checkScalar(key string, v any, t reflect.Type) {
 	text, err := json.Marshal(v)
 	if err == nil && json.Unmarshal(text, reflect.New(t).Interface()) == nil {
 		return
@@ -145,15 +143,15 @@
 	return key + "." + name
 }
 
-// reader takes a text apart and notes the lines.
+// reader decodes a text and records the line of each value.
 type reader struct {
-	dec   *json.Decoder
-	text  []byte
-	lines fault.Lines
-	twice []string // keys
+	dec        *json.Decoder
+	text       []byte
+	lines      fault.Lines
+	duplicates []string // duplicate keys
 }
 
-// line is where the reader stands, or where an error is.
+// line returns the line of an error, or else that of the decoder.
 func (r *reader) line(err error) int {
 	offset := r.dec.InputOffset()
 	if e := (*json.SyntaxError)(nil); errors.As(err, &e) {
@@ -162,7 +160,7 @@
 	return 1 + bytes.Count(r.text[:min(int(offset), len(r.text))], []byte("\n"))
 }
 
-// value reads one value and all that it holds.
+// value reads one value, including nested ones.
 func (r *reader) value(key string, depth int) (any, error) {
 	token, err := r.dec.Token()
 	if err != nil {
@@ -182,9 +180,9 @@
 			if err != nil {
 				return nil, err
 			}
-			at := join(key, name.(string)) // a key is always a text
-			if _, twice := table[name.(string)]; twice {
-				r.twice = append(r.twice, at)
+			at := join(key, name.(string)) // a key is always a string
+			if _, duplicate := table[name.(string)]; duplicate {
+				r.duplicates = append(r.duplicates, at)
 			}
 			r.lines[at] = r.line(nil)
 			if table[name.(string)], err = r.value(at, depth+1); err != nil {
--- a/internal/jsonfile/keys.go
+++ b/internal/jsonfile/keys.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Keys are the places at which a file has values, such as limits.sockets or
-// classes[].name. What stands in a list counts if every entry has it.
+// Keys are the paths of the values in a file, such as limits.sockets or classes[].name. A path
+// below a list is included only if every entry has it.
 type Keys map[string]bool
 
-// Keys are those of the file, but for what is in skip.
+// Keys returns the paths in the file, except those in the top-level keys skip.
 func (f *File) Keys(skip ...string) Keys {
 	table, _ := f.values.(map[string]any)
 	table = maps.Clone(table)
@@ -29,33 +29,33 @@
 				keys[name+k] = true
 			}
 		}
-		return prefixed(".", keys)
+		return withPrefix(".", keys)
 	case []any:
 		for i, entry := range v {
-			of := keysOf(entry)
+			entryKeys := keysOf(entry)
 			if i == 0 {
-				keys = of
+				keys = entryKeys
 			}
-			maps.DeleteFunc(keys, func(k string, _ bool) bool { return !of[k] })
+			maps.DeleteFunc(keys, func(k string, _ bool) bool { return !entryKeys[k] })
 		}
-		return prefixed("[]", keys)
+		return withPrefix("[]", keys)
 	}
 	return keys
 }
 
-func prefixed(with string, keys Keys) Keys {
-	all := make(Keys, len(keys))
+func withPrefix(prefix string, keys Keys) Keys {
+	result := make(Keys, len(keys))
 	for k := range keys {
-		all[with+k] = true
+		result[prefix+k] = true
 	}
-	return all
+	return result
 }
 
-// Missing are the keys that others lack, in order.
+// Missing returns the keys that others lacks, sorted.
 func (k Keys) Missing(others Keys) (missing []string) {
 	for _, key := range slices.Sorted(maps.Keys(k)) {
 		if !others[key] {
-			missing = append(missing, key[1:]) // without the first dot
+			missing = append(missing, key[1:]) // without the leading dot
 		}
 	}
 	return missing
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging is the sidecar's log: one form of several, levels by part that can
-// be changed while it runs, and a bound on how often one event is told.
+// Package logging implements the sidecar's log: several output formats, a level per package that
+// can be changed at run time, and a rate limit per event.
 package logging
 
 import (
@@ -17,113 +17,114 @@
 	"github.com/lmittmann/tint"
 )
 
-// Formats are those that a log may have.
+// Formats are the output formats.
 var Formats = []string{"text", "json", "pretty"}
 
 const (
-	// eventRate and eventBurst bound how often one event is told, a second. A flood of
-	// one hides the others, and costs the processor that requests need.
+	// eventRate (per second) and eventBurst limit how often one event is logged. A flood of one
+	// event would hide the others, and use processor time that requests need.
 	eventRate  = 20.0
 	eventBurst = 100.0
-	// mostEvents bounds the events that are told apart; the rest share one bound.
-	mostEvents = 512
-	// mostParts bounds the parts that have a level of their own, longest how long.
-	mostParts = 64
-	longest   = 24 * time.Hour
-	maxText   = 2048 // bytes of one value: the rest of it is cut off
+	// maxEvents bounds the events with a rate limit of their own; all others share one.
+	maxEvents = 512
+	// maxPackages bounds the packages with a level of their own, maxLevelTime how long one lasts.
+	maxPackages  = 64
+	maxLevelTime = 24 * time.Hour
+	maxText      = 2048 // bytes per value; the remainder is cut off
 )
 
-// Log tells what goes on. It is a slog.Handler.
+// Log is the slog.Handler of the sidecar's log.
 type Log struct {
 	next slog.Handler
 	*shared
 }
 
-// shared is what a log and those made of it have together.
+// shared is the state that a log shares with those derived from it.
 type shared struct {
 	now func() time.Time
 
-	mu     sync.Mutex
-	levels map[string]level // by part; "": all others
-	events map[string]*event
-	parts  map[uintptr]string // by where an event is told
+	mu       sync.Mutex
+	levels   map[string]level // by package; "": all others
+	events   map[string]*event
+	packages map[uintptr]string // package by the program counter of the log call
 }
 
 type level struct {
 	level slog.Level
-	until time.Time // zero: for good
+	until time.Time // zero: no expiry
 }
 
-// event is how often one was told of late.
+// event is the token bucket of one event.
 type event struct {
-	tokens  float64
-	at      time.Time
-	leftOut int
+	tokens     float64
+	at         time.Time
+	suppressed int
 }
 
-// New makes a log of a form that is written to w.
-func New(form string, w io.Writer) (*Log, error) {
-	opts := &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: bounded} // what is told is decided here
+// New creates a log that writes to w in the given format.
+func New(format string, w io.Writer) (*Log, error) {
+	opts := &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: truncate} // Handle decides by the package's level
 	var next slog.Handler
-	switch form {
+	switch format {
 	case "text":
 		next = slog.NewTextHandler(w, opts)
 	case "json":
 		next = slog.NewJSONHandler(w, opts)
 	case "pretty":
-		next = tint.NewTextHandler(w, &tint.Options{Level: slog.LevelDebug, TimeFormat: time.StampMilli, ReplaceAttr: bounded})
+		next = tint.NewTextHandler(w, &tint.Options{Level: slog.LevelDebug, TimeFormat: time.StampMilli, ReplaceAttr: truncate})
 	default:
-		return nil, fmt.Errorf("the log is %s, not %.40q", strings.Join(Formats, ", "), form)
+		return nil, fmt.Errorf("the log format is %s, not %.40q", strings.Join(Formats, ", "), format)
 	}
 	return newLog(next, time.Now), nil
 }
 
 func newLog(next slog.Handler, now func() time.Time) *Log {
-	return &Log{next, &shared{now: now, levels: map[string]level{}, events: map[string]*event{}, parts: map[uintptr]string{}}}
+	return &Log{next, &shared{now: now, levels: map[string]level{}, events: map[string]*event{}, packages: map[uintptr]string{}}}
 }
 
-// bounded cuts what others may have made long. The handlers quote what is odd in it.
-func bounded(_ []string, a slog.Attr) slog.Attr {
+// truncate limits the length of a value, which may come from outside. The handlers quote special
+// characters.
+func truncate(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindString && len(a.Value.String()) > maxText {
 		a.Value = slog.StringValue(strings.ToValidUTF8(a.Value.String()[:maxText], "") + "...")
 	}
 	return a
 }
 
-// Enabled is always so: the part that tells is known only when it does.
+// Enabled returns true: the package is known only in Handle, which applies its level.
 func (l *Log) Enabled(context.Context, slog.Level) bool { return true }
 
-// WithAttrs and WithGroup make a log of this one.
+// WithAttrs and WithGroup derive a log that shares levels and rate limits.
 func (l *Log) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &Log{l.next.WithAttrs(attrs), l.shared}
 }
 func (l *Log) WithGroup(name string) slog.Handler { return &Log{l.next.WithGroup(name), l.shared} }
 
-// Handle tells an event, if its part is to tell such, and it has not been told too
-// often. How many were left out is told with the next one.
+// Handle logs an event if its package's level and its rate limit allow it. The number of suppressed
+// events is added to the next one logged.
 func (l *Log) Handle(ctx context.Context, r slog.Record) error {
-	left, tell := l.admit(&r)
-	if !tell {
+	suppressed, ok := l.admit(&r)
+	if !ok {
 		return nil
 	}
-	if left > 0 {
+	if suppressed > 0 {
 		r = r.Clone()
-		r.AddAttrs(slog.Int("left_out", left))
+		r.AddAttrs(slog.Int("left_out", suppressed))
 	}
 	return l.next.Handle(ctx, r)
 }
 
-func (s *shared) admit(r *slog.Record) (leftOut int, tell bool) {
+func (s *shared) admit(r *slog.Record) (suppressed int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if r.Level < s.levelOf(s.part(r.PC), now) {
+	if r.Level < s.levelOf(s.packageOf(r.PC), now) {
 		return 0, false
 	}
 	name := r.Message
 	e := s.events[name]
 	if e == nil {
-		if len(s.events) >= mostEvents {
+		if len(s.events) >= maxEvents {
 			name = ""
 			e = s.events[name]
 		}
@@ -135,16 +136,16 @@
 	e.tokens = min(e.tokens+max(now.Sub(e.at).Seconds(), 0)*eventRate, eventBurst)
 	e.at = now
 	if e.tokens < 1 {
-		e.leftOut++
+		e.suppressed++
 		return 0, false
 	}
 	e.tokens--
-	leftOut, e.leftOut = e.leftOut, 0
-	return leftOut, true
+	suppressed, e.suppressed = e.suppressed, 0
+	return suppressed, true
 }
 
-func (s *shared) levelOf(part string, now time.Time) slog.Level {
-	for _, p := range []string{part, ""} {
+func (s *shared) levelOf(pkg string, now time.Time) slog.Level {
+	for _, p := range []string{pkg, ""} {
 		if l, ok := s.levels[p]; ok {
 			if l.until.IsZero() || now.Before(l.until) {
 				return l.level
@@ -155,54 +156,54 @@
 	return slog.LevelInfo
 }
 
-// part is the last part of the package that tells, such as core or http1.
-func (s *shared) part(pc uintptr) string {
+// packageOf returns the last element of the path of the package that logs, such as core or http1.
+func (s *shared) packageOf(pc uintptr) string {
 	if pc == 0 {
 		return ""
 	}
-	if p, ok := s.parts[pc]; ok { // there are as many as places that tell
+	if p, ok := s.packages[pc]; ok { // bounded by the number of log calls in the code
 		return p
 	}
 	frame, _ := runtime.CallersFrames([]uintptr{pc}).Next()
 	p := frame.Function[strings.LastIndexByte(frame.Function, '/')+1:]
 	p, _, _ = strings.Cut(p, ".")
-	s.parts[pc] = p
+	s.packages[pc] = p
 	return p
 }
 
-// SetLevel has a part, such as core, tell what is of a level and above, for so long and
-// as before after that; 0: for good. "" is all parts that have none of their own.
-func (l *Log) SetLevel(part, name string, lasts time.Duration) error {
+// SetLevel sets the level of a package, such as core, for a time, after which the default applies;
+// 0: no expiry. "" stands for all packages without a level of their own.
+func (l *Log) SetLevel(part, name string, duration time.Duration) error {
 	var lv slog.Level
 	if err := lv.UnmarshalText([]byte(name)); err != nil {
 		return fmt.Errorf("debug, info, warn or error is expected, not %.40q", name)
 	}
-	if lasts < 0 || lasts > longest || len(part) > 40 {
-		return fmt.Errorf("a part, and a time of up to %v, are expected", longest)
+	if duration < 0 || duration > maxLevelTime || len(part) > 40 {
+		return fmt.Errorf("a package name of at most 40 bytes and a time of at most %v are expected", maxLevelTime)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	if _, known := l.levels[part]; !known && len(l.levels) >= mostParts {
-		return fmt.Errorf("%d parts have levels of their own already", len(l.levels))
+	if _, known := l.levels[part]; !known && len(l.levels) >= maxPackages {
+		return fmt.Errorf("%d packages have levels of their own already", len(l.levels))
 	}
 	set := level{level: lv}
-	if lasts > 0 {
-		set.until = now.Add(lasts)
+	if duration > 0 {
+		set.until = now.Add(duration)
 	}
 	l.levels[part] = set
 	return nil
 }
 
-// Level is the level of a part, and how long it lasts; 0: for good.
+// Level is the level of a package and its remaining time; 0: no expiry.
 type Level struct {
 	Part  string        `json:"part"` // "": all others
 	Level string        `json:"level"`
 	For   time.Duration `json:"for_ns,omitempty"`
 }
 
-// Levels are those that were set, and that of all others.
-func (l *Log) Levels() (all []Level) {
+// Levels returns the levels that are set, and that of all others.
+func (l *Log) Levels() (levels []Level) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -216,10 +217,10 @@
 		if !set.until.IsZero() {
 			one.For = set.until.Sub(now)
 		}
-		all = append(all, one)
+		levels = append(levels, one)
 	}
-	if len(all) == 0 || all[0].Part != "" {
-		all = append([]Level{{Level: "info"}}, all...)
+	if len(levels) == 0 || levels[0].Part != "" {
+		levels = append([]Level{{Level: "info"}}, levels...)
 	}
-	return all
+	return levels
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -18,9 +18,9 @@
 	"time"
 )
 
-// A flood of one event is told up to its bound, with how many were left out, and hides
-// no other.
-func TestFloods(t *testing.T) {
+// A flood of one event is logged up to its limit, then with the number of suppressed events, and
+// does not hide other events.
+func TestFloodIsRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1_000_000, 0)
 	l := newLog(slog.NewTextHandler(&out, nil), func() time.Time { return now })
@@ -30,47 +30,47 @@
 	}
 	log.Info("ready")
 	if n := strings.Count(out.String(), "msg=accept"); n != eventBurst || !strings.Contains(out.String(), "msg=ready") {
-		t.Errorf("%d of a flood are told", n)
+		t.Errorf("%d events of a flood are logged", n)
 	}
 	now = now.Add(time.Second)
 	log.Info("accept")
 	if want := fmt.Sprintf("left_out=%d", 10_000-int(eventBurst)); !strings.Contains(out.String(), want) {
-		t.Errorf("%s is not told", want)
+		t.Errorf("%s is not logged", want)
 	}
-	for i := range 2 * mostEvents {
+	for i := range 2 * maxEvents {
 		log.Info(fmt.Sprint("event ", i))
 	}
-	if len(l.events) > mostEvents+1 {
-		t.Errorf("%d events are told apart", len(l.events))
+	if len(l.events) > maxEvents+1 {
+		t.Errorf("%d events have a limit of their own", len(l.events))
 	}
 }
 
-// Levels go by the part that tells, for as long as was said, and what others made can't
-// forge a line.
+// A level applies to one package and for the time it was set for. Values from outside can't forge a
+// log line.
 func TestLevels(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1_000_000, 0)
-	l := newLog(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: bounded}), func() time.Time { return now })
+	l := newLog(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: truncate}), func() time.Time { return now })
 	log := slog.New(l).With("service", "maps")
-	told := func(what string, want bool) {
+	checkLogged := func(event string, want bool) {
 		t.Helper()
-		if got := strings.Contains(out.String(), "msg="+what); got != want {
-			t.Errorf("%s is told: %v", what, got)
+		if got := strings.Contains(out.String(), "msg="+event); got != want {
+			t.Errorf("%s is logged: %v", event, got)
 		}
 	}
 	log.Debug("one")
-	told("one", false)
+	checkLogged("one", false)
 	if err := l.SetLevel("logging", "debug", time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	log.Debug("two")
-	told("two", true)
+	checkLogged("two", true)
 	now = now.Add(time.Minute)
 	log.Debug("three")
-	told("three", false)
+	checkLogged("three", false)
 	l.SetLevel("", "error", 0)
 	log.Warn("four")
-	told("four", false)
+	checkLogged("four", false)
 	if all := l.Levels(); len(all) != 1 || all[0].Level != "error" {
 		t.Errorf("%+v", all)
 	}
@@ -80,17 +80,16 @@
 	}
 	for _, bad := range []error{l.SetLevel("core", "loud", 0), l.SetLevel("core", "info", -1)} {
 		if bad == nil {
-			t.Error("it was set")
+			t.Error("an invalid level was set")
 		}
 	}
 	if _, err := New("xml", &out); err == nil {
-		t.Error("a log in xml")
+		t.Error("a log in XML was created")
 	}
 }
 
-// docs/operate/events.md tells of every event, by its name, and of none that there is
-// not.
-func TestEventsAreTold(t *testing.T) {
+// docs/operate/events.md documents every event in the code by its name, and no others.
+func TestEventsAreDocumented(t *testing.T) {
 	inCode := map[string]string{}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		switch {
@@ -127,22 +126,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[string]bool{}
+	documented := map[string]bool{}
 	for line := range strings.Lines(string(page)) {
 		if rest, ok := strings.CutPrefix(line, "| `"); ok {
 			name, _, _ := strings.Cut(rest, "`")
-			told[name] = true
+			documented[name] = true
 		}
 	}
 	var wrong error
 	for name, path := range inCode {
-		if !told[name] {
-			wrong = errors.Join(wrong, fmt.Errorf("%s tells %q, and the page does not", path, name))
+		if !documented[name] {
+			wrong = errors.Join(wrong, fmt.Errorf("%s logs %q, which the page does not list", path, name))
 		}
 	}
-	for name := range told {
+	for name := range documented {
 		if _, there := inCode[name]; !there && !strings.HasPrefix(name, "move ") {
-			wrong = errors.Join(wrong, fmt.Errorf("the page tells of %q, which nothing does", name))
+			wrong = errors.Join(wrong, fmt.Errorf("the page lists %q, which the code does not log", name))
 		}
 	}
 	if wrong != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics tells the figures over HTTP, in the text form of Prometheus. It
-// counts nothing: it reads the counters of package figures when it is asked.
+// Package metrics serves the figures over HTTP in the Prometheus text format. It counts nothing
+// itself: it reads the counters of package figures on each scrape.
 package metrics
 
 import (
@@ -22,10 +22,10 @@
 )
 
 const (
-	// maxConns bounds who asks at once: a Prometheus or two.
-	maxConns = 4
-	patience = 5 * time.Second // for a request to come, and its answer to be read
-	idle     = time.Minute     // between scrapes, which come every 15 s or so
+	// maxConns bounds concurrent connections: enough for one or two Prometheus servers.
+	maxConns    = 4
+	timeout     = 5 * time.Second // for receiving a request, and for the client to read the answer
+	idleTimeout = time.Minute     // between scrapes, which usually are 15 s apart
 )
 
 var (
@@ -52,58 +52,57 @@
 	reloadErrors = prometheus.NewDesc("spokegw_config_reload_errors_total", "Files turned down at SIGHUP.", nil, nil)
 )
 
-// Fleet are figures of a fleet.
+// Fleet are the figures of a fleet.
 type Fleet struct {
-	Up                               int // gateways, this one too
+	Up                               int // gateways, including this one
 	Dropped, Malformed, OtherVersion uint64
 	Quotas                           []Quota
-	Weights                          *Weights // nil: the fleet has none
+	Weights                          *Weights // nil: the fleet does not use weights
 }
 
-// Weights is where the fleet's weights stand here.
+// Weights is the state of the fleet's weights at this gateway.
 type Weights struct {
-	LeaderKnown, IsLeader bool // who holds the duty is known; it is this gateway
-	Reporting             int  // gateways, by the holder
+	LeaderKnown, IsLeader bool // the leader is known; this gateway is the leader
+	Reporting             int  // gateways from which the leader receives reports
 	Term, Table           uint64
-	Age                   time.Duration // under 0: there was no table yet
+	Age                   time.Duration // below 0: no table yet
 	Stale                 bool
-	Endpoints             int // that have another weight than the list gives them
-	Changes               int // found in what endpoints can do, by the holder
+	Endpoints             int // with a weight that differs from the list's
+	Changes               int // in the capacity of endpoints, detected by the leader
 	Sites                 []Site
 }
 
-// Site is where a site stands by the fleet's plan.
+// Site is the state of a site in the fleet's plan.
 type Site struct {
 	Name     string
 	State    int     // 0 whole, 1 doubted, 2 lost, 3 returning
-	Fraction float64 // of its endpoints that this gateway meets
+	Fraction float64 // of its endpoints that this gateway routes to
 }
 
-// Quota is where one quota stands, in fractions of it.
+// Quota is the state of one quota, in fractions of it.
 type Quota struct {
 	Name                 string
 	Own, Granted, Demand float64
 }
 
-// collector reads the figures.
 type collector struct {
 	figures *figures.Figures
 	members func() figures.Members
-	fleet   func() *Fleet // nil result: there is none
+	fleet   func() *Fleet // returns nil if there is no fleet
 }
 
-func (c *collector) Describe(to chan<- *prometheus.Desc) {
+func (c *collector) Describe(descs chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{requests, taken, pending, attempts, members, unavailable, notSent, violations, listAge, calls, reloads, reloadErrors, fleetUp, fleetQuota, fleetDuty, fleetAge, fleetWeights, fleetChanges, fleetSite, fleetMet, fleetLost} {
-		to <- d
+		descs <- d
 	}
 }
 
-func (c *collector) Collect(to chan<- prometheus.Metric) {
+func (c *collector) Collect(metrics chan<- prometheus.Metric) {
 	count := func(d *prometheus.Desc, n uint64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(n), labels...)
+		metrics <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(n), labels...)
 	}
 	gauge := func(d *prometheus.Desc, n float64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, n, labels...)
+		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, n, labels...)
 	}
 	for _, n := range c.figures.Classes() {
 		for o, ended := range n.Ended {
@@ -159,13 +158,12 @@
 	}
 }
 
-// Server answers GET /metrics.
 type Server struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// Listen opens the address. fleet returns nil while there is none.
+// Listen opens the address. fleet returns nil if there is no fleet.
 func Listen(addr string, f *figures.Figures, members func() figures.Members, fleet func() *Fleet) (*Server, error) {
 	registry := prometheus.NewPedanticRegistry()
 	if err := registry.Register(&collector{f, members, fleet}); err != nil {
@@ -176,20 +174,20 @@
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConns, Timeout: patience}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConns, Timeout: timeout}))
 	return &Server{
 		listener: netutil.LimitListener(l, maxConns),
 		server: &http.Server{
-			Handler: mux, ReadTimeout: patience, WriteTimeout: 2 * patience, IdleTimeout: idle, MaxHeaderBytes: 8 << 10,
-			ErrorLog: log.New(io.Discard, "", 0), // of single connections
+			Handler: mux, ReadTimeout: timeout, WriteTimeout: 2 * timeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 8 << 10,
+			ErrorLog: log.New(io.Discard, "", 0), // drops errors of single connections
 		},
 	}, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the server's listen address.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers until ctx ends.
+// Serve serves requests until ctx ends.
 func (s *Server) Serve(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { s.server.Close() })
 	defer stop()
--- a/internal/unixsocket/unixsocket.go
+++ b/internal/unixsocket/unixsocket.go
@@ -1,5 +1,5 @@
-// Package unixsocket opens Unix sockets at a path that one process takes over from
-// another, with no moment at which nobody is there.
+// Package unixsocket opens Unix sockets at a path that one process takes over from another, with a
+// process listening at every moment.
 package unixsocket
 
 import (
@@ -10,14 +10,14 @@
 	"path/filepath"
 )
 
-// longest is the longest name that fits into a socket's address (108 bytes) with
-// what is put behind it while it is opened.
-const longest = 104
+// maxPath bounds the paths that are used as they are: shorter ones fit into a socket address (108
+// bytes) with what is appended while the socket is opened.
+const maxPath = 104
 
-// WithShortPath calls use with a name for path that fits into a socket's address, however
-// long the folder's is.
+// WithShortPath calls use with a name for path that fits into a socket address, however long the
+// path is.
 func WithShortPath(path string, use func(name string) error) error {
-	if len(path) < longest {
+	if len(path) < maxPath {
 		return use(path)
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -28,23 +28,23 @@
 	return use(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-// Check reports an error if something else than a socket is at the path.
+// Check returns an error if something other than a socket is at the path.
 func Check(path string) error {
 	if info, err := os.Lstat(path); err == nil && info.Mode().Type() != fs.ModeSocket {
-		return fmt.Errorf("%s is no socket of ours and is left alone", filepath.Base(path))
+		return fmt.Errorf("%s is not a socket and is not replaced", filepath.Base(path))
 	}
 	return nil
 }
 
-// Listen listens at a name of its own and puts that in the path's place, whoever had
-// it. Only this user may connect. The path stays when the listener is closed: it may
-// be another process's by then.
+// Listen opens a socket under a temporary name and renames it to path, which replaces the socket of
+// another process in one step. Only this user may connect. Closing the listener does not remove the
+// path, which may belong to another process by then.
 func Listen(path string) (*net.UnixListener, error) {
 	if err := Check(path); err != nil {
 		return nil, err
 	}
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(temporary) // of a process that had this number
+	os.Remove(temporary) // left by an earlier process with this ID
 	var l *net.UnixListener
 	err := WithShortPath(temporary, func(name string) error {
 		var err error
