--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -180,12 +180,12 @@
 			if err != nil {
 				return nil, err
 			}
-			at := join(key, name.(string)) // a key is always a string
+			path := join(key, name.(string)) // a key is always a string
 			if _, duplicate := table[name.(string)]; duplicate {
-				r.duplicates = append(r.duplicates, at)
+				r.duplicates = append(r.duplicates, path)
 			}
-			r.lines[at] = r.line(nil)
-			if table[name.(string)], err = r.value(at, depth+1); err != nil {
+			r.lines[path] = r.line(nil)
+			if table[name.(string)], err = r.value(path, depth+1); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -187,11 +187,11 @@
 	if _, known := l.levels[part]; !known && len(l.levels) >= maxPackages {
 		return fmt.Errorf("%d packages have levels of their own already", len(l.levels))
 	}
-	set := level{level: lv}
+	configured := level{level: lv}
 	if duration > 0 {
-		set.until = now.Add(duration)
+		configured.until = now.Add(duration)
 	}
-	l.levels[part] = set
+	l.levels[part] = configured
 	return nil
 }
 
@@ -208,16 +208,16 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	for _, part := range slices.Sorted(maps.Keys(l.levels)) {
-		set := l.levels[part]
-		if !set.until.IsZero() && !now.Before(set.until) {
+		configured := l.levels[part]
+		if !configured.until.IsZero() && !now.Before(configured.until) {
 			delete(l.levels, part)
 			continue
 		}
-		one := Level{Part: part, Level: strings.ToLower(set.level.String())}
-		if !set.until.IsZero() {
-			one.For = set.until.Sub(now)
+		entry := Level{Part: part, Level: strings.ToLower(configured.level.String())}
+		if !configured.until.IsZero() {
+			entry.For = configured.until.Sub(now)
 		}
-		levels = append(levels, one)
+		levels = append(levels, entry)
 	}
 	if len(levels) == 0 || levels[0].Part != "" {
 		levels = append([]Level{{Level: "info"}}, levels...)
--- a/internal/operator/contracts.go
+++ b/internal/operator/contracts.go
@@ -47,7 +47,7 @@
 
 func readAllow(t *table) Allow {
 	a := Allow{
-		key: t.key, Service: t.text("service", ""), Classes: t.texts("classes", broker.MaxClasses),
+		key: t.key, Service: t.str("service", ""), Classes: t.stringList("classes", broker.MaxClasses),
 		Rate: t.number("rate", 0, 0.001, 1e6), Work: t.number("work", 0, 0.0001, 1e6),
 	}
 	a.Burst = t.number("burst", math.Max(1, a.Rate), 1, 1e7) // the default is one second's worth
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -38,57 +38,57 @@
 
 type differ struct{ changes []Change }
 
-func (d *differ) add(what, old, next string) {
+func (d *differ) add(item, old, next string) {
 	if old != next {
-		d.changes = append(d.changes, Change{what, old, next})
+		d.changes = append(d.changes, Change{item, old, next})
 	}
 }
 
 // compare compares two values of one type. Unexported fields, such as an item's position in its
 // file, are ignored.
-func (d *differ) compare(what string, old, next reflect.Value) {
+func (d *differ) compare(path string, old, next reflect.Value) {
 	switch old.Kind() {
 	case reflect.Pointer:
 		switch {
 		case old.IsNil() && next.IsNil():
 		case old.IsNil():
-			d.add(what, "", abbreviate(next.Elem().Interface()))
+			d.add(path, "", abbreviate(next.Elem().Interface()))
 		case next.IsNil():
-			d.add(what, abbreviate(old.Elem().Interface()), "")
+			d.add(path, abbreviate(old.Elem().Interface()), "")
 		default:
-			d.compare(what, old.Elem(), next.Elem())
+			d.compare(path, old.Elem(), next.Elem())
 		}
 	case reflect.Struct:
 		for i := range old.NumField() {
 			f := old.Type().Field(i)
 			switch {
 			case f.Anonymous && f.Type.Kind() == reflect.Struct:
-				d.compare(what, old.Field(i), next.Field(i))
+				d.compare(path, old.Field(i), next.Field(i))
 			case f.IsExported():
-				d.compare(what+", "+kebabCase(f.Name), old.Field(i), next.Field(i))
+				d.compare(path+", "+kebabCase(f.Name), old.Field(i), next.Field(i))
 			}
 		}
 	case reflect.Slice:
-		d.compareLists(what, old, next)
+		d.compareLists(path, old, next)
 	default:
-		d.add(what, formatValue(old), formatValue(next))
+		d.add(path, formatValue(old), formatValue(next))
 	}
 }
 
 // compareLists compares lists of named items by name, lists of other structs by index if they are
 // equally long, and all others as a whole.
-func (d *differ) compareLists(what string, old, next reflect.Value) {
+func (d *differ) compareLists(path string, old, next reflect.Value) {
 	hasName := old.Type().Elem().Kind() == reflect.Struct
 	if hasName {
 		_, hasName = old.Type().Elem().FieldByName("Name")
 	}
 	if !hasName {
 		if old.Type().Elem().Kind() != reflect.Struct || old.Len() != next.Len() {
-			d.add(what, formatValue(old), formatValue(next))
+			d.add(path, formatValue(old), formatValue(next))
 			return
 		}
 		for i := range old.Len() {
-			d.compare(fmt.Sprintf("%s %d", what, i), old.Index(i), next.Index(i))
+			d.compare(fmt.Sprintf("%s %d", path, i), old.Index(i), next.Index(i))
 		}
 		return
 	}
@@ -100,7 +100,7 @@
 		return result
 	}
 	before, after := names(old), names(next)
-	singular := strings.TrimSuffix(strings.TrimSuffix(what, "es"), "s")
+	singular := strings.TrimSuffix(strings.TrimSuffix(path, "es"), "s")
 	for i, n := range before {
 		item := fmt.Sprintf("%s %q", singular, n)
 		if j := slices.Index(after, n); j >= 0 {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -48,7 +48,7 @@
 	if t == nil {
 		return nil
 	}
-	f := &Fleet{key: t.key, Name: readName(t), Listen: t.text("listen", "")}
+	f := &Fleet{key: t.key, Name: readName(t), Listen: t.str("listen", "")}
 	f.Quota = quota.Settings{
 		Lease:  t.duration("lease", 2*time.Second, time.Millisecond, time.Hour),
 		Period: t.duration("period", 200*time.Millisecond, time.Millisecond, time.Hour),
@@ -57,7 +57,7 @@
 	f.Weights = get(t, "weights", "true or false", false)
 	f.Settings = sites.Settings{Utilisation: t.number("utilisation", sites.DefaultSettings.Utilisation, 0.1, 1), Floor: t.number("floor", sites.DefaultSettings.Floor, 0, 0.5)}
 	for _, s := range t.tables("site", sites.MaxSites) {
-		f.Places = append(f.Places, FleetSite{Name: readName(s), Near: s.texts("near", sites.MaxSites)})
+		f.Places = append(f.Places, FleetSite{Name: readName(s), Near: s.stringList("near", sites.MaxSites)})
 		s.end()
 	}
 	f.Key = readFleetKey(t)
@@ -82,7 +82,7 @@
 }
 
 func (f *Fleet) readGateway(t *table) FleetGateway {
-	g := FleetGateway{Name: readName(t), Partner: t.text("partner", ""), Address: t.text("address", ""), Site: t.text("site", "")}
+	g := FleetGateway{Name: readName(t), Partner: t.str("partner", ""), Address: t.str("address", ""), Site: t.str("site", "")}
 	t.end()
 	t.checkAddr("address", g.Address)
 	if len(g.Name) > message.MaxName {
@@ -105,7 +105,7 @@
 
 // readFleetKey reads the key from its file.
 func readFleetKey(t *table) []byte {
-	path := t.text("key", "")
+	path := t.str("key", "")
 	if path == "" {
 		return nil
 	}
@@ -151,14 +151,14 @@
 	if len(f.Places) == 0 {
 		return nil
 	}
-	all := &coordination.Sites{Settings: f.Settings, Home: map[string]string{}, Near: map[string][]string{}}
+	result := &coordination.Sites{Settings: f.Settings, Home: map[string]string{}, Near: map[string][]string{}}
 	for _, s := range f.Places {
-		all.Near[s.Name] = s.Near
+		result.Near[s.Name] = s.Near
 	}
 	for _, g := range f.Gateways {
-		all.Home[g.Name] = g.Site
+		result.Home[g.Name] = g.Site
 	}
-	return all
+	return result
 }
 
 // check checks partners and gateways for consistency with one another.
--- a/internal/operator/fronts.go
+++ b/internal/operator/fronts.go
@@ -42,7 +42,7 @@
 		return nil
 	}
 	h := &HTTP3{
-		Listen: t.text("listen", ""), Certificate: t.text("certificate", ""), Key: t.text("key", ""),
+		Listen: t.str("listen", ""), Certificate: t.str("certificate", ""), Key: t.str("key", ""),
 		Connections:  int(t.number("connections", 64, 1, 100000)),
 		Streams:      int(t.number("streams", 16, 1, 1000)),
 		StreamWindow: int64(t.number("stream-window", 72<<10, 16<<10, 16<<20)), ConnectionWindow: int64(t.number("connection-window", 144<<10, 16<<10, 64<<20)),
@@ -67,8 +67,8 @@
 		return nil
 	}
 	r := &Routing{
-		Config: byte(t.number("config", 0, 0, quiclb.MaxConfig)), Server: t.text("server", ""),
-		Nonce: int(t.number("nonce", 8, 4, 18)), Key: t.text("key", ""),
+		Config: byte(t.number("config", 0, 0, quiclb.MaxConfig)), Server: t.str("server", ""),
+		Nonce: int(t.number("nonce", 8, 4, 18)), Key: t.str("key", ""),
 	}
 	t.end()
 	server, err := hex.DecodeString(r.Server)
--- a/internal/operator/moves.go
+++ b/internal/operator/moves.go
@@ -52,7 +52,7 @@
 }
 
 func readMove(t *table) Move {
-	m := Move{key: t.key, Service: t.text("service", "")}
+	m := Move{key: t.key, Service: t.str("service", "")}
 	m.Name = readName(t)
 	m.Steps = t.percentages("steps", []string{"1%", "5%", "25%", "50%", "100%"})
 	m.StepTime = t.duration("step-time", time.Minute, time.Second, 24*time.Hour)
@@ -81,7 +81,7 @@
 func (t *table) percentages(key string, fallback []string) (fractions []float64) {
 	texts := fallback
 	if t.has(key) {
-		texts = t.texts(key, maxSteps)
+		texts = t.stringList(key, maxSteps)
 	}
 	for _, text := range texts {
 		number, isPercentage := strings.CutSuffix(text, "%")
@@ -106,8 +106,8 @@
 		t.r.fault(t.key, "%s is missing: [move.%s] with kind, zone, id-prefix, label or pod is expected", key, key)
 		return s
 	}
-	s.Kind, s.Zone, s.IDPrefix = st.text("kind", ""), st.text("zone", ""), st.text("id-prefix", "")
-	if s.Label = st.text("label", ""); s.Label != "" && !strings.Contains(s.Label, "=") {
+	s.Kind, s.Zone, s.IDPrefix = st.str("kind", ""), st.str("zone", ""), st.str("id-prefix", "")
+	if s.Label = st.str("label", ""); s.Label != "" && !strings.Contains(s.Label, "=") {
 		st.fault("label", "name=value is expected, not %.60q", s.Label)
 	}
 	s.Pod = int(st.number("pod", -1, 0, 1<<31))
@@ -119,7 +119,7 @@
 }
 
 func readMoveGuard(t *table) MoveGuard {
-	g := MoveGuard{key: t.key, Classes: t.texts("classes", 64), Guards: defaultGuards}
+	g := MoveGuard{key: t.key, Classes: t.stringList("classes", 64), Guards: defaultGuards}
 	for _, k := range []struct {
 		kind moves.FaultKind
 		key  string
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -114,18 +114,18 @@
 		h.end()
 	}
 	if m := root.table("metrics"); m != nil {
-		f.Metrics = m.text("listen", "")
+		f.Metrics = m.str("listen", "")
 		m.checkAddrOrFreePort("listen", f.Metrics)
 		m.end()
 	}
 	if t := root.table("console"); t != nil {
-		if f.Console = t.text("socket", ""); f.Console == "" {
+		if f.Console = t.str("socket", ""); f.Console == "" {
 			t.fault("socket", "the path of a Unix socket is expected")
 		}
 		t.end()
 	}
 	if t := root.table("state"); t != nil {
-		if f.State = t.text("directory", ""); f.State == "" {
+		if f.State = t.str("directory", ""); f.State == "" {
 			t.fault("directory", "the name of a folder on a persistent disk is expected")
 		}
 		f.Keys = Keys(t.oneOf("keys", string(KeysInSnapshot), string(KeysInSnapshot), string(KeysAsync), string(KeysBeforeSend)))
--- a/internal/operator/services.go
+++ b/internal/operator/services.go
@@ -54,7 +54,7 @@
 func readService(t *table) Service {
 	s := Service{
 		key: t.key, Name: readName(t), Weight: t.number("weight", 1, 0.01, 100),
-		Paths: t.pathPrefixes("paths"), Endpoints: t.texts("endpoints", maxEndpoints), Registry: t.text("registry", ""),
+		Paths: t.pathPrefixes("paths"), Endpoints: t.stringList("endpoints", maxEndpoints), Registry: t.str("registry", ""),
 		Attempts: int(t.number("attempts", 3, 1, 10)), SecondCopies: get(t, "second-copies", "true or false", true),
 		ConnectTimeout: t.duration("connect-timeout", 250*time.Millisecond, time.Millisecond, time.Minute),
 		Idle:           t.duration("idle", 10*time.Second, 100*time.Millisecond, time.Hour),
@@ -94,7 +94,7 @@
 
 // readName reads and checks the key "name".
 func readName(t *table) string {
-	n := t.text("name", "")
+	n := t.str("name", "")
 	if n == "" || len(n) > maxName || strings.ContainsFunc(n, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
 		t.fault("name", "a name of 1 to %d bytes without spaces is expected, not %.60q", maxName, n)
 	}
@@ -111,7 +111,7 @@
 
 // pathPrefixes reads a list of path prefixes.
 func (t *table) pathPrefixes(key string) []string {
-	paths := t.texts(key, maxPaths)
+	paths := t.stringList(key, maxPaths)
 	for _, p := range paths {
 		plain, query, err := target.Split(p)
 		switch {
@@ -131,7 +131,7 @@
 )
 
 func readClass(t *table) Class {
-	c := Class{key: t.key, Name: readName(t), Paths: t.pathPrefixes("paths"), Methods: t.texts("methods", len(methods))}
+	c := Class{key: t.key, Name: readName(t), Paths: t.pathPrefixes("paths"), Methods: t.stringList("methods", len(methods))}
 	if !t.has("effect") {
 		t.r.fault(t.key, "effect is missing: safe, keyed or unsafe is expected")
 	}
--- a/internal/operator/toml.go
+++ b/internal/operator/toml.go
@@ -140,11 +140,11 @@
 	return text
 }
 
-func (t *table) text(name, fallback string) string { return get(t, name, "a text in quotes", fallback) }
+func (t *table) str(name, fallback string) string { return get(t, name, "a text in quotes", fallback) }
 
 // oneOf reads a string that must be one of the allowed values.
 func (t *table) oneOf(name, fallback string, allowed ...string) string {
-	v := t.text(name, fallback)
+	v := t.str(name, fallback)
 	for _, a := range allowed {
 		if v == a {
 			return v
@@ -193,8 +193,8 @@
 	return d
 }
 
-// texts reads a list of at most maxLen strings.
-func (t *table) texts(name string, maxLen int) []string {
+// stringList reads a list of at most maxLen strings.
+func (t *table) stringList(name string, maxLen int) []string {
 	list := get[[]any](t, name, "a list of texts", nil)
 	if len(list) > maxLen {
 		t.fault(name, "%d entries are too many, %d are allowed", len(list), maxLen)
--- a/internal/unixsocket/unixsocket.go
+++ b/internal/unixsocket/unixsocket.go
@@ -15,7 +15,7 @@
 const maxPath = 104
 
 // WithShortPath calls use with a name for path that fits into a socket address, however long the
-// path is.
+// folder's path is.
 func WithShortPath(path string, use func(name string) error) error {
 	if len(path) < maxPath {
 		return use(path)
