--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,10 +1,10 @@
-// Package journal keeps the latest of some values in a file that survives a kill
-// at any instant: each is appended with its length and checksum, and the last that is
-// whole counts. Scan and Append are pure; File is the shell.
+// Package journal stores the latest of some values in a file that survives a process kill
+// at any instant: each record is appended with its length and checksum, and the last
+// valid one counts. Scan and Append are pure; File does the I/O.
 //
-// It guards against a kill and a torn write. A disk that loses what it has said to
-// be written, or changes it, is found by the checksum: such a record is left out alone
-// where its length still leads to the next, else what is behind it is left out too.
+// It guards against kills and torn writes. A disk that loses or changes data which it
+// reported as written is detected by the checksum: such a record alone is skipped if its
+// length still leads to the next; otherwise everything after it is dropped too.
 package journal
 
 import (
@@ -18,23 +18,25 @@
 )
 
 const (
-	// MaxRecord bounds one record, MaxFile what is read of a file, in bytes.
+	// MaxRecord bounds a record, MaxFile a file that is read, in bytes.
 	MaxRecord = 4 << 20
 	MaxFile   = 16 << 20
-	// compactAt is the size at which a file is written anew with its last record.
-	compactAt = 1 << 20
+	// compactSize is the size in bytes at which the file is rewritten with its last
+	// record only.
+	compactSize = 1 << 20
 
-	magic    = "spokegw journal 1\n"
-	headSize = 8 // length and checksum, big-endian
+	magic      = "spokegw journal 1\n"
+	headerSize = 8 // length and checksum, big-endian
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Append appends a record to what a file holds. A record is not empty: the zeros
-// that some file systems leave behind a crash would be any number of those.
+// Append appends a record to the contents of a file. A record must not be empty: the
+// zeros that some file systems leave after a crash would read as any number of empty
+// records.
 func Append(dst, record []byte) ([]byte, error) {
 	if len(record) == 0 || len(record) > MaxRecord {
-		return dst, fmt.Errorf("journal: a record of %d bytes, 1 to %d are expected", len(record), MaxRecord)
+		return dst, fmt.Errorf("journal: record has %d bytes, expected 1 to %d", len(record), MaxRecord)
 	}
 	if len(dst) == 0 {
 		dst = append(dst, magic...)
@@ -44,69 +46,70 @@
 	return append(dst, record...), nil
 }
 
-// ErrForeign tells that a file is something else.
-var ErrForeign = errors.New("journal: this is no journal, or of another version")
+// ErrForeign reports that the file is not a journal of this version.
+var ErrForeign = errors.New("journal: not a journal, or of an unsupported version")
 
-// Found is what is in a file.
+// Found is the result of scanning a file.
 type Found struct {
-	Last      []byte // the last whole record; nil: there is none
-	ValidSize int    // how many bytes there are to its end
-	Damaged   int    // records before it that are not whole
-	Tail      []byte // what is behind it: a record that is torn or spoilt, or more of them
+	Last      []byte // the last valid record; nil: none
+	ValidSize int    // size in bytes up to the end of Last
+	Damaged   int    // corrupted records before it
+	Tail      []byte // the bytes after Last: one or more torn or corrupted records
 }
 
-// Scan reads the last whole record. A beginning that was cut in the magic is a torn
+// Scan finds the last valid record. A file that ends within the magic counts as a torn
 // tail.
-func Scan(b []byte) (f Found, err error) {
+func Scan(b []byte) (found Found, err error) {
 	if n := min(len(b), len(magic)); string(b[:n]) != magic[:n] {
-		return f, ErrForeign
+		return found, ErrForeign
 	}
 	if len(b) < len(magic) {
-		f.Tail = b
-		return f, nil
+		found.Tail = b
+		return found, nil
 	}
-	f.ValidSize = len(magic)
+	found.ValidSize = len(magic)
 	damaged := 0
-	for at := f.ValidSize; ; {
-		rest := b[at:]
-		if len(rest) < headSize {
+	for offset := found.ValidSize; ; {
+		remaining := b[offset:]
+		if len(remaining) < headerSize {
 			break
 		}
-		length, sum := int(binary.BigEndian.Uint32(rest)), binary.BigEndian.Uint32(rest[4:])
-		if length == 0 || length > MaxRecord || length > len(rest)-headSize {
+		length, sum := int(binary.BigEndian.Uint32(remaining)), binary.BigEndian.Uint32(remaining[4:])
+		if length == 0 || length > MaxRecord || length > len(remaining)-headerSize {
 			break
 		}
-		record := rest[headSize : headSize+length]
-		at += headSize + length
+		record := remaining[headerSize : headerSize+length]
+		offset += headerSize + length
 		if crc32.Checksum(record, castagnoli) != sum {
-			damaged++ // if what follows is whole; else a tail begins here
+			damaged++ // counts only if a valid record follows; otherwise the tail begins here
 			continue
 		}
-		f.Last, f.ValidSize, f.Damaged = record, at, damaged
+		found.Last, found.ValidSize, found.Damaged = record, offset, damaged
 	}
-	f.Tail = b[f.ValidSize:]
-	return f, nil
+	found.Tail = b[found.ValidSize:]
+	return found, nil
 }
 
-// Disk is what files are on.
+// Disk is the file system that holds the files.
 type Disk interface {
-	Open(path string) (Handle, error) // for reading and writing, from its beginning; made where there is none
+	Open(path string) (Handle, error) // for reading and writing from offset 0; created if missing
 	Create(path string) (Handle, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	SyncFolder(path string) error // has what was made and renamed in a folder written
+	SyncFolder(path string) error // makes creations and renames in a directory durable
 }
 
-// Handle is a file that is open.
+// Handle is an open file.
 type Handle interface {
 	io.ReadWriteSeeker
 	io.Closer
 	Truncate(size int64) error
 	Sync() error
-	Lock() error // for this process, until it is closed or the process ends; ErrInUse
+	Lock() error // exclusive until closed or the process exits; may return ErrInUse
 }
 
-// File is a journal in a file. It is for one goroutine, and one process at a time.
+// File is an open journal. It is not safe for concurrent use, and only one process can
+// have it open.
 type File struct {
 	disk Disk
 	path string
@@ -114,14 +117,14 @@
 	size int64
 }
 
-// ErrInUse tells that another process writes the journal.
-var ErrInUse = errors.New("journal: another process has it")
+// ErrInUse reports that another process has the journal open.
+var ErrInUse = errors.New("journal: file is locked by another process")
 
-// Open opens a journal, makes it where there is none, and cuts a torn tail off. It
-// returns what was in it. Who has it has it alone.
+// Open opens a journal, creates it if missing, truncates a torn tail and returns the
+// contents. The file is locked against other processes.
 func Open(path string) (*File, Found, error) { return OpenOn(OS{}, path) }
 
-// OpenOn is Open on another disk.
+// OpenOn is like Open on the given disk.
 func OpenOn(d Disk, path string) (*File, Found, error) {
 	f, err := d.Open(path)
 	if err != nil {
@@ -132,7 +135,7 @@
 	if err = f.Lock(); err == nil {
 		found, size, err = restore(f)
 	}
-	if err == nil && size == 0 { // it may have been made just now: what is written to a file without a name is lost
+	if err == nil && size == 0 { // it may be new, and data in a file whose directory entry is lost in a crash is lost too
 		err = d.SyncFolder(filepath.Dir(path))
 	}
 	if err != nil {
@@ -148,14 +151,14 @@
 		return Found{}, 0, fmt.Errorf("journal: %w", err)
 	}
 	if len(b) > MaxFile {
-		return Found{}, 0, fmt.Errorf("journal: more than %d bytes", MaxFile)
+		return Found{}, 0, fmt.Errorf("journal: file is larger than %d bytes", MaxFile)
 	}
 	if found, err = Scan(b); err != nil {
 		return Found{}, 0, err
 	}
 	if len(found.Tail) > 0 {
 		if err := f.Truncate(int64(found.ValidSize)); err != nil {
-			return Found{}, 0, fmt.Errorf("journal: a torn tail is not cut off: %w", err)
+			return Found{}, 0, fmt.Errorf("journal: truncate torn tail: %w", err)
 		}
 	}
 	if _, err := f.Seek(int64(found.ValidSize), io.SeekStart); err != nil {
@@ -164,25 +167,25 @@
 	return found, int64(found.ValidSize), nil
 }
 
-// Write writes a record, and returns when it is on the disk. On an error the file
-// is as it was, as far as the disk lets it.
+// Write appends a record and returns when it is durable. On an error the file is restored
+// to its previous state as far as the disk allows.
 func (j *File) Write(record []byte) error {
-	if j.size >= compactAt {
+	if j.size >= compactSize {
 		return j.Compact(record)
 	}
-	var before []byte
+	var header []byte
 	if j.size > 0 {
-		before = []byte(magic)
+		header = []byte(magic)
 	}
-	b, err := Append(before, record)
+	b, err := Append(header, record)
 	if err != nil {
 		return err
 	}
-	b = b[len(before):]
+	b = b[len(header):]
 	if _, err = j.file.Write(b); err == nil {
 		err = j.file.Sync()
 	}
-	if err != nil { // half a record would hide those behind it
+	if err != nil { // a partial record would hide those after it
 		err = errors.Join(err, j.file.Truncate(j.size))
 		if _, seekErr := j.file.Seek(j.size, io.SeekStart); seekErr != nil {
 			err = errors.Join(err, seekErr)
@@ -193,20 +196,19 @@
 	return nil
 }
 
-// Compact writes the file anew with one record, in the place of the old one at
-// one instant.
+// Compact atomically replaces the file by one that holds only this record.
 func (j *File) Compact(record []byte) error {
 	b, err := Append(nil, record)
 	if err != nil {
 		return err
 	}
-	temporary := j.path + ".new"
-	// One that a crash left may be the file itself, where a rename was written by half:
-	// made empty it would empty both.
-	if err := j.disk.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	tmpPath := j.path + ".new"
+	// A temporary file left by a crash may be the same inode as the journal if the rename
+	// was only partly durable: truncating it would empty both.
+	if err := j.disk.Remove(tmpPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("journal: %w", err)
 	}
-	f, err := j.disk.Create(temporary)
+	f, err := j.disk.Create(tmpPath)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
@@ -217,17 +219,17 @@
 		err = f.Sync()
 	}
 	if err == nil {
-		err = j.disk.Rename(temporary, j.path)
+		err = j.disk.Rename(tmpPath, j.path)
 	}
 	if err != nil {
 		f.Close()
-		if rmErr := j.disk.Remove(temporary); rmErr != nil && !errors.Is(rmErr, fs.ErrNotExist) {
+		if rmErr := j.disk.Remove(tmpPath); rmErr != nil && !errors.Is(rmErr, fs.ErrNotExist) {
 			err = errors.Join(err, rmErr)
 		}
 		return fmt.Errorf("journal: %w", err)
 	}
-	// From here on the new file has the name, whether or not that is written yet: what
-	// is appended belongs into it.
+	// From here on the new file has the name, durably or not, so further records are
+	// appended to it.
 	j.file.Close()
 	j.file, j.size = f, int64(len(b))
 	if err := j.disk.SyncFolder(filepath.Dir(j.path)); err != nil {
@@ -236,5 +238,4 @@
 	return nil
 }
 
-// Close closes the file.
 func (j *File) Close() error { return j.file.Close() }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// Cut off at any byte a journal tells the last record that is whole before that place,
-// and goes on behind it. Spoilt in a record's text it tells the last but that one, in a
-// head no less than the last before it.
-func TestTornAndSpoilt(t *testing.T) {
+// A journal truncated at any byte yields the last record that ends before it, and can be
+// appended to. With a bit flipped in a record's payload only that record is lost; with
+// one flipped in its header, no record before it.
+func TestScanCorrupted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		records := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 1, 40), 1, 6).Draw(rt, "records")
 		var b []byte
@@ -27,45 +27,45 @@
 			ends = append(ends, len(b))
 		}
 		at := rapid.IntRange(len(magic), len(b)).Draw(rt, "at")
-		torn := bytes.Clone(b[:at])
-		spoilt := rapid.Bool().Draw(rt, "spoilt") && at < len(b)
-		if spoilt {
-			torn = bytes.Clone(b)
-			torn[at] ^= 1 << rapid.IntRange(0, 7).Draw(rt, "bit")
+		damaged := bytes.Clone(b[:at])
+		flipped := rapid.Bool().Draw(rt, "spoilt") && at < len(b)
+		if flipped {
+			damaged = bytes.Clone(b)
+			damaged[at] ^= 1 << rapid.IntRange(0, 7).Draw(rt, "bit")
 		}
-		var want []byte // the last before the place
-		hit, begin := -1, len(magic)
+		var want []byte // the last record before the fault
+		corrupted, begin := -1, len(magic)
 		for i, end := range ends {
 			if end <= at {
 				want = records[i]
-			} else if hit < 0 && spoilt {
-				hit = i
+			} else if corrupted < 0 && flipped {
+				corrupted = i
 			}
-			if hit < 0 {
+			if corrupted < 0 {
 				begin = end
 			}
 		}
-		found, err := Scan(torn)
+		found, err := Scan(damaged)
 		switch {
 		case err != nil:
 			rt.Fatal(err)
-		case hit >= 0 && at >= begin+4 && hit < len(records)-1: // its length is as it was
+		case corrupted >= 0 && at >= begin+4 && corrupted < len(records)-1: // its length is intact
 			if !bytes.Equal(found.Last, records[len(records)-1]) || found.Damaged != 1 || len(found.Tail) > 0 {
-				rt.Fatalf("%+v is read where record %d is spoilt", found, hit)
+				rt.Fatalf("read %+v with record %d corrupted", found, corrupted)
 			}
-		case hit >= 0 && at < begin+4: // where a length leads is chance
+		case corrupted >= 0 && at < begin+4: // a corrupted length leads to an arbitrary offset
 		case !bytes.Equal(found.Last, want):
-			rt.Fatalf("%q is read, %q is the last before byte %d", found.Last, want, at)
+			rt.Fatalf("read %q, want %q, the last before byte %d", found.Last, want, at)
 		}
-		if len(torn) != found.ValidSize+len(found.Tail) {
-			rt.Fatalf("%d bytes are whole and %d behind them, of %d", found.ValidSize, len(found.Tail), len(torn))
+		if len(damaged) != found.ValidSize+len(found.Tail) {
+			rt.Fatalf("%d valid bytes and a tail of %d do not add up to %d", found.ValidSize, len(found.Tail), len(damaged))
 		}
-		again, err := Append(torn[:found.ValidSize], []byte("next"))
+		extended, err := Append(damaged[:found.ValidSize], []byte("next"))
 		if err != nil {
 			rt.Fatal(err)
 		}
-		if f, _ := Scan(again); string(f.Last) != "next" {
-			rt.Fatalf("behind a torn tail %q is read", f.Last)
+		if f, _ := Scan(extended); string(f.Last) != "next" {
+			rt.Fatalf("after appending to a truncated file: read %q", f.Last)
 		}
 	})
 }
@@ -84,7 +84,7 @@
 	path := filepath.Join(t.TempDir(), "x.journal")
 	j, last := open(t, path)
 	if last != "" {
-		t.Errorf("a new one has %q", last)
+		t.Errorf("new journal contains %q", last)
 	}
 	for i := range 3 {
 		if err := j.Write(fmt.Append(nil, "record ", i)); err != nil {
@@ -92,63 +92,62 @@
 		}
 	}
 	if err := j.Write(nil); err == nil {
-		t.Error("an empty record was taken")
+		t.Error("empty record was accepted")
 	}
-	whole, err := os.ReadFile(path)
+	contents, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path); !errors.Is(err, ErrInUse) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second open: %v", err)
 	}
 	j.Close()
-	os.WriteFile(path, whole[:len(whole)-2], 0o600) // a kill in the midst of the last
+	os.WriteFile(path, contents[:len(contents)-2], 0o600) // a kill while the last record was written
 	j, last = open(t, path)
 	if last != "record 1" {
-		t.Errorf("torn: %q", last)
+		t.Errorf("after a torn write: %q", last)
 	}
 	if err := j.Write([]byte("record 3")); err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
 	if j, last = open(t, path); last != "record 3" {
-		t.Errorf("behind a torn tail: %q", last)
+		t.Errorf("after appending to a truncated file: %q", last)
 	}
-	big := bytes.Repeat([]byte("x"), compactAt/2)
+	big := bytes.Repeat([]byte("x"), compactSize/2)
 	for range 5 {
 		if err := j.Write(big); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if info, err := os.Stat(path); err != nil || info.Size() > 2*compactAt {
-		t.Errorf("it has %d bytes, %v", info.Size(), err)
+	if info, err := os.Stat(path); err != nil || info.Size() > 2*compactSize {
+		t.Errorf("file has %d bytes, %v", info.Size(), err)
 	}
 	if _, _, err := Open(path); !errors.Is(err, ErrInUse) {
-		t.Errorf("opened twice after it was written anew: %v", err)
+		t.Errorf("second open after compaction: %v", err)
 	}
 	j.Close()
 	if _, last = open(t, path); last != string(big) {
-		t.Errorf("after it was written anew %d bytes are read", len(last))
+		t.Errorf("after compaction: read %d bytes", len(last))
 	}
 }
 
-// What is something else is left alone.
-func TestForeign(t *testing.T) {
+// A file that is not a journal is left unchanged.
+func TestOpenForeign(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "notes.txt")
 	os.WriteFile(path, []byte("somebody's notes"), 0o600)
 	if _, _, err := Open(path); !errors.Is(err, ErrForeign) {
 		t.Errorf("%v", err)
 	}
 	if b, _ := os.ReadFile(path); string(b) != "somebody's notes" {
-		t.Errorf("%q is left", b)
+		t.Errorf("file now contains %q", b)
 	}
 	if _, _, err := Open(filepath.Join(t.TempDir(), "no", "folder")); err == nil {
-		t.Error("a journal in a folder that is not there")
+		t.Error("opened a journal in a missing directory")
 	}
 }
 
-// A disk that takes no more leaves the last record as it was. /dev/full fails
-// every write with ENOSPC.
+// A full disk leaves the last record intact. /dev/full fails every write with ENOSPC.
 func TestFullDisk(t *testing.T) {
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
@@ -157,10 +156,10 @@
 	j := &File{disk: OS{}, path: filepath.Join(t.TempDir(), "x"), file: osHandle{full}, size: int64(len(magic))}
 	defer j.Close()
 	if err := j.Write([]byte("x")); err == nil {
-		t.Error("it was written")
+		t.Error("write to a full disk succeeded")
 	}
 	if j.size != int64(len(magic)) {
-		t.Errorf("it counts %d bytes", j.size)
+		t.Errorf("size is %d bytes after a failed write", j.size)
 	}
 }
 
@@ -171,7 +170,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		found, err := Scan(b)
 		if err == nil && (found.ValidSize+len(found.Tail) != len(b) || len(found.Last) > found.ValidSize) {
-			t.Errorf("%d of %d bytes are whole, %d are the last", found.ValidSize, len(b), len(found.Last))
+			t.Errorf("%d of %d bytes valid, last record has %d", found.ValidSize, len(b), len(found.Last))
 		}
 	})
 }
