--- a/internal/moves/assessor.go
+++ b/internal/moves/assessor.go
@@ -15,17 +15,17 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// FaultKind is a kind of fault that is judged.
+// FaultKind is a type of fault that is judged.
 type FaultKind uint8
 
 const (
-	Failed   FaultKind = iota // an error, no answer, a connection that was lost or could not be had
-	Late                      // an answer beyond the class's aim, or none
-	Declined                  // the endpoint refused
-	Slow                      // longer than half of the answers of the other pool
+	Failed   FaultKind = iota // an error, no answer, or a connection that failed or could not be opened
+	Late                      // an answer beyond the latency target of the class, or none
+	Declined                  // the endpoint declined the request
+	Slow                      // slower than the median answer of the old pool
 	NumFaultKinds
-	// Worth is what was lost of all that the requests of all classes were worth. It is
-	// judged of the service as a whole, beside the kinds of each class.
+	// Worth is the lost part of the total worth of the requests of all classes. It is
+	// judged for the whole service, in addition to the kinds of each class.
 	Worth = NumFaultKinds
 )
 
@@ -33,443 +33,445 @@
 	return [...]string{"failed", "late", "turned away", "slow", "worth lost"}[k]
 }
 
-// ClassWorth is what an answer of a class is worth, in time and late.
+// ClassWorth is the worth of an answer of a class, in time and late.
 type ClassWorth struct{ InTime, Late float64 }
 
-// Guards are what is allowed of one class. A guard whose margin is 0 is off.
+// Guards are the limits for one class. A guard with a margin of 0 is off.
 type Guards [NumFaultKinds]judge.Guard
 
-// AttemptResult is one attempt that has ended, and can be judged.
+// AttemptResult is a finished attempt that can be judged.
 type AttemptResult struct {
 	Class    int
-	New      bool   // of the new pool, else of the one that is left
-	Endpoint uint32 // its number
+	New      bool   // in the new pool, else in the old one
+	Endpoint uint32 // number of the endpoint
 	Failed   bool
 	Declined bool
 	Late     bool
-	Cold     bool          // its endpoint has not been up for long: how slow it is tells nothing
-	Took     time.Duration // of a good answer; 0: there was none
+	Cold     bool          // the endpoint started recently: its latency is not judged
+	Took     time.Duration // latency of a successful answer; 0: none
 }
 
 const (
-	// falseAlarm is the chance that a good move is undone, over all its classes,
-	// kinds of faults, steps and instants.
-	falseAlarm = 0.01
-	// enough is the evidence that takes a step further: a pool that is far worse
-	// than allowed reaches it in one of so many cases, and is judged on after that.
-	enough = 20
-	// Seconds in which one of the pools saw nothing are put together with the next,
-	// for so long at most.
-	blockTime = 10 * time.Second
-	// A fault is one endpoint's where it has so much of all that was bad in its
-	// pool; no more than one in three can be left out so.
-	onesOwn  = 0.7
-	mostLeft = 3
-	// A pool that was slow and is so much faster of late than before is warming up.
-	improving  = 0.15
-	mostWarms  = 3
-	gotStep    = 0.3 // of the way to what a block saw of the share
-	mostBlamed = 4096
-	// A pool that is slow is blamed for it only so many times its warming time after
-	// it first met requests: until then it goes no step further, and what is seen of
-	// its pace then counts anew.
-	patienceForSlow = 4
-	fastMemory      = 40.0
-	slowMemory      = 400.0
+	// falseAlarmRate is the probability that a good move is undone, over all its classes,
+	// fault kinds, steps and times.
+	falseAlarmRate = 0.01
+	// sufficientEvidence completes a step: a pool far worse than allowed reaches it in
+	// one of so many cases, and judging continues after that.
+	sufficientEvidence = 20
+	// Seconds in which one of the pools had no requests are merged with the next ones
+	// into a block of at most this duration.
+	maxBlockTime = 10 * time.Second
+	// Faults are attributed to a single endpoint if it has more than ownFaultFraction of
+	// its pool's faults; at most one endpoint in membersPerExcluded is excluded this way.
+	ownFaultFraction   = 0.7
+	membersPerExcluded = 3
+	// A slow pool whose recent log latency ratio is lower than before by this much is
+	// warming up.
+	improvementMargin  = 0.15
+	maxWarmingRestarts = 3
+	shareSmoothing     = 0.3 // smoothing factor of the observed share
+	maxFaultyEndpoints = 4096
+	// Slowness counts against the new pool only after this many times its warming time
+	// since it first received requests. Until then it blocks further steps, and its
+	// latency evidence restarts afterwards.
+	slowGraceFactor = 4
+	shortTermWindow = 40.0
+	longTermWindow  = 400.0
 )
 
-// allClasses stands for a class where all of them are judged together.
+// allClasses is the class name for evidence over all classes together.
 const allClasses = "all"
 
-// ofClass is what is seen of a class.
-type ofClass struct {
-	tracks [NumFaultKinds]*judge.SequentialTest // nil: off
-	block  [NumFaultKinds]judge.Block           // Slow's is the pace's
-	pace   *judge.LatencyComparison
-	fast   float64 // logarithm of the new pool's times over the other's, of late
-	slow   float64 // and over longer
-	n      float64
+// classEvidence holds the observations of one class.
+type classEvidence struct {
+	tests     [NumFaultKinds]*judge.SequentialTest // nil: off
+	blocks    [NumFaultKinds]judge.Block           // Slow has its block in latency
+	latency   *judge.LatencyComparison
+	shortTerm float64 // log ratio of new to old latency, short-term average
+	longTerm  float64 // the same, long-term average
+	samples   float64
 }
 
-var errNotJudged = errors.New("that is not judged: a class of the service, and failed, late, turned-away or slow are expected")
-
-// judges hold what was seen of a move, and say what it means. They are pure.
-type judges struct {
-	guards  []Guards
-	classes []ofClass
-	worths  []ClassWorth // over that of the dearest class
-	all     ofWorth
-	since   time.Duration      // what is seen is of
-	got     float64            // part of the requests that met the new pool of late
-	began   time.Duration      // of the block
-	oldGone bool               // a whole block saw nothing of the pool that is left
-	bad     map[uint32]float64 // of the new pool, by endpoint
-	left    map[uint32]bool    // endpoints whose faults are their own
-	warming time.Duration
-	met     time.Duration // when the new pool first met requests; -1: not yet
-	patient bool          // it is blamed for being slow no sooner than patienceForSlow tells
-	warms   int
-	ended   int // requests of the new pool
+var errNoSuchEvidence = errors.New("no such evidence: expected a class of the service, and failed, late, turned-away or slow")
+
+// assessor holds the observations of a move and assesses them. It is pure.
+type assessor struct {
+	guards          []Guards
+	classes         []classEvidence
+	worths          []ClassWorth // relative to the highest worth of a class
+	worth           worthEvidence
+	since           time.Duration      // start of the observations
+	newShare        float64            // recent fraction of the requests on the new pool
+	blockStart      time.Duration      // start of the block
+	oldUnused       bool               // the last block has no request of the old pool
+	faults          map[uint32]float64 // faults in the new pool, by endpoint
+	excluded        map[uint32]bool    // endpoints excluded for faults of their own
+	warming         time.Duration
+	firstNewAt      time.Duration // when the new pool first received requests; -1: not yet
+	slowGrace       bool          // slowness does not count against it yet, see slowGraceFactor
+	warmingRestarts int
+	newRequests     int // finished requests of the new pool
 }
 
-// ofWorth is what is seen of worth. A request is looked at with the chance of what it
-// is worth beside the dearest, and counts as lost with that of the part of it that is:
-// so what is bad is the part that is lost of all worth, and a fault like the others.
-type ofWorth struct {
+// worthEvidence holds the observations of worth. A request is sampled with the ratio of
+// its worth to the highest worth as probability, and counts as lost with the fraction
+// lost as probability: the fault rate is then the lost fraction of the total worth,
+// judged like any other fault.
+type worthEvidence struct {
 	guard judge.Guard
-	track *judge.SequentialTest // nil: off
+	test  *judge.SequentialTest // nil: off
 	block judge.Block
 	rand  *rand.Rand
 }
 
-func newJudges(now time.Duration, c *Config) *judges {
-	j := &judges{guards: c.Guards, warming: c.Warming, met: -1, patient: c.Warming > 0}
-	dearest := 0.0
+func newAssessor(now time.Duration, c *Config) *assessor {
+	a := &assessor{guards: c.Guards, warming: c.Warming, firstNewAt: -1, slowGrace: c.Warming > 0}
+	maxWorth := 0.0
 	for _, w := range c.Worth {
-		dearest = max(dearest, w.InTime)
+		maxWorth = max(maxWorth, w.InTime)
 	}
 	for _, w := range c.Worth {
-		if dearest > 0 && dearest < math.Inf(1) {
-			w = ClassWorth{max(w.InTime/dearest, 0), max(w.Late/dearest, 0)}
+		if maxWorth > 0 && maxWorth < math.Inf(1) {
+			w = ClassWorth{max(w.InTime/maxWorth, 0), max(w.Late/maxWorth, 0)}
 		}
-		j.worths = append(j.worths, w)
+		a.worths = append(a.worths, w)
 	}
-	j.all = ofWorth{guard: c.WorthGuard, rand: rand.New(rand.NewPCG(Salt(c.Name), uint64(now)))}
-	j.forget(now)
-	return j
+	a.worth = worthEvidence{guard: c.WorthGuard, rand: rand.New(rand.NewPCG(Salt(c.Name), uint64(now)))}
+	a.reset(now)
+	return a
 }
 
-// forget begins with nothing seen; what is left out stays so.
-func (j *judges) forget(now time.Duration) {
-	j.classes = make([]ofClass, len(j.guards))
-	for i := range j.classes {
-		c := &j.classes[i]
-		c.pace = judge.NewLatencyComparison(max(j.guards[i][Slow].Margin, 1))
-		for k, g := range j.guards[i] {
+// reset discards all observations, except for the excluded endpoints.
+func (a *assessor) reset(now time.Duration) {
+	a.classes = make([]classEvidence, len(a.guards))
+	for i := range a.classes {
+		c := &a.classes[i]
+		c.latency = judge.NewLatencyComparison(max(a.guards[i][Slow].Margin, 1))
+		for k, g := range a.guards[i] {
 			if g.Margin > 0 {
 				if FaultKind(k) == Slow {
-					g.Margin = 1 // the pace has it
+					g.Margin = 1 // the latency comparison applies the margin
 				}
-				c.tracks[k] = judge.NewSequentialTest(g)
+				c.tests[k] = judge.NewSequentialTest(g)
 			}
 		}
 	}
-	if j.all.track = nil; j.all.guard.Margin > 0 && len(j.worths) > 0 {
-		j.all.track = judge.NewSequentialTest(j.all.guard)
+	if a.worth.test = nil; a.worth.guard.Margin > 0 && len(a.worths) > 0 {
+		a.worth.test = judge.NewSequentialTest(a.worth.guard)
 	}
-	j.all.block, j.since = judge.Block{}, now
-	j.began, j.oldGone, j.bad = now, false, map[uint32]float64{}
-	if j.left == nil {
-		j.left = map[uint32]bool{}
+	a.worth.block, a.since = judge.Block{}, now
+	a.blockStart, a.oldUnused, a.faults = now, false, map[uint32]float64{}
+	if a.excluded == nil {
+		a.excluded = map[uint32]bool{}
 	}
 }
 
-// level is the evidence at which the new pool is blamed.
-func (j *judges) level() float64 {
-	tests := one(j.all.track != nil)
-	for _, c := range j.classes {
-		for _, t := range c.tracks {
+// threshold is the evidence at which the new pool is judged worse.
+func (a *assessor) threshold() float64 {
+	tests := boolToInt(a.worth.test != nil)
+	for _, c := range a.classes {
+		for _, t := range c.tests {
 			if t != nil {
 				tests++
 			}
 		}
 	}
-	return 2 * float64(max(tests, 1)) / falseAlarm // twice, for those that begin anew
+	return 2 * float64(max(tests, 1)) / falseAlarmRate // doubled for tests that restart
 }
 
-// see takes in an attempt.
-func (j *judges) see(s *AttemptResult) {
-	if s.Class < 0 || s.Class >= len(j.classes) || s.New && j.left[s.Endpoint] {
+// observe records an attempt.
+func (a *assessor) observe(r *AttemptResult) {
+	if r.Class < 0 || r.Class >= len(a.classes) || r.New && a.excluded[r.Endpoint] {
 		return
 	}
-	c := &j.classes[s.Class]
-	if s.New {
-		j.ended++
-		if s.Failed || s.Declined || s.Late && !s.Cold {
-			j.blame(s.Endpoint)
+	c := &a.classes[r.Class]
+	if r.New {
+		a.newRequests++
+		if r.Failed || r.Declined || r.Late && !r.Cold {
+			a.countFault(r.Endpoint)
 		}
 	}
-	j.lose(s)
-	c.count(Failed, s.New, s.Failed)
-	c.count(Declined, s.New, s.Declined)
-	if s.New && s.Cold {
+	a.observeWorth(r)
+	c.count(Failed, r.New, r.Failed)
+	c.count(Declined, r.New, r.Declined)
+	if r.New && r.Cold {
 		return
 	}
-	if !s.Declined {
-		c.count(Late, s.New, s.Late)
+	if !r.Declined {
+		c.count(Late, r.New, r.Late)
 	}
-	if s.Took > 0 {
-		c.timed(s)
+	if r.Took > 0 {
+		c.observeLatency(r)
 	}
 }
 
-// lose takes in what an attempt lost of what its request was worth. Of an endpoint
-// that is cold, that it is late loses nothing.
-func (j *judges) lose(s *AttemptResult) {
-	if j.all.track == nil || s.Class >= len(j.worths) {
+// observeWorth records the lost worth of an attempt. Lateness of a cold endpoint costs
+// nothing.
+func (a *assessor) observeWorth(r *AttemptResult) {
+	if a.worth.test == nil || r.Class >= len(a.worths) {
 		return
 	}
-	w, lost := j.worths[s.Class], 0.0
-	if j.all.rand.Float64() >= w.InTime {
+	w, lost := a.worths[r.Class], 0.0
+	if a.worth.rand.Float64() >= w.InTime {
 		return
 	}
 	switch {
-	case s.Failed || s.Declined:
+	case r.Failed || r.Declined:
 		lost = 1
-	case s.Late && !(s.New && s.Cold):
+	case r.Late && !(r.New && r.Cold):
 		lost = 1 - w.Late/w.InTime
 	}
-	j.all.block.Count(s.New, j.all.rand.Float64() < lost)
-	if b := &j.all.block; b.New == judge.MaxBlock || b.Old == judge.MaxBlock {
-		j.all.cut()
+	a.worth.block.Count(r.New, a.worth.rand.Float64() < lost)
+	if b := &a.worth.block; b.New == judge.MaxBlock || b.Old == judge.MaxBlock {
+		a.worth.closeBlock()
 	}
 }
 
-func (w *ofWorth) cut() {
-	if w.track != nil && w.block != (judge.Block{}) {
-		w.track.Add(w.block)
+func (w *worthEvidence) closeBlock() {
+	if w.test != nil && w.block != (judge.Block{}) {
+		w.test.Add(w.block)
 	}
 	w.block = judge.Block{}
 }
 
-// one is 1 for true, 0 for false.
-func one(is bool) int {
-	if is {
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// blame notes a fault of an endpoint of the new pool. Of more than mostBlamed, which
-// are as many as a list may have, those that came first are known: no one of so many
-// has most of what is bad.
-func (j *judges) blame(endpoint uint32) {
-	if _, known := j.bad[endpoint]; known || len(j.bad) < mostBlamed {
-		j.bad[endpoint]++
+// countFault counts a fault of an endpoint of the new pool. Beyond maxFaultyEndpoints,
+// which is as many as a list may have, only those seen first are tracked: with so many,
+// no single one has most of the faults.
+func (a *assessor) countFault(endpoint uint32) {
+	if _, known := a.faults[endpoint]; known || len(a.faults) < maxFaultyEndpoints {
+		a.faults[endpoint]++
 	}
 }
 
-func (c *ofClass) count(k FaultKind, isNew, bad bool) {
-	b := &c.block[k]
+func (c *classEvidence) count(k FaultKind, isNew, bad bool) {
+	b := &c.blocks[k]
 	if b.Count(isNew, bad); b.New == judge.MaxBlock || b.Old == judge.MaxBlock {
-		c.cut(k)
+		c.closeBlock(k)
 	}
 }
 
-func (c *ofClass) timed(s *AttemptResult) {
-	if !s.New {
-		c.pace.AddOld(s.Took)
+func (c *classEvidence) observeLatency(r *AttemptResult) {
+	if !r.New {
+		c.latency.AddOld(r.Took)
 		return
 	}
-	c.pace.AddNew(s.Took)
-	if m := c.pace.Median(); m > 0 {
-		l := math.Log(s.Took.Seconds() / m.Seconds())
-		c.n++
-		c.fast += (l - c.fast) / min(c.n, fastMemory)
-		c.slow += (l - c.slow) / min(c.n, slowMemory)
+	c.latency.AddNew(r.Took)
+	if m := c.latency.Median(); m > 0 {
+		l := math.Log(r.Took.Seconds() / m.Seconds())
+		c.samples++
+		c.shortTerm += (l - c.shortTerm) / min(c.samples, shortTermWindow)
+		c.longTerm += (l - c.longTerm) / min(c.samples, longTermWindow)
 	}
 }
 
-func (c *ofClass) cut(k FaultKind) {
-	b := c.block[k]
-	if c.block[k] = (judge.Block{}); k == Slow {
-		b = c.pace.TakeBlock()
+func (c *classEvidence) closeBlock(k FaultKind) {
+	b := c.blocks[k]
+	if c.blocks[k] = (judge.Block{}); k == Slow {
+		b = c.latency.TakeBlock()
 	}
-	if c.tracks[k] != nil && b.New+b.Old > 0 {
-		c.tracks[k].Add(b)
+	if c.tests[k] != nil && b.New+b.Old > 0 {
+		c.tests[k].Add(b)
 	}
 }
 
-// told takes in what others have seen of the two pools over the same seconds. It
-// counts as what is seen here; whose endpoint it was is not known.
-func (j *judges) told(class int, k FaultKind, b judge.Block) error {
-	if class < 0 || class >= len(j.classes) || k >= NumFaultKinds || j.classes[class].tracks[k] == nil {
-		return errNotJudged
+// addEvidence adds a block observed by others over the same seconds. It counts like local
+// observations, except that the endpoint is unknown.
+func (a *assessor) addEvidence(class int, k FaultKind, b judge.Block) error {
+	if class < 0 || class >= len(a.classes) || k >= NumFaultKinds || a.classes[class].tests[k] == nil {
+		return errNoSuchEvidence
 	}
-	if !j.classes[class].tracks[k].Add(b) {
-		return fmt.Errorf("requests of a pool, at most %d, and not more of them bad are expected", judge.MaxBlock)
+	if !a.classes[class].tests[k].Add(b) {
+		return fmt.Errorf("invalid block: expected 0 to %d requests for each pool and no more faults than requests", judge.MaxBlock)
 	}
 	if k == Failed {
-		j.ended += b.New
+		a.newRequests += b.New
 	}
 	return nil
 }
 
-// tick ends the block if it is time to.
-func (j *judges) tick(now time.Duration) {
-	age := now - j.began
+// closeBlocks ends the current block if it is due.
+func (a *assessor) closeBlocks(now time.Duration) {
+	age := now - a.blockStart
 	if age < time.Second {
 		return
 	}
 	sum := judge.Block{}
-	for i := range j.classes {
-		b := j.classes[i].block[Failed]
+	for i := range a.classes {
+		b := a.classes[i].blocks[Failed]
 		sum.New, sum.Old = sum.New+b.New, sum.Old+b.Old
 	}
 	isNew, isOld := sum.New > 0, sum.Old > 0
-	if !(isNew && isOld) && age < blockTime {
+	if !(isNew && isOld) && age < maxBlockTime {
 		return
 	}
-	if j.oldGone = isNew && !isOld; isNew && j.met < 0 {
-		j.met = j.began
+	if a.oldUnused = isNew && !isOld; isNew && a.firstNewAt < 0 {
+		a.firstNewAt = a.blockStart
 	}
-	j.began = now
+	a.blockStart = now
 	if n := sum.New + sum.Old; n > 0 {
-		j.got += (float64(sum.New)/float64(n) - j.got) * gotStep
+		a.newShare += (float64(sum.New)/float64(n) - a.newShare) * shareSmoothing
 	}
-	j.all.cut()
-	for i := range j.classes {
+	a.worth.closeBlock()
+	for i := range a.classes {
 		for k := range NumFaultKinds {
-			j.classes[i].cut(k)
+			a.classes[i].closeBlock(k)
 		}
 	}
 }
 
-// verdict says what all that was seen means. members is how many endpoints the new
-// pool has, share the part of the requests that it is asked to take.
-func (j *judges) verdict(now time.Duration, names []string, members int) (v Assessment, left uint32, leaves bool) {
-	v = Assessment{Sufficient: true, NewRequests: j.ended}
-	level := j.level()
-	if j.patient && j.met >= 0 && now >= j.met+patienceForSlow*j.warming {
-		j.patient = false
-		for i := range j.classes {
-			j.classes[i].anew(Slow)
+// assess returns the assessment of all observations. members is the number of endpoints
+// of the new pool. If the faults are those of a single endpoint it is excluded, and ok is
+// true.
+func (a *assessor) assess(now time.Duration, names []string, members int) (result Assessment, excluded uint32, ok bool) {
+	result = Assessment{Sufficient: true, NewRequests: a.newRequests}
+	threshold := a.threshold()
+	if a.slowGrace && a.firstNewAt >= 0 && now >= a.firstNewAt+slowGraceFactor*a.warming {
+		a.slowGrace = false
+		for i := range a.classes {
+			a.classes[i].restart(Slow)
 		}
 	}
-	for i := range j.classes {
-		c := &j.classes[i]
-		for k, t := range c.tracks {
+	for i := range a.classes {
+		c := &a.classes[i]
+		for k, t := range c.tests {
 			if t == nil {
 				continue
 			}
-			j.weigh(&v, c, t, FaultKind(k), name(names, i), level, now)
+			a.assessFault(&result, c, t, FaultKind(k), className(names, i), threshold, now)
 		}
 	}
-	if t := j.all.track; t != nil {
-		j.weigh(&v, nil, t, Worth, allClasses, level, now)
+	if t := a.worth.test; t != nil {
+		a.assessFault(&result, nil, t, Worth, allClasses, threshold, now)
 	}
-	if v.Regression == "" {
-		return v, 0, false
+	if result.Regression == "" {
+		return result, 0, false
 	}
-	if id, ok := j.ownFault(members); ok {
-		j.left[id] = true
-		j.forget(now)
-		return Assessment{Missing: "what is seen without an endpoint that fails by itself", NewRequests: j.ended}, id, true
+	if id, ok := a.singleFault(members); ok {
+		a.excluded[id] = true
+		a.reset(now)
+		return Assessment{Missing: "new evidence after excluding a faulty endpoint", NewRequests: a.newRequests}, id, true
 	}
-	return v, 0, false
+	return result, 0, false
 }
 
-func name(names []string, i int) string {
+func className(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
 	}
 	return itoa(i)
 }
 
-// weigh takes one kind of fault of one class into a verdict.
-func (j *judges) weigh(v *Assessment, c *ofClass, t *judge.SequentialTest, k FaultKind, class string, level float64, now time.Duration) {
-	against, common := t.WorseEvidence(), t.CommonEvidence()
-	if j.oldGone {
-		against = t.WorseThanBound()
+// assessFault adds one fault kind of one class to an assessment.
+func (a *assessor) assessFault(result *Assessment, c *classEvidence, t *judge.SequentialTest, k FaultKind, class string, threshold float64, now time.Duration) {
+	worse, common := t.WorseEvidence(), t.CommonEvidence()
+	if a.oldUnused {
+		worse = t.WorseThanBound()
 	}
 	isNew, old := t.Rates()
 	total := t.Total()
-	what := fmt.Sprintf("%s: %.2f%% %s of %d, beside %.2f%% of %d", class, 100*isNew, k, total.New, 100*old, total.Old)
+	rates := fmt.Sprintf("%s: %.2f%% %s of %d, compared with %.2f%% of %d", class, 100*isNew, k, total.New, 100*old, total.Old)
 	switch {
-	case against >= level && k == Slow && j.patient:
-		v.Sufficient, v.Missing = false, class+": the new pool is slow, and may be warming up"
-	case against >= level && k == Slow && j.faster(c):
-		// It is not to be blamed for what is passing: it is looked at anew.
-		j.warms++
-		c.anew(Slow)
-		v.Sufficient, v.Missing = false, class+": the new pool is slow and getting faster"
-	case against >= level && v.Regression == "":
-		v.Regression = fmt.Sprintf("%s, evidence %.3g of %.3g", what, against, level)
-	case common >= level:
-		v.CommonFault = "both pools: " + what
-	}
-	if k == Slow && j.oldGone {
-		return // there is nothing to compare with
-	}
-	if total.New+total.Old > 0 && t.FineEvidence() < enough {
-		v.Sufficient = false
-		rate := float64(total.New) / max((now-j.since).Seconds(), 1)
-		v.Missing = cmp.Or(v.Missing, fmt.Sprintf("%s: %d more requests to tell that not too many are %s, %s", class, t.RequestsNeeded(enough), k, within(t.TimeNeeded(enough, rate))))
+	case worse >= threshold && k == Slow && a.slowGrace:
+		result.Sufficient, result.Missing = false, class+": the new pool is slow, and may be warming up"
+	case worse >= threshold && k == Slow && a.speedingUp(c):
+		// The slowness is temporary: judge it anew.
+		a.warmingRestarts++
+		c.restart(Slow)
+		result.Sufficient, result.Missing = false, class+": the new pool is slow and getting faster"
+	case worse >= threshold && result.Regression == "":
+		result.Regression = fmt.Sprintf("%s, evidence %.3g of %.3g", rates, worse, threshold)
+	case common >= threshold:
+		result.CommonFault = "both pools: " + rates
+	}
+	if k == Slow && a.oldUnused {
+		return // there is no old pool to compare with
+	}
+	if total.New+total.Old > 0 && t.FineEvidence() < sufficientEvidence {
+		result.Sufficient = false
+		rate := float64(total.New) / max((now-a.since).Seconds(), 1)
+		result.Missing = cmp.Or(result.Missing, fmt.Sprintf("%s: %d more requests to rule out too many %s, %s", class, t.RequestsNeeded(sufficientEvidence), k, formatWait(t.TimeNeeded(sufficientEvidence, rate))))
 	}
 }
 
-// anew forgets what was seen of one kind of fault.
-func (c *ofClass) anew(k FaultKind) {
-	if c.tracks[k] != nil {
-		c.tracks[k] = judge.NewSequentialTest(judge.Guard{Margin: 1})
+// restart discards the observations of one fault kind.
+func (c *classEvidence) restart(k FaultKind) {
+	if c.tests[k] != nil {
+		c.tests[k] = judge.NewSequentialTest(judge.Guard{Margin: 1})
 	}
 }
 
-// within is about how long something takes.
-func within(d time.Duration) string {
+// formatWait formats an approximate duration.
+func formatWait(d time.Duration) string {
 	if d > 30*24*time.Hour {
-		return "which takes too long at this rate"
+		return "which takes too long at the current rate"
 	}
 	return "about " + d.Round(time.Second).String()
 }
 
-// faster reports whether the new pool's answers have come sooner of late.
-func (j *judges) faster(c *ofClass) bool {
-	return j.warms < mostWarms && c.n > fastMemory && c.fast < c.slow-improving
+// speedingUp reports whether the latency of the new pool has improved recently.
+func (a *assessor) speedingUp(c *classEvidence) bool {
+	return a.warmingRestarts < maxWarmingRestarts && c.samples > shortTermWindow && c.shortTerm < c.longTerm-improvementMargin
 }
 
-// ownFault finds the one endpoint that has most of all that was bad.
-func (j *judges) ownFault(members int) (id uint32, ok bool) {
+// singleFault returns the endpoint that has most of the faults, if one does.
+func (a *assessor) singleFault(members int) (id uint32, ok bool) {
 	sum, worst := 0.0, 0.0
-	for e, n := range j.bad {
+	for e, n := range a.faults {
 		if sum += n; n > worst || n == worst && e < id {
 			id, worst = e, n
 		}
 	}
-	return id, worst >= 2 && worst > onesOwn*sum && (len(j.left)+1)*mostLeft <= members
+	return id, worst >= 2 && worst > ownFaultFraction*sum && (len(a.excluded)+1)*membersPerExcluded <= members
 }
 
-// Evidence is a row of what an operator is shown.
+// Evidence is one row of the evidence shown to operators.
 type Evidence struct {
 	Class         string
 	Kind          FaultKind
-	New, Old      float64 // parts that were bad
-	Judged        [2]int  // requests judged, of the new pool and the other
-	Bad           [2]int  // and those of them that were bad
-	WorseEvidence float64 // 1: as good as nothing
-	Threshold     float64 // at which the new pool is blamed
+	New, Old      float64 // fault rates
+	Judged        [2]int  // judged requests of the new and the old pool
+	Bad           [2]int  // faults among them
+	WorseEvidence float64 // 1: none
+	Threshold     float64 // value of WorseEvidence at which the new pool is judged worse
 	FineEvidence  float64
-	Needed        int // requests of the new pool until enough is known
+	Needed        int // requests of the new pool until the evidence suffices
 }
 
-// evidence is all that is weighed, of what something was seen of.
-func (j *judges) evidence(names []string) (rows []Evidence) {
-	level := j.level()
+// evidence returns the rows of all tests with observations.
+func (a *assessor) evidence(names []string) (rows []Evidence) {
+	threshold := a.threshold()
 	row := func(class string, k FaultKind, t *judge.SequentialTest) {
 		if t == nil || t.Total() == (judge.Block{}) {
 			return
 		}
 		sum := t.Total()
-		e := Evidence{Class: class, Kind: k, WorseEvidence: t.WorseEvidence(), Threshold: level, FineEvidence: t.FineEvidence(), Needed: t.RequestsNeeded(enough)}
-		if j.oldGone {
+		e := Evidence{Class: class, Kind: k, WorseEvidence: t.WorseEvidence(), Threshold: threshold, FineEvidence: t.FineEvidence(), Needed: t.RequestsNeeded(sufficientEvidence)}
+		if a.oldUnused {
 			e.WorseEvidence = t.WorseThanBound()
 		}
 		e.New, e.Old = t.Rates()
 		e.Judged, e.Bad = [2]int{sum.New, sum.Old}, [2]int{sum.NewBad, sum.OldBad}
 		rows = append(rows, e)
 	}
-	for i := range j.classes {
-		for k, t := range j.classes[i].tracks {
-			row(name(names, i), FaultKind(k), t)
+	for i := range a.classes {
+		for k, t := range a.classes[i].tests {
+			row(className(names, i), FaultKind(k), t)
 		}
 	}
 	slices.SortStableFunc(rows, func(a, b Evidence) int { return cmp.Compare(a.Class, b.Class) })
-	row(allClasses, Worth, j.all.track)
+	row(allClasses, Worth, a.worth.test)
 	return rows
 }
 
-// TimeToEvidence is how long it takes to see enough of a guard at a rate of requests to
-// the new pool, all of them good; 0 where it is off.
+// TimeToEvidence is the time until the evidence for a guard suffices at a rate of
+// requests to the new pool, if none is faulty; 0 if the guard is off.
 func TimeToEvidence(g judge.Guard, k FaultKind, rate float64) time.Duration {
 	if g.Margin <= 0 {
 		return 0
@@ -477,5 +479,5 @@
 	if k == Slow {
 		g = judge.Guard{Margin: 1}
 	}
-	return judge.NewSequentialTest(g).TimeNeeded(enough, rate)
+	return judge.NewSequentialTest(g).TimeNeeded(sufficientEvidence, rate)
 }
--- a/internal/moves/bench_test.go
+++ b/internal/moves/bench_test.go
@@ -14,7 +14,7 @@
 
 func BenchmarkSplit(b *testing.B) {
 	m := New(0, testConfig())
-	m.course.Share = 0.25
+	m.progress.Share = 0.25
 	pools := Pools{To: 1}
 	hash := uint64(1)
 	b.ReportAllocs()
@@ -23,23 +23,23 @@
 		if m.RoutesToNew(hash) {
 			mask |= 1
 		}
-		hash = hash*6364136223846793005 + uint64(one(mask.Allows(pools))) // each waits for the one before
+		hash = hash*6364136223846793005 + uint64(boolToInt(mask.Allows(pools))) // depends on the previous iteration
 	}
 	if hash == 0 {
 		b.Log(hash)
 	}
 }
 
-func BenchmarkSee(b *testing.B) {
+func BenchmarkObserve(b *testing.B) {
 	m := New(0, testConfig())
-	m.course.Phase = Moving
+	m.progress.Phase = Moving
 	b.ReportAllocs()
 	for i := range b.N {
 		m.Observe(&AttemptResult{Class: i % 2, New: i%20 == 0, Endpoint: uint32(i % 5), Took: time.Duration(i%1000) * time.Microsecond})
 	}
 }
 
-// What is taken into a block is one pool's at a time, and cut where it is long.
+// Measures a block of typical size.
 func BenchmarkBlock(b *testing.B) {
 	tr := judge.NewSequentialTest(judge.Guard{Bound: 0.005, Margin: 1.5})
 	b.ReportAllocs()
--- a/internal/moves/judge/evidence.go
+++ b/internal/moves/judge/evidence.go
@@ -1,129 +1,128 @@
-// Package judge weighs what was seen of two pools side by side: whether one of
-// them fails its clients more often than the other, by how much more than is
-// allowed, and whether enough has been seen to say that it does not.
+// Package judge compares the observations of two pools: whether one fails its clients
+// more often than the other by more than allowed, and whether there is enough evidence
+// that it does not.
 //
-// All evidence here is an e-process: a number that starts at 1 and whose mean,
-// where what it speaks against is true, is at most 1 at whatever instant one
-// looks. So the chance that it ever reaches 1/a is at most a, however often it
-// is looked at and whenever one stops (Ville 1939; Ramdas, Grünwald, Vovk and
-// Shafer 2023). docs/design/moves.md tells which other ways were weighed.
+// All evidence here is an e-process: a number that starts at 1 and whose mean, if the
+// null hypothesis is true, is at most 1 at any stopping time. So the probability that it
+// ever reaches 1/a is at most a, however often it is checked and whenever one stops
+// (Ville 1939; Ramdas, Grünwald, Vovk and Shafer 2023). docs/design/moves.md lists the
+// alternatives that were considered.
 package judge
 
 import "math"
 
 const (
-	// startNow is the part of the weight of a fault that is there from the first
-	// block on; the rest is for those that come later, the sooner the more.
-	startNow = 0.5
-	// startScale is how many blocks pass until a start weighs a quarter of the first.
+	// immediateWeight is the weight of a fault present from the first block on; the rest
+	// is spread over later starts, decreasing with time.
+	immediateWeight = 0.5
+	// startScale is the number of blocks after which the weight of a start is a quarter
+	// of the first.
 	startScale = 60
-	// most bounds evidence: beyond it nothing is decided otherwise.
-	most = 1e30
+	// maxEvidence bounds evidence: higher values change no decision.
+	maxEvidence = 1e30
 )
 
-// evidence is an e-process over several alternatives and times at which what is
-// looked for may begin. One that begins late is found nearly as soon as if it had
-// been looked for from then on only: products over all blocks would carry the
-// quiet time before it along.
+// evidence is an e-process over several alternatives and start times of the fault. A
+// fault that starts late is detected nearly as soon as if monitoring had started then: a
+// plain product over all blocks would also include the quiet time before it.
 type evidence struct {
-	of     []float64 // by alternative
+	values []float64 // value for each alternative
 	blocks float64
 }
 
-func newEvidence(alternatives int) evidence { return evidence{of: make([]float64, alternatives)} }
+func newEvidence(alternatives int) evidence { return evidence{values: make([]float64, alternatives)} }
 
-// startWeight is what is put on a start at block t; the sum over all t is 1.
+// startWeight is the weight of a start at block t; the sum over all t is 1.
 func startWeight(t float64) float64 {
-	w := (1 - startNow) * startScale / ((startScale + t) * (startScale + t + 1))
+	w := (1 - immediateWeight) * startScale / ((startScale + t) * (startScale + t + 1))
 	if t == 0 {
-		w += startNow
+		w += immediateWeight
 	}
 	return w
 }
 
-// add takes a block in. ratio is its likelihood ratio by alternative.
+// add adds a block. ratio returns its likelihood ratio for an alternative.
 func (e *evidence) add(ratio func(i int) float64) {
 	w := startWeight(e.blocks)
 	e.blocks++
-	for i := range e.of {
-		e.of[i] = min((e.of[i]+w)*ratio(i), most)
+	for i := range e.values {
+		e.values[i] = min((e.values[i]+w)*ratio(i), maxEvidence)
 	}
 }
 
-// value is the evidence so far.
+// value returns the current evidence.
 func (e *evidence) value() float64 {
 	sum := 0.0
-	for _, x := range e.of {
+	for _, x := range e.values {
 		sum += x
 	}
-	return sum / float64(len(e.of))
+	return sum / float64(len(e.values))
 }
 
-// Block is what was seen of both pools over the same seconds: requests that
-// ended, and those of them that count against their pool.
+// Block counts finished requests, and the faults among them, of both pools over the same
+// seconds.
 type Block struct{ New, NewBad, Old, OldBad int }
 
-// Count takes in a request of one of the pools.
+// Count adds a request of one of the pools.
 func (b *Block) Count(isNew, bad bool) {
-	n, of := &b.Old, &b.OldBad
+	n, faults := &b.Old, &b.OldBad
 	if isNew {
-		n, of = &b.New, &b.NewBad
+		n, faults = &b.New, &b.NewBad
 	}
 	*n++
 	if bad {
-		*of++
+		*faults++
 	}
 }
 
-// MaxBlock bounds the requests of one pool in a block: a longer one is to be cut
-// in parts. The work of taking a block in grows with the requests that were bad.
+// MaxBlock bounds the requests of one pool in a block: a longer one has to be split. The
+// cost of adding a block grows with its number of faults.
 const MaxBlock = 1 << 14
 
-func (b *Block) sound() bool {
+func (b *Block) valid() bool {
 	return b.NewBad >= 0 && b.NewBad <= b.New && b.New <= MaxBlock && b.OldBad >= 0 && b.OldBad <= b.Old && b.Old <= MaxBlock
 }
 
-// conditional is the law of NewBad in a block given the two totals and how many
-// were bad in all: Fisher's noncentral hypergeometric law. It depends on the odds
-// ratio of the pools and on nothing else: what is common to both, such as a surge
-// or a fault of something that they share, cancels out, whenever it comes.
-type conditional struct {
-	lo  int
-	log []float64 // of the weights at odds ratio 1, from lo on, up to a factor
+// hypergeometric is the distribution of NewBad in a block given the totals of both pools
+// and the total of faults: Fisher's noncentral hypergeometric distribution. It depends
+// only on the odds ratio of the pools: anything common to both, such as a surge or a
+// fault of a shared dependency, cancels out at any time.
+type hypergeometric struct {
+	minBad     int
+	logWeights []float64 // log weights at odds ratio 1, from minBad on, up to a constant factor
 }
 
-func (c *conditional) of(b *Block) {
+func (c *hypergeometric) compute(b *Block) {
 	bad := b.NewBad + b.OldBad
-	c.lo = max(0, bad-b.Old)
+	c.minBad = max(0, bad-b.Old)
 	hi := min(bad, b.New)
-	c.log = append(c.log[:0], 0)
-	for k := c.lo; k < hi; k++ {
+	c.logWeights = append(c.logWeights[:0], 0)
+	for k := c.minBad; k < hi; k++ {
 		up := float64(b.New-k) * float64(bad-k)
 		down := float64(k+1) * float64(b.Old-bad+k+1)
-		c.log = append(c.log, c.log[len(c.log)-1]+math.Log(up/down))
+		c.logWeights = append(c.logWeights, c.logWeights[len(c.logWeights)-1]+math.Log(up/down))
 	}
 }
 
-// certain reports whether the totals leave nothing open: the block tells nothing.
-func (c *conditional) certain() bool { return len(c.log) == 1 }
+// degenerate reports whether only one outcome is possible: the block carries no
+// information.
+func (c *hypergeometric) degenerate() bool { return len(c.logWeights) == 1 }
 
-// logChance is the logarithm of the chance of k at an odds ratio whose logarithm
-// is given.
-func (c *conditional) logChance(k int, logOdds float64) float64 {
+// logProb is the log probability of k at the given log odds ratio.
+func (c *hypergeometric) logProb(k int, logOdds float64) float64 {
 	top := math.Inf(-1)
-	for i, l := range c.log {
+	for i, l := range c.logWeights {
 		top = max(top, l+float64(i)*logOdds)
 	}
 	sum := 0.0
-	for i, l := range c.log {
+	for i, l := range c.logWeights {
 		sum += math.Exp(l + float64(i)*logOdds - top)
 	}
-	i := k - c.lo
-	return c.log[i] + float64(i)*logOdds - top - math.Log(sum)
+	i := k - c.minBad
+	return c.logWeights[i] + float64(i)*logOdds - top - math.Log(sum)
 }
 
-// bernoulli is the logarithm of the likelihood ratio of rate p over rate q for
-// bad out of n.
-func bernoulli(n, bad int, p, q float64) float64 {
+// logLikelihoodRatio is that of rate p over rate q for bad out of n.
+func logLikelihoodRatio(n, bad int, p, q float64) float64 {
 	return float64(bad)*math.Log(p/q) + float64(n-bad)*math.Log((1-p)/(1-q))
 }
--- a/internal/moves/judge/latency.go
+++ b/internal/moves/judge/latency.go
@@ -5,82 +5,83 @@
 	"time"
 )
 
-// LatencyComparison makes faults of answers that are slow: those that take longer than half of
-// the pool that is left do, which is followed as it changes. The new pool's times
-// count divided by the margin: if it takes at most that many times as long, in
-// law, it has no more of them than the other, whatever the law is.
+// LatencyComparison turns latencies into faults: an answer is faulty if it is slower than
+// the median of the old pool, which is tracked over time. Latencies of the new pool are
+// divided by the margin first: if its distribution is at most that many times slower, it
+// has no more such faults than the old pool, whatever the distribution.
 //
-// It is wrong where the two pools are given different work: the classes of a move
-// are judged one by one for that.
+// This does not hold if the two pools get different work, so the classes of a move are
+// judged one by one.
 type LatencyComparison struct {
-	margin float64
-	log    float64 // of the followed median, in seconds
-	known  int     // answers that it goes by
-	now    Block   // what there is of the block
-	// The block is counted by the median as it was when the block began: one that
-	// the block itself had moved would tell of itself.
+	margin    float64
+	logMedian float64 // log of the tracked median, in seconds
+	samples   int     // latencies seen of the old pool
+	block     Block   // current block
+	// median is the tracked median at the start of the block: one that the block itself
+	// has shifted would be biased by it.
 	median float64
 }
 
 const (
-	// paceMemory is how many answers the median looks back over.
-	paceMemory = 200.0
-	// paceKnown is how many it needs before anything is judged by it.
-	paceKnown = 20
+	// medianWindow is the number of answers that the median reflects.
+	medianWindow = 200.0
+	// minSamples is the number of answers that the median needs before latencies are
+	// judged.
+	minSamples = 20
 )
 
-// NewLatencyComparison allows the new pool so many times the other's times, at least 1.
+// NewLatencyComparison allows the new pool margin times the latency of the old one, at
+// least 1.
 func NewLatencyComparison(margin float64) *LatencyComparison {
 	return &LatencyComparison{margin: max(margin, 1)}
 }
 
-// AddOld takes in an answer time of the pool that is left.
+// AddOld adds a latency of the old pool.
 func (p *LatencyComparison) AddOld(took time.Duration) {
 	s := max(took.Seconds(), 1e-6)
-	if p.now.Old < MaxBlock {
-		p.now.Old++
+	if p.block.Old < MaxBlock {
+		p.block.Old++
 		if p.median > 0 && s > p.median {
-			p.now.OldBad++
+			p.block.OldBad++
 		}
 	}
-	p.known++
+	p.samples++
 	l := math.Log(s)
-	if p.known == 1 {
-		p.log = l
+	if p.samples == 1 {
+		p.logMedian = l
 		return
 	}
-	step := 1 / min(float64(p.known), paceMemory) // a median is followed by signs
-	if l > p.log {
-		p.log += step
+	step := 1 / min(float64(p.samples), medianWindow) // a sign-based update tracks the median
+	if l > p.logMedian {
+		p.logMedian += step
 	} else {
-		p.log -= step
+		p.logMedian -= step
 	}
 }
 
-// AddNew takes in one of the new pool.
+// AddNew adds a latency of the new pool.
 func (p *LatencyComparison) AddNew(took time.Duration) {
-	if p.now.New < MaxBlock {
-		p.now.New++
+	if p.block.New < MaxBlock {
+		p.block.New++
 		if p.median > 0 && took.Seconds()/p.margin > p.median {
-			p.now.NewBad++
+			p.block.NewBad++
 		}
 	}
 }
 
-// TakeBlock ends the block and returns it; an empty one while too little is known.
+// TakeBlock ends the block and returns it; it is empty until the median is known.
 func (p *LatencyComparison) TakeBlock() (b Block) {
 	if p.median > 0 {
-		b = p.now
+		b = p.block
 	}
-	p.now = Block{}
-	if p.known >= paceKnown {
-		p.median = math.Exp(p.log)
+	p.block = Block{}
+	if p.samples >= minSamples {
+		p.median = math.Exp(p.logMedian)
 	}
 	return b
 }
 
-// Median is the time that half of the answers of the pool that is left take; 0
-// while too little is known.
+// Median is the median latency of the old pool; 0 until it is known.
 func (p *LatencyComparison) Median() time.Duration {
 	return time.Duration(p.median * float64(time.Second))
 }
--- a/internal/moves/judge/sequential.go
+++ b/internal/moves/judge/sequential.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// Guard is what is allowed of one kind of fault.
+// Guard limits one fault kind.
 type Guard struct {
-	// Bound is the part of the requests up to which a fault blames nobody, in (0, 1);
-	// 0: there is none, and the pools are only compared.
+	// Bound is the fault rate, in (0, 1), up to which no pool is judged worse; 0: no
+	// bound, the pools are only compared.
 	Bound float64
-	// Margin is how many times the odds of the pool that is left are allowed, at
-	// least 1.
+	// Margin is the allowed ratio of the odds of a fault in the new pool to those in the
+	// old one, at least 1.
 	Margin float64
 }
 
-// How much worse than allowed a fault has to be to be looked for: these times the
-// bound, or the margin. What is between is found too, later. Faults that are only
-// compared, such as slow answers, are as frequent as not: their odds differ less.
+// The alternatives that are tested: multiples of the bound, or of the margin. Values in
+// between are detected too, but later. Faults that are only compared, such as slow
+// answers, have rates of about a half: their odds differ less.
 var (
-	worse    = [...]float64{1.6, 3, 8, 30}
-	worseOdd = [...]float64{1.25, 1.6, 2.5, 6}
+	alternatives     = [...]float64{1.6, 3, 8, 30}
+	oddsAlternatives = [...]float64{1.25, 1.6, 2.5, 6}
 )
 
 const (
-	// excluded is how many times what is allowed has to be ruled out before a pool
-	// is taken to be fine; excludedOdd the same where pools are only compared.
-	excluded    = 4
-	excludedOdd = 1.8
-	// mostRate keeps rates away from 1.
-	mostRate = 0.95
+	// excludedRatio is the multiple of the allowed rate that has to be ruled out before a
+	// pool counts as fine; excludedOddsRatio is the same if pools are only compared.
+	excludedRatio     = 4
+	excludedOddsRatio = 1.8
+	// maxRate keeps rates away from 1.
+	maxRate = 0.95
 )
 
-// SequentialTest is the evidence of one kind of fault in one class, of a whole move. It is
-// for one goroutine.
+// SequentialTest accumulates the evidence on one fault kind in one class over a whole
+// move. It is not safe for concurrent use.
 type SequentialTest struct {
 	guard Guard
 
-	over    evidence // that the new pool is over the bound
-	oldOver evidence // that the one that is left is
-	ratio   evidence // that the new one is over the margin beside the other
-	fine    evidence // that the new one is not far over the bound
-	alike   evidence // that the two are not far apart
+	newOverBound evidence // evidence that the new pool is over the bound
+	oldOverBound evidence // evidence that the old pool is over the bound
+	overMargin   evidence // evidence that the new pool is over the margin
+	nearBound    evidence // evidence that the new pool is not far over the bound
+	nearMargin   evidence // evidence that the pools are not far apart
 
-	law   conditional
-	total Block // of all blocks
+	dist  hypergeometric
+	total Block // sum of all blocks
 }
 
-// NewSequentialTest begins with nothing seen.
+// NewSequentialTest returns a test without observations.
 func NewSequentialTest(g Guard) *SequentialTest {
 	if g.Bound != 0 {
-		g.Bound = min(max(g.Bound, 1e-6), mostRate/2)
+		g.Bound = min(max(g.Bound, 1e-6), maxRate/2)
 	}
 	g.Margin = max(g.Margin, 1)
-	n := len(worse)
-	return &SequentialTest{guard: g, over: newEvidence(n), oldOver: newEvidence(n), ratio: newEvidence(n), fine: newEvidence(n), alike: newEvidence(1)}
+	n := len(alternatives)
+	return &SequentialTest{guard: g, newOverBound: newEvidence(n), oldOverBound: newEvidence(n), overMargin: newEvidence(n), nearBound: newEvidence(n), nearMargin: newEvidence(1)}
 }
 
-// at is a rate that is so many times the bound.
-func (t *SequentialTest) at(times float64) float64 { return min(t.guard.Bound*times, mostRate) }
+// rateAt is the given multiple of the bound.
+func (t *SequentialTest) rateAt(times float64) float64 { return min(t.guard.Bound*times, maxRate) }
 
-// Add takes a block in, and reports whether it did: one that can't be is left out.
+// Add adds a block and reports whether it is valid; an invalid one is ignored.
 func (t *SequentialTest) Add(b Block) bool {
-	if !b.sound() {
+	if !b.valid() {
 		return false
 	}
 	t.total.New += b.New
@@ -77,97 +77,105 @@
 }
 
 func (t *SequentialTest) addBound(b *Block, bound float64) {
-	t.over.add(func(i int) float64 { return math.Exp(bernoulli(b.New, b.NewBad, t.at(worse[i]), bound)) })
-	t.oldOver.add(func(i int) float64 { return math.Exp(bernoulli(b.Old, b.OldBad, t.at(worse[i]), bound)) })
-	t.fine.add(func(i int) float64 {
-		return math.Exp(bernoulli(b.New, b.NewBad, t.at(excluded)/worse[i], t.at(excluded)))
+	t.newOverBound.add(func(i int) float64 {
+		return math.Exp(logLikelihoodRatio(b.New, b.NewBad, t.rateAt(alternatives[i]), bound))
+	})
+	t.oldOverBound.add(func(i int) float64 {
+		return math.Exp(logLikelihoodRatio(b.Old, b.OldBad, t.rateAt(alternatives[i]), bound))
+	})
+	t.nearBound.add(func(i int) float64 {
+		return math.Exp(logLikelihoodRatio(b.New, b.NewBad, t.rateAt(excludedRatio)/alternatives[i], t.rateAt(excludedRatio)))
 	})
 }
 
 func (t *SequentialTest) addConditional(b *Block) {
-	t.law.of(b)
-	if t.law.certain() {
+	t.dist.compute(b)
+	if t.dist.degenerate() {
 		one := func(int) float64 { return 1 }
-		t.ratio.add(one)
-		t.alike.add(one)
+		t.overMargin.add(one)
+		t.nearMargin.add(one)
 		return
 	}
-	odds, apart := &worse, float64(excluded)
+	ratios, farRatio := &alternatives, float64(excludedRatio)
 	if t.guard.Bound == 0 {
-		odds, apart = &worseOdd, excludedOdd
+		ratios, farRatio = &oddsAlternatives, excludedOddsRatio
 	}
-	margin := math.Log(t.guard.Margin)
-	allowed := t.law.logChance(b.NewBad, margin)
-	t.ratio.add(func(i int) float64 {
-		return math.Exp(t.law.logChance(b.NewBad, margin+math.Log(odds[i])) - allowed)
+	logMargin := math.Log(t.guard.Margin)
+	allowed := t.dist.logProb(b.NewBad, logMargin)
+	t.overMargin.add(func(i int) float64 {
+		return math.Exp(t.dist.logProb(b.NewBad, logMargin+math.Log(ratios[i])) - allowed)
 	})
-	far := t.law.logChance(b.NewBad, margin+math.Log(apart))
-	t.alike.add(func(int) float64 { return math.Exp(t.law.logChance(b.NewBad, 0) - far) })
+	far := t.dist.logProb(b.NewBad, logMargin+math.Log(farRatio))
+	t.nearMargin.add(func(int) float64 { return math.Exp(t.dist.logProb(b.NewBad, 0) - far) })
 }
 
-// WorseEvidence is the evidence against: the new pool is within the bound, or within the
-// margin of the other. Either may be so, so it is the lesser of the two.
+// WorseEvidence is the evidence against the hypothesis that the new pool is within the
+// bound or within the margin of the old one. Either makes the hypothesis true, so it is
+// the lesser of the two.
 func (t *SequentialTest) WorseEvidence() float64 {
 	if t.guard.Bound == 0 {
-		return t.ratio.value()
+		return t.overMargin.value()
 	}
-	return min(t.over.value(), t.ratio.value())
+	return min(t.newOverBound.value(), t.overMargin.value())
 }
 
-// WorseThanBound is WorseEvidence where no pool is left to compare with: the bound only. It is 0
-// where the other pool was over the bound itself while it was there, and so may
-// be what the two have in common.
+// WorseThanBound replaces WorseEvidence if there is no old pool to compare with: it tests
+// the bound only. It is 0 if the old pool was over the bound itself, since the fault may
+// then be common to both.
 func (t *SequentialTest) WorseThanBound() float64 {
-	if t.oldOver.value() > 1 {
+	if t.oldOverBound.value() > 1 {
 		return 0
 	}
-	return t.over.value()
+	return t.newOverBound.value()
 }
 
 // CommonEvidence is the evidence that both pools are over the bound.
-func (t *SequentialTest) CommonEvidence() float64 { return min(t.over.value(), t.oldOver.value()) }
+func (t *SequentialTest) CommonEvidence() float64 {
+	return min(t.newOverBound.value(), t.oldOverBound.value())
+}
 
-// FineEvidence is the evidence against: the new pool is at 4 times the bound or more, and
-// at 4 times the margin beside the other (1.8 times where there is no bound).
+// FineEvidence is the evidence against the hypotheses that the new pool is at 4 times the
+// bound or more, and at 4 times the margin (1.8 times if there is no bound).
 func (t *SequentialTest) FineEvidence() float64 {
 	if t.guard.Bound == 0 {
-		return t.alike.value()
+		return t.nearMargin.value()
 	}
-	return (t.fine.value() + t.alike.value()) / 2
+	return (t.nearBound.value() + t.nearMargin.value()) / 2
 }
 
-// Total is all that was seen.
+// Total returns the sum of all blocks.
 func (t *SequentialTest) Total() Block { return t.total }
 
-// Rates are the parts that were bad, in the new pool and in the other.
+// Rates returns the fault rates of the new and the old pool.
 func (t *SequentialTest) Rates() (new, old float64) {
-	part := func(bad, n int) float64 {
+	rate := func(bad, n int) float64 {
 		if n == 0 {
 			return 0
 		}
 		return float64(bad) / float64(n)
 	}
-	return part(t.total.NewBad, t.total.New), part(t.total.OldBad, t.total.Old)
+	return rate(t.total.NewBad, t.total.New), rate(t.total.OldBad, t.total.Old)
 }
 
-// RequestsNeeded is about how many requests of the new pool, without one that is bad,
-// FineEvidence takes to reach a level from where it is.
+// RequestsNeeded is about how many fault-free requests of the new pool FineEvidence needs
+// to reach a level from its current value.
 func (t *SequentialTest) RequestsNeeded(level float64) int {
-	// The best of the alternatives is all but 0, and weighs one in so many.
-	missing := math.Log(level / max(t.FineEvidence(), startNow/2/float64(len(worse))))
+	// Without faults the best alternative is that with a rate of nearly 0, which has one
+	// part in len(alternatives) of the weight.
+	missing := math.Log(level / max(t.FineEvidence(), immediateWeight/2/float64(len(alternatives))))
 	if missing <= 0 {
 		return 0
 	}
-	per := -math.Log1p(-t.at(excluded) * (1 - 1/worse[len(worse)-1]))
-	if t.guard.Bound == 0 { // half of the answers of either are slow
-		p := excludedOdd / (1 + excludedOdd)
-		per = -math.Log(4*p*(1-p)) / 2
+	perRequest := -math.Log1p(-t.rateAt(excludedRatio) * (1 - 1/alternatives[len(alternatives)-1]))
+	if t.guard.Bound == 0 { // half of the answers of both pools are slow
+		p := excludedOddsRatio / (1 + excludedOddsRatio)
+		perRequest = -math.Log(4*p*(1-p)) / 2
 	}
-	return int(math.Ceil(missing / per))
+	return int(math.Ceil(missing / perRequest))
 }
 
-// TimeNeeded is that in time, at so many requests of the new pool a second; 0 or
-// less has no end.
+// TimeNeeded is RequestsNeeded as a duration, at a rate of requests of the new pool per
+// second; it is unbounded at a rate of 0 or less.
 func (t *SequentialTest) TimeNeeded(level, rate float64) time.Duration {
 	n := float64(t.RequestsNeeded(level))
 	if n == 0 {
--- a/internal/moves/moves.go
+++ b/internal/moves/moves.go
@@ -1,11 +1,11 @@
-// Package moves moves the requests of a service from one pool of its endpoints to
-// another, step by step: which of the two a request meets is decided here, and
-// which endpoint of it by the decision module. Each step is judged by what the
-// attempts on the two pools came to side by side; what is worse is undone, what
-// is common to both halts the move, and what is not enough to tell waits.
+// Package moves shifts the requests of a service from one pool of its endpoints to
+// another, step by step: this package selects the pool for a request, and the decision
+// module the endpoint within it. Each step is judged by comparing the attempts on both
+// pools: a regression is undone, a fault of both pools halts the move, and missing
+// evidence makes it wait.
 //
-// It is pure: time and what was seen come in with the calls, shares and events go
-// out. docs/design/moves.md tells why it is as it is.
+// It is pure: time and observations come in with the calls, shares and events go out.
+// docs/design/moves.md has the reasons for the design.
 package moves
 
 import (
@@ -16,95 +16,96 @@
 	"spokegw/internal/moves/judge"
 )
 
-// Config is a move as an operator wants it.
+// Config is the configuration of a move.
 type Config struct {
 	Name     string
 	From, To Selector
 	Plan
 	Guards []Guards // by class of the service
 	Worth  []ClassWorth
-	// WorthGuard is what may be lost of what all requests are worth together; a margin
-	// of 0: it is not judged.
+	// WorthGuard limits the loss of the total worth of all requests; with a margin of 0
+	// it is not judged.
 	WorthGuard judge.Guard
-	// Warming is how long an endpoint may be slow after it started, or after it
-	// first met requests of the move if that is not told.
+	// Warming is how long an endpoint may be slow after it started or, if that time is
+	// unknown, after it first received requests of the move.
 	Warming time.Duration
-	// Headroom is how many times as much as those of the old pool an endpoint of
-	// the new one can take by its weight, once it is warm.
+	// Headroom is how many times the load of an old endpoint of the same weight a warm
+	// endpoint of the new pool can take.
 	Headroom float64
-	// Connections is how many attempts may be out on an endpoint of the new pool, on
-	// the whole, for a step to go on; each has a connection of its own. 0: any number.
+	// Connections is the average number of attempts in flight on each endpoint of the new
+	// pool from which steps stop proceeding; each attempt has a connection of its own. 0:
+	// no limit.
 	Connections float64
 }
 
-// Same reports whether two are the same move, whose plan may be another.
+// Same reports whether both are the same move, possibly with different plans.
 func (c *Config) Same(o *Config) bool { return c.Name == o.Name && c.From == o.From && c.To == o.To }
 
-// Member is an endpoint as a move sees it.
+// Member is the view that a move has of an endpoint.
 type Member struct {
 	ID       uint32
 	From, To bool
-	Ready    bool    // new requests may go there
-	Weight   float64 // what it can do beside others, as learnt or else told; 0 counts as 1
-	Warmth   float64 // share of its capacity that it is sure to have by now
-	InFlight float64 // attempts that are out
+	Ready    bool    // accepts new requests
+	Weight   float64 // relative capacity, learned or else configured; 0 counts as 1
+	Warmth   float64 // fraction of its capacity that is certainly available
+	InFlight float64 // attempts in flight
 }
 
-// Move is one move that goes on or is over. It is for one goroutine.
+// Move is a move at any phase. It is not safe for concurrent use.
 type Move struct {
 	Config
-	course  Progress
-	judges  *judges
-	salt    uint64
-	retired bool // its operator has taken it out of the file
-	members int  // of the new pool, that are ready
-	full    float64
-	at      Conditions
+	progress     Progress
+	assessor     *assessor
+	salt         uint64
+	retired      bool // no longer in the operator file
+	newMembers   int  // ready endpoints of the new pool
+	fullCapacity float64
+	conditions   Conditions
 }
 
-// New makes a move that waits.
+// New returns a waiting move.
 func New(now time.Duration, c Config) *Move {
-	m := &Move{Config: c, course: Progress{Phase: Waiting, Since: now, LastTick: now}, salt: Salt(c.Name)}
-	m.judges = newJudges(now, &m.Config)
+	m := &Move{Config: c, progress: Progress{Phase: Waiting, Since: now, LastTick: now}, salt: Salt(c.Name)}
+	m.assessor = newAssessor(now, &m.Config)
 	return m
 }
 
-// RoutesToNew reports whether a request with this hash meets the new pool.
+// RoutesToNew reports whether a request with this hash goes to the new pool.
 func (m *Move) RoutesToNew(hash uint64) bool {
-	return m.course.Share > 0 && Position(hash, m.salt) < m.course.Share
+	return m.progress.Share > 0 && Position(hash, m.salt) < m.progress.Share
 }
 
-// NewShare is the part of the requests that met the new pool of late, by what was judged.
-func (m *Move) NewShare() float64 { return m.judges.got }
+// NewShare is the recent fraction of judged requests that went to the new pool.
+func (m *Move) NewShare() float64 { return m.assessor.newShare }
 
-// Share is the part of the requests that meets the new pool.
-func (m *Move) Share() float64 { return m.course.Share }
+// Share is the fraction of the requests routed to the new pool.
+func (m *Move) Share() float64 { return m.progress.Share }
 
-// Progress is where the move is.
-func (m *Move) Progress() Progress { return m.course }
+// Progress returns the current state of the move.
+func (m *Move) Progress() Progress { return m.progress }
 
-// Observing reports whether what is seen now matters to it.
-func (m *Move) Observing() bool { return m.course.Phase.UnderWay() && m.course.Phase != Undoing }
+// Observing reports whether observations still affect the move.
+func (m *Move) Observing() bool { return m.progress.Phase.UnderWay() && m.progress.Phase != Undoing }
 
-// Observe takes in an attempt that has ended.
-func (m *Move) Observe(s *AttemptResult) {
+// Observe records a finished attempt.
+func (m *Move) Observe(r *AttemptResult) {
 	if m.Observing() {
-		m.judges.see(s)
+		m.assessor.observe(r)
 	}
 }
 
-// AddEvidence takes in what others, such as the other sidecars of a fleet, have seen.
+// AddEvidence adds observations of others, such as the other sidecars of a fleet.
 func (m *Move) AddEvidence(class int, k FaultKind, b judge.Block) error {
 	if !m.Observing() {
-		return errors.New("it is not being judged")
+		return errors.New("the move is not accepting evidence in its current phase")
 	}
-	return m.judges.told(class, k, b)
+	return m.assessor.addEvidence(class, k, b)
 }
 
-// Conditions tells the move of the endpoints that there are.
+// Conditions updates the endpoints of both pools.
 func (m *Move) Conditions(members []Member) {
-	var at Conditions
-	from, to, out := 0.0, 0.0, 0.0
+	var cond Conditions
+	fromCapacity, toCapacity, inFlight := 0.0, 0.0, 0.0
 	for _, e := range members {
 		w := e.Weight
 		if !(w > 0 && w < 1e9) {
@@ -113,94 +114,94 @@
 		switch {
 		case !e.Ready || e.From == e.To:
 		case e.From:
-			at.From++
-			from += w * e.Warmth
+			cond.From++
+			fromCapacity += w * e.Warmth
 		default:
-			at.To++
-			out += e.InFlight
+			cond.To++
+			inFlight += e.InFlight
 			if e.Warmth >= 1 {
-				w *= max(m.Headroom, 1) // a cold one takes no more than the cold rule has
+				w *= max(m.Headroom, 1) // the cold rule limits a cold endpoint
 			}
-			to += w * e.Warmth
+			toCapacity += w * e.Warmth
 		}
 	}
-	if m.course.Phase == Waiting || m.full == 0 {
-		m.full = from // what has carried all of it so far
+	if m.progress.Phase == Waiting || m.fullCapacity == 0 {
+		m.fullCapacity = fromCapacity // the capacity that has served all requests so far
 	}
-	at.FromCapacity, at.ToCapacity = 1, 1
-	if m.full > 0 {
-		at.FromCapacity, at.ToCapacity = min(1, max(m.Headroom, 1)*from/m.full), min(1, to/m.full)
+	cond.FromCapacity, cond.ToCapacity = 1, 1
+	if m.fullCapacity > 0 {
+		cond.FromCapacity, cond.ToCapacity = min(1, max(m.Headroom, 1)*fromCapacity/m.fullCapacity), min(1, toCapacity/m.fullCapacity)
 	}
-	if m.Connections > 0 && out >= m.Connections*float64(at.To) {
-		at.ToCapacity = min(at.ToCapacity, m.course.Share) // no more than it has
+	if m.Connections > 0 && inFlight >= m.Connections*float64(cond.To) {
+		cond.ToCapacity = min(cond.ToCapacity, m.progress.Share) // no increase
 	}
-	m.at, m.members = at, at.To
+	m.conditions, m.newMembers = cond, cond.To
 }
 
-// Tick lets time pass. It is to be called about once a second.
+// Tick advances time. Call it about once a second.
 func (m *Move) Tick(now time.Duration, classes []string) (events []Event) {
-	var v Assessment
+	var a Assessment
 	if m.Observing() {
-		m.judges.tick(now)
+		m.assessor.closeBlocks(now)
 		var id uint32
-		var leaves bool
-		if v, id, leaves = m.judges.verdict(now, classes, m.members); leaves {
-			events = append(events, Event{What: "one endpoint", Why: fmt.Sprintf("what it fails is its own: number %d is left out of what is judged", id), Share: m.course.Share})
+		var excluded bool
+		if a, id, excluded = m.assessor.assess(now, classes, m.newMembers); excluded {
+			events = append(events, Event{What: "one endpoint", Why: fmt.Sprintf("endpoint number %d causes most of the faults: it is excluded from judging", id), Share: m.progress.Share})
 		}
 	}
-	before := m.course.Phase
-	more, forget := m.course.Tick(now, &m.Plan, v, m.at)
+	before := m.progress.Phase
+	more, forget := m.progress.Tick(now, &m.Plan, a, m.conditions)
 	if forget {
-		m.judges.forget(now)
+		m.assessor.reset(now)
 	}
-	if before == Waiting && m.course.Phase == Moving {
-		more = []Event{{What: "begun", Share: m.course.Share}}
+	if before == Waiting && m.progress.Phase == Moving {
+		more = []Event{{What: "begun", Share: m.progress.Share}}
 	}
-	if m.retired && m.course.Phase != Undoing && m.course.Phase.UnderWay() {
-		m.course.Undo(now, m.judges.ended, "it is no longer in the operator's file")
-		more = append(more, m.course.event())
+	if m.retired && m.progress.Phase != Undoing && m.progress.Phase.UnderWay() {
+		m.progress.Undo(now, m.assessor.newRequests, "the move is no longer in the operator file")
+		more = append(more, m.progress.event())
 	}
 	return append(events, more...)
 }
 
-// Begin, Hold, Resume and Undo are an operator's words.
+// Begin, Hold, Resume and Undo are operator commands.
 func (m *Move) Begin(now time.Duration) error {
-	err := m.course.Begin(now, m.judges.ended, m.at)
+	err := m.progress.Begin(now, m.assessor.newRequests, m.conditions)
 	if err == nil {
-		m.judges.forget(now)
+		m.assessor.reset(now)
 	}
 	return err
 }
 
 func (m *Move) Hold(now time.Duration, why string) error {
-	return m.course.Hold(now, m.judges.ended, why)
+	return m.progress.Hold(now, m.assessor.newRequests, why)
 }
 
 func (m *Move) Resume(now time.Duration) error {
-	err := m.course.Resume(now, m.judges.ended, m.at)
+	err := m.progress.Resume(now, m.assessor.newRequests, m.conditions)
 	if err == nil {
-		m.judges.forget(now)
+		m.assessor.reset(now)
 	}
 	return err
 }
 
 func (m *Move) Undo(now time.Duration, why string) error {
-	return m.course.Undo(now, m.judges.ended, why)
+	return m.progress.Undo(now, m.assessor.newRequests, why)
 }
 
-// Retire takes the move out of use: what is under way is undone first. Over
+// Retire takes the move out of use; if it is under way it is undone first. Removable
 // reports whether it can be dropped.
 func (m *Move) Retire() { m.retired = true }
 func (m *Move) Removable() bool {
-	return m.retired && !m.course.Phase.UnderWay()
+	return m.retired && !m.progress.Phase.UnderWay()
 }
 
-// Configure puts another plan in force. The share stays, and its step begins anew.
+// Configure applies a changed configuration. The share stays, and the step starts over.
 func (m *Move) Configure(now time.Duration, c Config) {
 	m.Config, m.retired = c, false
-	m.course.Restore(now, &m.Plan)
-	m.judges = newJudges(now, &m.Config)
+	m.progress.Restore(now, &m.Plan)
+	m.assessor = newAssessor(now, &m.Config)
 }
 
-// Evidence is all that is weighed now.
-func (m *Move) Evidence(classes []string) []Evidence { return m.judges.evidence(classes) }
+// Evidence returns the current evidence.
+func (m *Move) Evidence(classes []string) []Evidence { return m.assessor.evidence(classes) }
--- a/internal/moves/progress.go
+++ b/internal/moves/progress.go
@@ -6,89 +6,89 @@
 	"time"
 )
 
-// Phase is where a move is.
+// Phase is the state of a move.
 type Phase string
 
 const (
-	Waiting  Phase = "waiting"  // not begun
-	Moving   Phase = "moving"   // at a step
-	Halted   Phase = "halted"   // at a step, until what halted it is over
-	Paused   Phase = "held"     // at a step, until an operator says otherwise
-	Watching Phase = "watching" // past the last step, and may be undone yet
-	Undoing  Phase = "undoing"  // on its way back
-	Undone   Phase = "undone"   // back, for good
-	Done     Phase = "done"     // over, for good
+	Waiting  Phase = "waiting"  // not started
+	Moving   Phase = "moving"   // performing a step
+	Halted   Phase = "halted"   // stopped at a step by a condition that may pass
+	Paused   Phase = "held"     // stopped by an operator, until resumed
+	Watching Phase = "watching" // last step complete; may still be undone
+	Undoing  Phase = "undoing"  // returning to the old pool
+	Undone   Phase = "undone"   // rolled back; final
+	Done     Phase = "done"     // complete; final
 )
 
-// UnderWay reports whether the share may still change by itself or by a word.
+// UnderWay reports whether the share may still change, by itself or by an operator
+// command.
 func (p Phase) UnderWay() bool { return p != Waiting && p != Undone && p != Done }
 
-// Plan is how a move is to go.
+// Plan is the schedule of a move.
 type Plan struct {
-	Steps        []float64     // shares of the requests, rising, the last at most 1
-	StepTime     time.Duration // that a step takes at least
-	StepRequests int           // that the new pool has to have ended in a step
-	Watch        time.Duration // after the last step
-	Auto         bool          // it begins by itself
+	Steps        []float64     // increasing shares of the requests, the last at most 1
+	StepTime     time.Duration // minimum duration of a step
+	StepRequests int           // requests that the new pool has to finish in a step
+	Watch        time.Duration // observation time after the last step
+	Auto         bool          // start without an operator command
 }
 
-// Assessment is what the judges make of the move so far.
+// Assessment is the current result of judging the move.
 type Assessment struct {
-	Regression  string // why it is to be undone; "": it is not
-	CommonFault string // why it is to halt: what is common to both pools
-	Sufficient  bool   // to say that the new pool is fine
-	Missing     string // what there is not enough of
-	NewRequests int    // requests of the new pool, in all
+	Regression  string // why it must be undone; "": it need not be
+	CommonFault string // why it must halt: a fault of both pools
+	Sufficient  bool   // evidence that the new pool is fine
+	Missing     string // which evidence is missing
+	NewRequests int    // finished requests of the new pool, in total
 }
 
-// Conditions are what the pools can take now.
+// Conditions describe the current capacity of both pools.
 type Conditions struct {
-	From, To                 int     // endpoints that are ready
-	FromCapacity, ToCapacity float64 // part of the requests that each can take, 0 to 1
+	From, To                 int     // ready endpoints
+	FromCapacity, ToCapacity float64 // fraction of the requests that each pool can take, 0 to 1
 }
 
-// Event is something that an operator is to be told.
+// Event is a change that is reported to operators.
 type Event struct {
 	What  string // begun, step, halted, goes on, held, undoing, undone, watching, done
 	Why   string
 	Share float64
 }
 
-// Progress is the standing of a move: a state machine with nothing but values in it.
-// Its share only grows by its plan's steps, one at a time, and what is undone does
-// not begin again.
+// Progress is the state machine of a move, made of plain values. The share grows only by
+// the steps of the plan, one at a time, and an undone move does not start again.
 type Progress struct {
 	Phase        Phase
-	Step         int           // of the plan, at or on the way to
-	Share        float64       // that the new pool is asked to take
-	Since        time.Duration // when the phase or step began
-	EndedAtStart int           // requests of the new pool at that time
-	Why          string        // it halted, is held or undone
-	WaitingFor   string        // what the step waits for
-	From         int           // endpoints of the pool that is left when the step began
-	LastTick     time.Duration // the latest tick
+	Step         int           // index into the plan: current, or being reached
+	Share        float64       // of the requests, routed to the new pool
+	Since        time.Duration // start of the phase or step
+	EndedAtStart int           // finished requests of the new pool at Since
+	Why          string        // reason for a halt, pause or undo
+	WaitingFor   string        // what keeps the step from completing
+	From         int           // ready endpoints of the old pool when the step began
+	LastTick     time.Duration // time of the last tick
 }
 
-// pause is a time without a tick after which what was seen tells nothing: the
-// process stood still.
-const pause = 5 * time.Second
+// maxTickGap is the interval between ticks beyond which observations are discarded: the
+// process was stalled.
+const maxTickGap = 5 * time.Second
 
 var (
-	errNotBegun = errors.New("it has not begun")
-	errOver     = errors.New("it is over")
-	errBegun    = errors.New("it has begun")
+	errNotStarted = errors.New("the move has not begun")
+	errFinished   = errors.New("the move is finished or being undone")
+	errStarted    = errors.New("the move has already begun")
 )
 
-// Tick lets time pass. It returns what happened, and whether what was seen of the
-// pools before is to be forgotten.
-func (c *Progress) Tick(now time.Duration, p *Plan, v Assessment, at Conditions) (events []Event, forget bool) {
+// Tick advances time. It returns the events, and whether observations of the pools so far
+// must be discarded.
+func (c *Progress) Tick(now time.Duration, p *Plan, a Assessment, cond Conditions) (events []Event, forget bool) {
 	gap := now - c.LastTick
-	if c.LastTick = now; gap > pause || gap < 0 {
-		c.Since += gap // neither the step nor the watch goes on while nothing is seen
+	if c.LastTick = now; gap > maxTickGap || gap < 0 {
+		c.Since += gap // time without observations counts neither for the step nor for the watch
 		return nil, true
 	}
 	before := *c
-	c.turn(now, p, v, at)
+	c.advance(now, p, a, cond)
 	if c.Phase != before.Phase || c.Step != before.Step || c.Phase == Halted && c.Why != before.Why {
 		events = append(events, c.event())
 	}
@@ -97,183 +97,183 @@
 }
 
 func (c *Progress) event() Event {
-	what := map[Phase]string{Moving: "step", Halted: "halted", Paused: "held", Watching: "watching", Undoing: "undoing", Undone: "undone", Done: "done"}[c.Phase]
-	return Event{What: what, Why: c.Why, Share: c.Share}
+	name := map[Phase]string{Moving: "step", Halted: "halted", Paused: "held", Watching: "watching", Undoing: "undoing", Undone: "undone", Done: "done"}[c.Phase]
+	return Event{What: name, Why: c.Why, Share: c.Share}
 }
 
-func (c *Progress) turn(now time.Duration, p *Plan, v Assessment, at Conditions) {
+func (c *Progress) advance(now time.Duration, p *Plan, a Assessment, cond Conditions) {
 	switch c.Phase {
 	case Waiting:
-		if p.Auto && at.From > 0 && at.To > 0 {
-			c.begin(now, v, at)
+		if p.Auto && cond.From > 0 && cond.To > 0 {
+			c.start(now, a, cond)
 		}
 	case Undoing:
-		c.back(now, at)
+		c.lowerShare(now, cond)
 	case Moving, Halted, Paused, Watching:
-		if v.Regression != "" {
-			c.enter(now, Undoing, v.Regression, v)
-			c.back(now, at)
+		if a.Regression != "" {
+			c.setPhase(now, Undoing, a.Regression, a)
+			c.lowerShare(now, cond)
 			return
 		}
-		c.forth(now, p, v, at)
+		c.proceed(now, p, a, cond)
 	}
 }
 
-// forth goes on with a move that nothing speaks against.
-func (c *Progress) forth(now time.Duration, p *Plan, v Assessment, at Conditions) {
-	why := c.hindered(v, at)
+// proceed advances a move with no regression.
+func (c *Progress) proceed(now time.Duration, p *Plan, a Assessment, cond Conditions) {
+	reason := c.blockedBy(a, cond)
 	switch {
 	case c.Phase == Paused:
 		return
-	case why != "" && (c.Phase == Halted || c.Phase == Moving):
-		c.enter(now, Halted, why, v) // again and again: it goes on a step's time after the last
+	case reason != "" && (c.Phase == Halted || c.Phase == Moving):
+		c.setPhase(now, Halted, reason, a) // repeated while blocked: it resumes StepTime after the last time
 		return
 	case c.Phase == Watching:
 		if now-c.Since >= p.Watch {
-			c.enter(now, Done, "", v)
+			c.setPhase(now, Done, "", a)
 		}
 		return
 	case c.Phase == Halted:
 		if now-c.Since >= p.StepTime {
-			c.enter(now, Moving, "", v)
-			c.From = at.From
+			c.setPhase(now, Moving, "", a)
+			c.From = cond.From
 		}
 		return
 	}
-	c.grow(now, p, v, at)
+	c.increaseShare(now, p, a, cond)
 }
 
-// hindered tells what keeps a step from going on; "": nothing.
-func (c *Progress) hindered(v Assessment, at Conditions) string {
+// blockedBy returns what keeps a step from proceeding; "": nothing.
+func (c *Progress) blockedBy(a Assessment, cond Conditions) string {
 	switch {
-	case v.CommonFault != "":
-		return v.CommonFault
-	case at.To == 0:
+	case a.CommonFault != "":
+		return a.CommonFault
+	case cond.To == 0:
 		return "no endpoint of the new pool is ready"
-	case c.Share < 1 && 2*at.From <= c.From && c.From > 0:
-		return fmt.Sprintf("of the %d endpoints of the pool that is left, %d are ready", c.From, at.From)
+	case c.Share < 1 && 2*cond.From <= c.From && c.From > 0:
+		return fmt.Sprintf("of the %d endpoints of the old pool, %d are ready", c.From, cond.From)
 	}
 	return ""
 }
 
-// grow takes a step up to its share, as there is room, and goes on to the next
-// when all is there that it takes.
-func (c *Progress) grow(now time.Duration, p *Plan, v Assessment, at Conditions) {
+// increaseShare raises the share to that of the step as capacity allows, and starts the
+// next step when this one is complete.
+func (c *Progress) increaseShare(now time.Duration, p *Plan, a Assessment, cond Conditions) {
 	c.Step = min(c.Step, len(p.Steps)-1)
 	want := p.Steps[c.Step]
-	if c.Share < want { // the step begins when it is taken whole
-		c.Share = max(c.Share, min(want, at.ToCapacity)) // what is there is never taken back but by an undo
-		c.Since, c.EndedAtStart = now, v.NewRequests
+	if c.Share < want { // the step starts once its full share is reached
+		c.Share = max(c.Share, min(want, cond.ToCapacity)) // only an undo lowers the share
+		c.Since, c.EndedAtStart = now, a.NewRequests
 		if c.WaitingFor = ""; c.Share < want {
-			c.WaitingFor = fmt.Sprintf("the new pool has room for %.3g%% only", 100*at.ToCapacity)
+			c.WaitingFor = fmt.Sprintf("the new pool has capacity for only %.3g%%", 100*cond.ToCapacity)
 			return
 		}
 	}
-	switch lacking := c.Since + p.StepTime - now; {
-	case lacking > 0:
-		c.WaitingFor = fmt.Sprintf("%v of the step's time", lacking.Round(time.Second))
-	case v.NewRequests-c.EndedAtStart < p.StepRequests:
-		c.WaitingFor = fmt.Sprintf("%d of the step's requests", p.StepRequests-(v.NewRequests-c.EndedAtStart))
-	case !v.Sufficient:
-		c.WaitingFor = v.Missing
+	switch remaining := c.Since + p.StepTime - now; {
+	case remaining > 0:
+		c.WaitingFor = fmt.Sprintf("%v of the step's time remaining", remaining.Round(time.Second))
+	case a.NewRequests-c.EndedAtStart < p.StepRequests:
+		c.WaitingFor = fmt.Sprintf("%d of the step's requests missing", p.StepRequests-(a.NewRequests-c.EndedAtStart))
+	case !a.Sufficient:
+		c.WaitingFor = a.Missing
 	case c.Step == len(p.Steps)-1:
-		c.enter(now, Watching, "", v)
+		c.setPhase(now, Watching, "", a)
 	default:
 		c.Step++
-		c.enter(now, Moving, "", v)
-		c.Share, c.From = max(c.Share, min(p.Steps[c.Step], at.ToCapacity)), at.From
+		c.setPhase(now, Moving, "", a)
+		c.Share, c.From = max(c.Share, min(p.Steps[c.Step], cond.ToCapacity)), cond.From
 	}
 }
 
-// back lowers the share as far as the pool that is left has room.
-func (c *Progress) back(now time.Duration, at Conditions) {
-	c.Share = min(c.Share, max(0, 1-at.FromCapacity))
+// lowerShare lowers the share as far as the old pool has capacity.
+func (c *Progress) lowerShare(now time.Duration, cond Conditions) {
+	c.Share = min(c.Share, max(0, 1-cond.FromCapacity))
 	if c.WaitingFor = ""; c.Share > 0 {
-		c.WaitingFor = fmt.Sprintf("the old pool has room for %.3g%% only", 100*at.FromCapacity)
+		c.WaitingFor = fmt.Sprintf("the old pool has capacity for only %.3g%%", 100*cond.FromCapacity)
 		return
 	}
 	c.Phase, c.Since = Undone, now
 }
 
-func (c *Progress) enter(now time.Duration, to Phase, why string, v Assessment) {
-	c.Phase, c.Since, c.EndedAtStart, c.Why, c.WaitingFor = to, now, v.NewRequests, why, ""
+func (c *Progress) setPhase(now time.Duration, to Phase, reason string, a Assessment) {
+	c.Phase, c.Since, c.EndedAtStart, c.Why, c.WaitingFor = to, now, a.NewRequests, reason, ""
 }
 
-func (c *Progress) begin(now time.Duration, v Assessment, at Conditions) {
+func (c *Progress) start(now time.Duration, a Assessment, cond Conditions) {
 	c.Step, c.Share = 0, 0
-	c.enter(now, Moving, "", v)
-	c.From = at.From
+	c.setPhase(now, Moving, "", a)
+	c.From = cond.From
 }
 
-// Remaining is how long it takes until the move is done, at least, if nothing holds it up;
-// 0 where it is over or does not go on.
+// Remaining is the minimum time until the move is done if nothing blocks it; 0 if it is
+// finished or does not proceed.
 func (c *Progress) Remaining(now time.Duration, p *Plan) time.Duration {
-	passed := now - c.Since
+	elapsed := now - c.Since
 	switch c.Phase {
 	case Watching:
-		return max(p.Watch-passed, 0)
+		return max(p.Watch-elapsed, 0)
 	case Moving, Halted:
 		steps := time.Duration(len(p.Steps)-min(c.Step, len(p.Steps)-1)) * p.StepTime
-		return max(steps-passed, 0) + p.Watch
+		return max(steps-elapsed, 0) + p.Watch
 	}
 	return 0
 }
 
-// Begin begins a move that waits, by an operator's word.
-func (c *Progress) Begin(now time.Duration, ended int, at Conditions) error {
+// Begin starts a waiting move by operator command.
+func (c *Progress) Begin(now time.Duration, ended int, cond Conditions) error {
 	switch {
 	case c.Phase == Undone, c.Phase == Done:
-		return errOver
+		return errFinished
 	case c.Phase != Waiting:
-		return errBegun
-	case at.To == 0 || at.From == 0:
-		return fmt.Errorf("endpoints of both pools are expected, %d are ready of the one and %d of the other", at.From, at.To)
+		return errStarted
+	case cond.To == 0 || cond.From == 0:
+		return fmt.Errorf("both pools need ready endpoints: %d ready in the old pool, %d in the new", cond.From, cond.To)
 	}
-	c.begin(now, Assessment{NewRequests: ended}, at)
+	c.start(now, Assessment{NewRequests: ended}, cond)
 	return nil
 }
 
-// Hold keeps a move where it is, by an operator's word. It may still be undone.
+// Hold pauses a move by operator command. It may still be undone.
 func (c *Progress) Hold(now time.Duration, ended int, why string) error {
 	switch {
 	case c.Phase == Waiting:
-		return errNotBegun
+		return errNotStarted
 	case c.Phase != Moving && c.Phase != Halted && c.Phase != Watching && c.Phase != Paused:
-		return errOver
+		return errFinished
 	}
-	c.enter(now, Paused, why, Assessment{NewRequests: ended})
+	c.setPhase(now, Paused, why, Assessment{NewRequests: ended})
 	return nil
 }
 
-// Resume lets a move go on that is held, or has halted. Its step begins anew.
-func (c *Progress) Resume(now time.Duration, ended int, at Conditions) error {
+// Resume continues a paused or halted move. Its step starts over.
+func (c *Progress) Resume(now time.Duration, ended int, cond Conditions) error {
 	switch c.Phase {
 	case Paused, Halted:
-		c.enter(now, Moving, "", Assessment{NewRequests: ended})
-		c.From = at.From
+		c.setPhase(now, Moving, "", Assessment{NewRequests: ended})
+		c.From = cond.From
 		return nil
 	case Waiting:
-		return errNotBegun
+		return errNotStarted
 	case Undone, Done, Undoing:
-		return errOver
+		return errFinished
 	}
-	return errors.New("it is neither held nor halted")
+	return errors.New("the move is neither held nor halted")
 }
 
-// Undo has a move go back, by an operator's word. One that was done can be too.
+// Undo rolls a move back by operator command. A finished move can be undone too.
 func (c *Progress) Undo(now time.Duration, ended int, why string) error {
 	switch c.Phase {
 	case Undone, Undoing:
-		return errOver
+		return errFinished
 	case Waiting:
-		return errNotBegun
+		return errNotStarted
 	}
-	c.enter(now, Undoing, why, Assessment{NewRequests: ended})
+	c.setPhase(now, Undoing, why, Assessment{NewRequests: ended})
 	return nil
 }
 
-// Restore has the course go by another plan, or in another process: where its share
-// is, and never further on. Its step begins anew.
+// Restore continues under another plan, or in another process, at the current share and
+// never beyond it. The step starts over.
 func (c *Progress) Restore(now time.Duration, p *Plan) {
 	c.Since, c.LastTick, c.EndedAtStart, c.From = now, now, 0, 0
 	if c.Phase == Waiting || c.Phase == Undone {
@@ -284,6 +284,6 @@
 		c.Step++
 	}
 	if c.Phase == Watching && c.Share < p.Steps[len(p.Steps)-1] {
-		c.Phase = Moving // the plan goes on further than the one that was over
+		c.Phase = Moving // the new plan goes further than the completed one
 	}
 }
--- a/internal/moves/record.go
+++ b/internal/moves/record.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Record is a move as it is told to another process, or kept. What was seen of the
-// pools is not in it: a step begins anew there.
+// Record is the state of a move as passed to another process or persisted. It holds no
+// observations: a step starts over there.
 type Record struct {
 	Name     string
 	From, To Selector
@@ -19,14 +19,14 @@
 // maxWhy bounds a reason in bytes.
 const maxWhy = 512
 
-// Record is the move's.
+// Record returns the state of the move.
 func (m *Move) Record() Record {
-	why := m.course.Why
-	return Record{m.Name, m.From, m.To, m.course.Phase, m.course.Share, m.full, why[:min(len(why), maxWhy)]}
+	why := m.progress.Why
+	return Record{m.Name, m.From, m.To, m.progress.Phase, m.progress.Share, m.fullCapacity, why[:min(len(why), maxWhy)]}
 }
 
-// Restore has the move go on where a record's was. One of another move, or one that
-// can't be meant, is left out: the move then waits, and all meet the old pool.
+// Restore continues a move from a record. A record of another move, or an invalid one, is
+// ignored: the move then waits, and all requests go to the old pool.
 func (m *Move) Restore(now time.Duration, r Record) bool {
 	share := r.Share >= 0 && r.Share <= 1
 	full := r.Full >= 0 && !math.IsInf(r.Full, 0)
@@ -42,9 +42,9 @@
 	default:
 		return false
 	}
-	m.course = Progress{Phase: r.Phase, Share: r.Share, Why: r.Why}
-	m.course.Restore(now, &m.Plan)
-	m.full = r.Full
-	m.judges.forget(now)
+	m.progress = Progress{Phase: r.Phase, Share: r.Share, Why: r.Why}
+	m.progress.Restore(now, &m.Plan)
+	m.fullCapacity = r.Full
+	m.assessor.reset(now)
 	return true
 }
--- a/internal/moves/split.go
+++ b/internal/moves/split.go
@@ -7,29 +7,29 @@
 	"spokegw/internal/discovery"
 )
 
-// MaxMoves bounds the moves over one service.
+// MaxMoves bounds the concurrent moves of one service.
 const MaxMoves = 4
 
-// Pools tells which pools an endpoint is in: a bit for each move of its service.
+// Pools is the pool membership of an endpoint: one bit for each move of its service.
 type Pools struct{ From, To uint8 }
 
-// Mask is which pools a request meets: the bit of each move is set where it meets
-// the new one. It then meets none of the old one, and the other way round.
-// Endpoints in neither are nobody's business here.
+// Mask selects the pools for a request: the bit of each move is set if the request goes
+// to the new pool and not to the old one; if it is clear, the other way round. Endpoints
+// in neither pool are unaffected.
 type Mask uint8
 
-// Allows reports whether a request of the mask may meet an endpoint.
+// Allows reports whether a request with this mask may go to an endpoint.
 func (m Mask) Allows(p Pools) bool { return p.From&uint8(m) == 0 && p.To&^uint8(m) == 0 }
 
-// WithEndpoint is the mask of a request that went to an endpoint: after a retry that crossed it
-// is not the one that it came with.
+// WithEndpoint returns the mask of a request that went to an endpoint. After a retry that
+// crossed pools it differs from the original mask.
 func (m Mask) WithEndpoint(p Pools) Mask { return m&^Mask(p.From) | Mask(p.To) }
 
-// Position is where a request lies between 0 and 1 for a move: it meets the new pool
-// where that is below the share. It does not depend on the share, so a step only
-// adds those between the old share and the new one, and no key changes twice.
+// Position maps a request to [0, 1) for a move: it goes to the new pool if that is below
+// the share. It does not depend on the share, so a step only adds the requests between
+// the old share and the new one, and no key moves twice.
 func Position(key, salt uint64) float64 {
-	h := key ^ salt // the finalizer of MurmurHash3 (Appleby, public domain), which mixes every bit into every other
+	h := key ^ salt // finalizer of MurmurHash3 (Appleby, public domain): each input bit affects each output bit
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
@@ -38,36 +38,36 @@
 	return float64(h>>11) / (1 << 53)
 }
 
-// Salt tells the moves apart, so that not the same requests are the first to go in
-// each; all sidecars of a fleet take the same.
+// Salt is the hash salt of a move, so that different moves do not start with the same
+// requests. All sidecars of a fleet derive the same.
 func Salt(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// Selector picks endpoints from the list. All that is set has to fit.
+// Selector matches endpoints of the list. All fields that are set have to match.
 type Selector struct {
 	Kind, Zone, IDPrefix string
 	Label                string // name=value
 	Pod                  int    // -1: any
 }
 
-// Any is a selector in which nothing is set.
+// Any matches every endpoint.
 func Any() Selector { return Selector{Pod: -1} }
 
-// Matches reports whether an entry of the list fits.
+// Matches reports whether an entry of the list matches.
 func (s *Selector) Matches(e *discovery.Entry) bool {
-	fits := func(want, is string) bool { return want == "" || want == is }
+	matches := func(want, got string) bool { return want == "" || want == got }
 	label, value, _ := strings.Cut(s.Label, "=")
 	if s.Label != "" && (e.Labels == nil || e.Labels[label] != value) {
 		return false
 	}
-	return fits(s.Kind, e.Kind) && fits(s.Zone, e.Zone) && (s.Pod < 0 || s.Pod == e.Cell) &&
+	return matches(s.Kind, e.Kind) && matches(s.Zone, e.Zone) && (s.Pod < 0 || s.Pod == e.Cell) &&
 		len(e.ID) >= len(s.IDPrefix) && e.ID[:len(s.IDPrefix)] == s.IDPrefix
 }
 
-// String is the selector as an operator reads it.
+// String formats the selector for operators.
 func (s *Selector) String() string {
 	text := ""
 	add := func(name, value string) {
