--- a/internal/state/accepted.go
+++ b/internal/state/accepted.go
@@ -11,21 +11,21 @@
 
 const (
 	acceptedVersion = 1
-	// mostMarks bounds the files whose hashes are kept.
-	mostMarks = 16
+	// maxRevisions bounds the revisions whose hashes are stored.
+	maxRevisions = 16
 )
 
-// Accepted is the operator's file that a sidecar took over last, and what it took over
-// before that. It is for a start with a file that can't be used: nothing else may stand
-// in for it.
+// Accepted is the operator file that a sidecar applied last, and the hashes of those
+// before it. It is used at a start if the operator file can't be used; nothing else may
+// take its place.
 type Accepted struct {
 	Version int
 	Name    string         // of the sidecar
-	Marks   []FileRevision // the youngest first, which is Text's
+	Marks   []FileRevision // newest first; the first is that of Text
 	Text    string
 }
 
-// FileRevision tells which file was taken over, and when.
+// FileRevision identifies an operator file that was applied, and when.
 type FileRevision struct {
 	SHA256 string    `json:"sha256"`
 	At     time.Time `json:"at"`
@@ -37,19 +37,19 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Add notes that a text has been taken over; it reports false if it is that of the last
-// time.
+// Add records that a text was applied; it returns false if the last applied text is the
+// same.
 func (a *Accepted) Add(name, text string, at time.Time) bool {
 	hash := hashOf(text)
 	if len(a.Marks) > 0 && a.Marks[0].SHA256 == hash {
 		return false
 	}
-	marks := append([]FileRevision{{hash, at.UTC().Truncate(time.Second), len(text)}}, a.Marks...)
-	*a = Accepted{acceptedVersion, name, marks[:min(len(marks), mostMarks)], text}
+	revisions := append([]FileRevision{{hash, at.UTC().Truncate(time.Second), len(text)}}, a.Marks...)
+	*a = Accepted{acceptedVersion, name, revisions[:min(len(revisions), maxRevisions)], text}
 	return true
 }
 
-// Encode makes the record of it.
+// Encode returns the JSON record.
 func (a *Accepted) Encode() ([]byte, error) {
 	b, err := json.Marshal(a)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return b, nil
 }
 
-// DecodeAccepted reads what the sidecar of a name kept. A text that has not the hash of
-// what was taken over is refused: it may be anything.
+// DecodeAccepted decodes the record of the named sidecar. A text that does not match the
+// hash of the applied file is rejected: it may be anything.
 func DecodeAccepted(name string, record []byte) (*Accepted, error) {
 	a := &Accepted{}
 	if err := json.Unmarshal(record, a); err != nil {
@@ -67,13 +67,13 @@
 	}
 	switch {
 	case a.Version != acceptedVersion:
-		return nil, fmt.Errorf("state: it is of version %d, %d is expected", a.Version, acceptedVersion)
+		return nil, fmt.Errorf("state: record has version %d, expected %d", a.Version, acceptedVersion)
 	case a.Name != name:
-		return nil, fmt.Errorf("state: it is sidecar %.100q's, not %.100q's", a.Name, name)
-	case len(a.Marks) == 0 || len(a.Marks) > mostMarks:
-		return nil, errors.New("state: no file was taken over")
+		return nil, fmt.Errorf("state: record belongs to sidecar %.100q, not %.100q", a.Name, name)
+	case len(a.Marks) == 0 || len(a.Marks) > maxRevisions:
+		return nil, errors.New("state: record lists no applied file")
 	case a.Marks[0].SHA256 != hashOf(a.Text):
-		return nil, errors.New("state: the text is not that of the file that was taken over")
+		return nil, errors.New("state: text does not match the hash of the applied file")
 	}
 	return a, nil
 }
--- a/internal/state/accepted_test.go
+++ b/internal/state/accepted_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// What is kept comes back; what is another's, of another time, or altered does not.
+// A record is read back; one of another sidecar, of another version, or altered is
+// rejected.
 func TestAccepted(t *testing.T) {
 	var a Accepted
 	for i, text := range []string{"one", "one", "two", "one"} {
@@ -14,11 +15,11 @@
 			t.Errorf("%d: added %v", i, added)
 		}
 	}
-	for i := range 2 * mostMarks {
+	for i := range 2 * maxRevisions {
 		a.Add("n0", strings.Repeat("x", i), time.Unix(9, 0))
 	}
-	if len(a.Marks) != mostMarks || a.Marks[0].Bytes != 2*mostMarks-1 {
-		t.Errorf("%d marks, the first %+v", len(a.Marks), a.Marks[0])
+	if len(a.Marks) != maxRevisions || a.Marks[0].Bytes != 2*maxRevisions-1 {
+		t.Errorf("%d revisions, the first %+v", len(a.Marks), a.Marks[0])
 	}
 	a.Add("n0", "rate = 1", time.Unix(10, 0))
 	record, err := a.Encode()
@@ -30,14 +31,14 @@
 	}
 	whole := string(record)
 	for why, c := range map[string]struct{ name, record string }{
-		`is sidecar "n0"'s`: {"n1", whole},
-		"of version 2":      {"n0", strings.Replace(whole, `"Version":1`, `"Version":2`, 1)},
-		"not that of":       {"n0", strings.Replace(whole, "rate = 1", "rate = 9", 1)},
-		"no file":           {"n0", `{"Version":1,"Name":"n0"}`},
-		"unexpected end":    {"n0", whole[:len(whole)-1]},
+		`to sidecar "n0"`:    {"n1", whole},
+		"has version 2":      {"n0", strings.Replace(whole, `"Version":1`, `"Version":2`, 1)},
+		"not match the hash": {"n0", strings.Replace(whole, "rate = 1", "rate = 9", 1)},
+		"no applied file":    {"n0", `{"Version":1,"Name":"n0"}`},
+		"unexpected end":     {"n0", whole[:len(whole)-1]},
 	} {
 		if _, err := DecodeAccepted(c.name, []byte(c.record)); err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%q is expected, not %v", why, err)
+			t.Errorf("want an error with %q, got %v", why, err)
 		}
 	}
 }
--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -1,6 +1,6 @@
-// Package state keeps on a disk what a sidecar knows, for the one that is started
-// after it has ended: the same records that one process hands another in an
-// upgrade. What of them is worth something is decided in state/plan.
+// Package state persists what a sidecar knows, for the process that is started after it
+// has ended: the same records that one process hands to another in an upgrade. Package
+// state/plan decides which of them are still valid.
 package state
 
 import (
@@ -14,20 +14,20 @@
 	"spokegw/internal/state/plan"
 )
 
-// Now is the instant by all clocks that there are. The machine's own may be
-// missing: then the clock of the day alone is known.
+// Now returns the current time by all available clocks. If the boot clock is unavailable
+// only the wall clock is set.
 func Now() plan.Clock {
 	c := plan.Clock{Wall: time.Now()}
 	var ts unix.Timespec
-	if boot() == "" || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
+	if bootID() == "" || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
 		return c
 	}
-	c.Boot, c.Since = boot(), time.Duration(ts.Nano())
+	c.Boot, c.Since = bootID(), time.Duration(ts.Nano())
 	return c
 }
 
-// boot names the run of the machine (proc(5)); "": it is not to be had.
-var boot = sync.OnceValue(func() string {
+// bootID returns the boot id of the machine (proc(5)); "": unavailable.
+var bootID = sync.OnceValue(func() string {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return ""
--- a/internal/state/keeper/keeper.go
+++ b/internal/state/keeper/keeper.go
@@ -1,6 +1,6 @@
-// Package keeper keeps the latest of something on a disk, for the process that is
-// started after this one. What the disk does, it does to a goroutine of the keeper:
-// nobody who serves waits for a disk that is slow, or does not answer at all.
+// Package keeper persists the latest record of something for the process that is started
+// after this one. All I/O is done by a goroutine of the keeper: no request waits for a
+// disk that is slow or does not respond.
 package keeper
 
 import (
@@ -13,206 +13,204 @@
 	"spokegw/internal/journal"
 )
 
-// Keeper keeps the last record that it was given. Its methods may be called by several
-// goroutines; none waits for the disk but Open and Flush, as long as they are told.
+// Keeper persists the last record that it was given. Its methods are safe for concurrent
+// use; only Open and Flush wait for the disk, up to their timeout.
 type Keeper struct {
 	disk       journal.Disk
-	path, what string // path "": nothing is kept
-
-	mu     sync.Mutex
-	wanted bool          // this process is to write
-	open   bool          // to be opened
-	file   *journal.File // nil: it is not open. The working goroutine's
-	last   []byte        // what is on the disk
-	tail   []byte        // that was found behind it, torn or spoilt
-	next   []byte        // what is to be; nil: nothing waits
-	idle   chan struct{} // closed when the working goroutine has ended; nil: there is none
-	asked  time.Time     // when the disk was asked for what it does now; 0: nothing
-	told   trouble       // in the log
+	path, what string // path "": nothing is persisted
+
+	mu         sync.Mutex
+	active     bool          // this process is to write the file
+	openNeeded bool          // the file is to be opened
+	file       *journal.File // nil: not open. Used by the worker goroutine only
+	stored     []byte        // the record on the disk
+	tail       []byte        // torn or corrupted bytes found after it
+	pending    []byte        // to be written; nil: nothing pending
+	done       chan struct{} // closed when the worker goroutine ends; nil: no worker
+	opStarted  time.Time     // start of the disk operation in progress; 0: none
+	logged     failure       // the failure that was logged last
 }
 
-// silence is how long a disk may take before that is told.
-const silence = time.Second
+// slowOperation is how long a disk operation may take before it is logged.
+const slowOperation = time.Second
 
-type trouble int
+type failure int
 
 const (
-	none trouble = iota
-	notOpen
-	notTaken
+	noFailure failure = iota
+	openFailed
+	writeFailed
 )
 
-// New makes a keeper of a file at path, "": of nothing. what names it in the log.
+// New returns a keeper of the file at path; "": of none. what names it in the log.
 func New(d journal.Disk, path, what string) *Keeper {
 	return &Keeper{disk: d, path: path, what: what}
 }
 
-// Open begins to keep, and returns what was kept last, and what was found behind it,
-// torn or spoilt; nil: nothing, or what there is can't be read, which is left as it is,
-// or the disk has not answered in time. A file
-// that can't be opened is tried again whenever there is something to be kept, unless it
-// is something else.
-func (k *Keeper) Open(patience time.Duration) (last, tail []byte) {
+// Open starts persisting and returns the last record, and the torn or corrupted bytes
+// after it. Both are nil if there is none, if the file can't be read, which leaves it
+// unchanged, or if the disk did not respond in time. Each Save retries a file that can't
+// be opened, unless it is not a journal.
+func (k *Keeper) Open(timeout time.Duration) (stored, tail []byte) {
 	k.mu.Lock()
 	if k.path == "" {
 		k.mu.Unlock()
 		return nil, nil
 	}
-	k.wanted, k.open = true, true
-	k.work()
+	k.active, k.openNeeded = true, true
+	k.startWorker()
 	k.mu.Unlock()
-	k.Flush(patience)
+	k.Flush(timeout)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	tail, k.tail = k.tail, nil // told once: it is cut off
-	return k.last, tail
+	tail, k.tail = k.tail, nil // reported once: it is truncated
+	return k.stored, tail
 }
 
-// Close ends keeping, once what waits is written: another process does it from now on,
-// or nobody.
+// Close stops persisting after pending writes: from now on another process owns the file,
+// or none.
 func (k *Keeper) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.wanted = false
-	k.work()
+	k.active = false
+	k.startWorker()
 }
 
-// Flush waits until nothing is to be written, patience at most; it reports whether that
-// is so.
-func (k *Keeper) Flush(patience time.Duration) bool {
+// Flush waits up to the timeout for pending writes and reports whether none is left.
+func (k *Keeper) Flush(timeout time.Duration) bool {
 	k.mu.Lock()
-	idle := k.idle
+	done := k.done
 	k.mu.Unlock()
-	if idle == nil {
+	if done == nil {
 		return true
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-idle:
+	case <-done:
 		return true
 	case <-timer.C:
 		return false
 	}
 }
 
-// Save keeps a record if it is not kept already; what waited before it is not written
-// any more. encode is given what was kept last. That the disk does not take it is told
-// once, and again when it does: the sidecar goes on without.
+// Save persists a record if it has changed, and replaces one that is pending. encode is
+// given the last persisted record. A write failure is logged once, and so is the
+// recovery: the sidecar continues without persistence.
 func (k *Keeper) Save(encode func(last []byte) ([]byte, error)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.wanted {
+	if !k.active {
 		return
 	}
-	record, err := encode(k.last)
+	record, err := encode(k.stored)
 	if err != nil {
-		k.taken(err)
+		k.reportWrite(err)
 		return
 	}
-	if k.next == nil && bytes.Equal(record, k.last) {
+	if k.pending == nil && bytes.Equal(record, k.stored) {
 		return
 	}
-	if !k.asked.IsZero() && time.Since(k.asked) >= silence {
-		k.taken(errSilent)
+	if !k.opStarted.IsZero() && time.Since(k.opStarted) >= slowOperation {
+		k.reportWrite(errNotResponding)
 	}
-	k.next, k.open = record, k.file == nil
-	k.work()
+	k.pending, k.openNeeded = record, k.file == nil
+	k.startWorker()
 }
 
-var errSilent = errors.New("it does not answer")
+var errNotResponding = errors.New("the disk does not respond")
 
-// work has a goroutine do what is to be done; it ends when nothing is.
-func (k *Keeper) work() {
-	if k.idle != nil || !k.due() {
+// startWorker starts the worker goroutine if there is work; it ends when none is left.
+func (k *Keeper) startWorker() {
+	if k.done != nil || !k.hasWork() {
 		return
 	}
-	idle := make(chan struct{})
-	k.idle = idle
+	done := make(chan struct{})
+	k.done = done
 	go func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		for k.due() {
+		for k.hasWork() {
 			k.step()
 		}
-		k.idle = nil
-		close(idle)
+		k.done = nil
+		close(done)
 	}()
 }
 
-// due reports whether something is to be done with the disk.
-func (k *Keeper) due() bool {
+// hasWork reports whether a disk operation is due.
+func (k *Keeper) hasWork() bool {
 	if k.file == nil {
-		return k.open && (k.wanted || k.next != nil)
+		return k.openNeeded && (k.active || k.pending != nil)
 	}
-	return k.next != nil || !k.wanted
+	return k.pending != nil || !k.active
 }
 
-// step does one thing with the disk, without the lock meanwhile.
+// step performs one disk operation, with the lock released meanwhile.
 func (k *Keeper) step() {
-	file, next, err := k.file, k.next, error(nil)
+	file, next, err := k.file, k.pending, error(nil)
 	switch {
 	case file == nil:
 		var found journal.Found
-		k.open = false
-		k.away(func() { file, found, err = journal.OpenOn(k.disk, k.path) })
+		k.openNeeded = false
+		k.runUnlocked(func() { file, found, err = journal.OpenOn(k.disk, k.path) })
 		if err == nil {
-			k.file, k.last, k.tail = file, bytes.Clone(found.Last), bytes.Clone(found.Tail)
+			k.file, k.stored, k.tail = file, bytes.Clone(found.Last), bytes.Clone(found.Tail)
 			if found.Damaged > 0 || len(found.Tail) > 0 {
 				slog.Warn("what was kept is damaged in part, and the rest is used", "what", k.what, "records", found.Damaged, "bytes_at_end", len(found.Tail))
 			}
 		}
-		k.opened(err)
+		k.reportOpen(err)
 	case next != nil:
-		k.next = nil
-		k.away(func() { err = file.Write(next) })
+		k.pending = nil
+		k.runUnlocked(func() { err = file.Write(next) })
 		if err == nil {
-			k.last, k.tail = next, nil // what is younger stands in the file now; nobody may have asked for the tail
+			k.stored, k.tail = next, nil // a newer record is in the file now; possibly nobody has asked for the tail
 		}
-		k.taken(err)
+		k.reportWrite(err)
 	default:
 		k.file = nil
-		k.away(func() { err = file.Close() })
+		k.runUnlocked(func() { err = file.Close() })
 		if err != nil {
-			slog.Error("what was kept was not closed", "what", k.what, "error", err)
+			slog.Error("closing the state file failed", "what", k.what, "error", err)
 		}
 	}
 }
 
-func (k *Keeper) away(do func()) {
-	k.asked = time.Now()
+func (k *Keeper) runUnlocked(do func()) {
+	k.opStarted = time.Now()
 	k.mu.Unlock()
 	do()
 	k.mu.Lock()
-	k.asked = time.Time{}
+	k.opStarted = time.Time{}
 }
 
-// opened tells what came of opening.
-func (k *Keeper) opened(err error) {
+// reportOpen logs the result of opening.
+func (k *Keeper) reportOpen(err error) {
 	if err == nil {
-		if k.told == notOpen {
-			k.told = none
-			slog.Info("the disk takes what is to be kept again", "what", k.what)
+		if k.logged == openFailed {
+			k.logged = noFailure
+			slog.Info("the state is persisted again", "what", k.what)
 		}
 		return
 	}
-	if k.next = nil; errors.Is(err, journal.ErrForeign) {
-		k.wanted = false
+	if k.pending = nil; errors.Is(err, journal.ErrForeign) {
+		k.active = false
 	}
-	if k.told != notOpen {
-		k.told = notOpen
-		slog.Error("what was kept can't be used, and nothing is kept", "what", k.what, "error", err)
+	if k.logged != openFailed {
+		k.logged = openFailed
+		slog.Error("the state file can't be used: nothing is persisted", "what", k.what, "error", err)
 	}
 }
 
-// taken tells what came of writing.
-func (k *Keeper) taken(err error) {
+// reportWrite logs the result of writing.
+func (k *Keeper) reportWrite(err error) {
 	switch {
-	case err != nil && k.told == none:
-		k.told = notTaken
-		slog.Error("the disk does not take what is to be kept: the next process starts from what was kept last", "what", k.what, "error", err)
-	case err == nil && k.told != none:
-		k.told = none
-		slog.Info("the disk takes what is to be kept again", "what", k.what)
+	case err != nil && k.logged == noFailure:
+		k.logged = writeFailed
+		slog.Error("persisting the state failed: the next process starts from the last persisted state", "what", k.what, "error", err)
+	case err == nil && k.logged != noFailure:
+		k.logged = noFailure
+		slog.Info("the state is persisted again", "what", k.what)
 	}
 }
--- a/internal/state/keeper/keeper_test.go
+++ b/internal/state/keeper/keeper_test.go
@@ -11,91 +11,91 @@
 	"spokegw/internal/lab/disk"
 )
 
-const patience = time.Second
+const timeout = time.Second
 
 func (k *Keeper) saveText(text string) {
 	k.Save(func([]byte) ([]byte, error) { return []byte(text), nil })
 }
 
-// kept is what another process would find, once this one has left the file.
-func kept(t *testing.T, d *disk.Disk, k *Keeper) string {
+// storedRecord is what another process would find after this one has released the file.
+func storedRecord(t *testing.T, d *disk.Disk, k *Keeper) string {
 	t.Helper()
-	if k.Close(); !k.Flush(patience) {
-		t.Fatal("the file is not left")
+	if k.Close(); !k.Flush(timeout) {
+		t.Fatal("the file is not released")
 	}
 	next := New(d, "/state/x", "x")
-	last, _ := next.Open(patience)
+	last, _ := next.Open(timeout)
 	next.Close()
-	next.Flush(patience)
+	next.Flush(timeout)
 	return string(last)
 }
 
-// Whatever the disk does, nobody waits for it but as long as is said; when it answers
-// again the last record is kept, and what came between is not written.
-func TestDisks(t *testing.T) {
+// Whatever the disk does, no call waits longer than its timeout; when the disk responds
+// again the last record is written, and superseded ones are not.
+func TestDiskFailures(t *testing.T) {
 	full := errors.New("no space left on device")
-	for name, course := range map[string]func(t *testing.T, d *disk.Disk, k *Keeper){
-		"well": func(t *testing.T, d *disk.Disk, k *Keeper) { k.saveText("last") },
+	for name, fault := range map[string]func(t *testing.T, d *disk.Disk, k *Keeper){
+		"no fault": func(t *testing.T, d *disk.Disk, k *Keeper) { k.saveText("last") },
 		"hangs at a write": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			waits := d.Hang()
 			k.saveText("two")
 			<-waits
 			k.saveText("three")
-			begun := time.Now()
-			if k.saveText("last"); k.Flush(patience) || time.Since(begun) != patience {
-				t.Errorf("waited %v", time.Since(begun))
+			start := time.Now()
+			if k.saveText("last"); k.Flush(timeout) || time.Since(start) != timeout {
+				t.Errorf("waited %v", time.Since(start))
 			}
 			k.saveText("last")
-			if k.mu.Lock(); k.told != notTaken {
-				t.Error("that the disk does not answer is not told")
+			if k.mu.Lock(); k.logged != writeFailed {
+				t.Error("a disk that does not respond is not reported")
 			}
 			k.mu.Unlock()
 			d.Answer()
 		},
 		"hangs while the file is opened": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			k.Close()
-			k.Flush(patience)
+			k.Flush(timeout)
 			d.Hang()
-			if last, _ := k.Open(patience); string(last) != "one" {
-				t.Errorf("%q", last) // it was read before
+			if last, _ := k.Open(timeout); string(last) != "one" {
+				t.Errorf("%q", last) // it was read earlier
 			}
 			k.saveText("last")
 			d.Answer()
 		},
-		"hangs at the end, and this process is to go on": func(t *testing.T, d *disk.Disk, k *Keeper) {
+		"hangs at Close, and the file is reopened": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			d.Hang()
 			k.saveText("two")
 			k.Close()
 			k.saveText("not ours")
-			k.Open(patience)
+			k.Open(timeout)
 			k.saveText("last")
 			d.Answer()
 		},
 		"full for a while": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			d.Fail(full)
 			k.saveText("last")
-			k.Flush(patience)
+			k.Flush(timeout)
 			d.Fail(nil)
 			k.saveText("last")
 		},
-		"gone while the file is opened": func(t *testing.T, d *disk.Disk, k *Keeper) {
+		"unavailable while the file is opened": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			k.Close()
-			k.Flush(patience)
+			k.Flush(timeout)
 			d.Fail(full)
-			k.Open(patience)
+			k.Open(timeout)
 			d.Fail(nil)
 			k.saveText("last")
 		},
-		"another process has it for a while": func(t *testing.T, d *disk.Disk, k *Keeper) {
+		"locked by another process for a while": func(t *testing.T, d *disk.Disk, k *Keeper) {
 			k.Close()
-			k.Flush(patience)
+			k.Flush(timeout)
 			other := New(d, "/state/x", "x")
-			other.Open(patience)
-			k.Open(patience)
+			other.Open(timeout)
+			k.Open(timeout)
 			k.saveText("two")
-			k.Flush(patience)
+			k.Flush(timeout)
 			other.Close()
-			other.Flush(patience)
+			other.Flush(timeout)
 			k.saveText("last")
 		},
 	} {
@@ -103,22 +103,22 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := disk.New(1)
 				k := New(d, "/state/x", "x")
-				if last, _ := k.Open(patience); last != nil {
-					t.Errorf("%q in a new file", last)
+				if last, _ := k.Open(timeout); last != nil {
+					t.Errorf("record %q in a new file", last)
 				}
 				k.saveText("one")
-				k.Flush(patience)
-				course(t, d, k)
-				if got := kept(t, d, k); got != "last" {
-					t.Errorf("%q is kept", got)
+				k.Flush(timeout)
+				fault(t, d, k)
+				if got := storedRecord(t, d, k); got != "last" {
+					t.Errorf("%q is stored, want the last record", got)
 				}
 			})
 		})
 	}
 }
 
-// What was found behind the last record is held for who opens the file, and no longer
-// than until something younger is written: it may be of 16 MB.
+// The bytes found after the last record are retained for the caller of Open, and released
+// when a newer record is written: they may be up to 16 MB.
 func TestTailIsDropped(t *testing.T) {
 	d := disk.New(1)
 	f, _, err := journal.OpenOn(d, "/state/x")
@@ -139,17 +139,17 @@
 	waits := d.Hang()
 	k := New(d, "/state/x", "x")
 	if last, tail := k.Open(0); last != nil || tail != nil {
-		t.Fatalf("a disk that hangs told %q, %q", last, tail)
+		t.Fatalf("read %q, %q from a disk that hangs", last, tail)
 	}
 	<-waits
 	k.saveText("two")
 	d.Answer()
-	if !k.Flush(patience) {
-		t.Fatal("it is not written")
+	if !k.Flush(timeout) {
+		t.Fatal("the record is not written")
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if string(k.last) != "two" || k.tail != nil {
-		t.Errorf("%q is kept, %q is held", k.last, k.tail)
+	if string(k.stored) != "two" || k.tail != nil {
+		t.Errorf("%q is stored, tail %q is retained", k.stored, k.tail)
 	}
 }
--- a/internal/state/keystore/keystore.go
+++ b/internal/state/keystore/keystore.go
@@ -1,6 +1,6 @@
-// Package keystore has keyed requests on a disk before they are sent, where an
-// installation's servers remember a key for longer than a restart takes. Notes that
-// come together are written together, with one wait for the disk.
+// Package keystore persists keyed requests before they are sent, for installations whose
+// servers remember a key for longer than a restart takes. Concurrent notes are written in
+// one batch, with one sync.
 package keystore
 
 import (
@@ -23,71 +23,72 @@
 )
 
 const (
-	// mostWaiting bounds the notes that wait for the disk. More are refused at once: the
-	// disk is not as fast as the requests come.
-	mostWaiting = 1024
-	// mostTogether bounds those of one write.
-	mostTogether = 256
-	// slot is the span of time whose notes stand together: they are dropped together
-	// too, when the last of them is worth nothing.
-	slot = 10 * time.Second
-	// slotName is the length of a slot's name, in bytes.
-	slotName = 8
-	// mostRead bounds the notes that a start looks at: a file of millions, all of another
-	// run of the machine, is not to keep it waiting. Those that are over last come first.
-	mostRead = 8 * handover.MaxKeys
-	// openPatience is for another process to leave the file.
-	openPatience = 300 * time.Millisecond
-	// failPause is how long nothing is tried after the disk has failed.
-	failPause = 500 * time.Millisecond
+	// maxPending bounds the notes that wait for the disk. Further ones are rejected at
+	// once, since the disk is slower than the requests arrive.
+	maxPending = 1024
+	// maxBatch bounds the notes of one write.
+	maxBatch = 256
+	// slotDuration is the time covered by a slot. Its notes are stored together, and
+	// deleted together when the last of them expires.
+	slotDuration = 10 * time.Second
+	// slotNameSize is the length of the name of a slot, in bytes.
+	slotNameSize = 8
+	// maxRead bounds the notes that are read at a start, so that a file of millions from
+	// another boot of the machine does not delay it. Those that expire last are read
+	// first.
+	maxRead = 8 * handover.MaxKeys
+	// openTimeout is how long Open waits for another process to release the file.
+	openTimeout = 300 * time.Millisecond
+	// retryDelay is how long writes are rejected after one has failed.
+	retryDelay = 500 * time.Millisecond
 )
 
 var (
 	metaBucket = []byte("meta")
 	hashName   = []byte("hash")
-	bootName   = []byte("boot") // the run of the machine that the slots' times are of
-
-	// ErrBusy tells that too many notes wait already, ErrFailed that the disk does not
-	// take them. The request is not to be sent.
-	ErrBusy   = errors.New("keystore: too many keys wait for the disk")
-	ErrFailed = errors.New("keystore: the disk does not take keys")
-	// ErrUnusable tells that the file is damaged where it can't be read around: it is to be
-	// looked at, and not to be tried again.
-	ErrUnusable = errors.New("keystore: the file is damaged; while it stands there no key is kept")
-	errClosed   = errors.New("keystore: it is closed")
+	bootName   = []byte("boot") // boot id that the times of the slots refer to
+
+	// ErrBusy reports that too many notes are pending, ErrFailed that the disk rejects
+	// them. The request must not be sent.
+	ErrBusy   = errors.New("keystore: too many keys are waiting to be written")
+	ErrFailed = errors.New("keystore: writing keys to the disk failed")
+	// ErrUnusable reports corruption that can't be skipped: the file needs inspection,
+	// and retries are of no use.
+	ErrUnusable = errors.New("keystore: the file is corrupted; no key is persisted until it is removed")
+	errClosed   = errors.New("keystore: store is closed")
 )
 
-// disk is what notes are written to: the store, or one that fails in a test.
-type disk interface {
+// database stores the notes: a bbolt database, or one that fails in a test.
+type database interface {
 	Update(func(*bbolt.Tx) error) error
 	View(func(*bbolt.Tx) error) error
 	Close() error
 }
 
-// Store is the file. Its methods may be called by several goroutines.
+// Store is an open file of notes. Its methods are safe for concurrent use.
 type Store struct {
-	disk    disk
-	now     func() plan.Clock
-	waiting chan *waiting
-	ending  chan struct{}
-	ended   chan struct{}
-	once    sync.Once
-	ends    sync.RWMutex // held while ending is closed, and by who puts something into waiting that has to be told
+	db        database
+	now       func() plan.Clock
+	queue     chan *pendingNote
+	closing   chan struct{}
+	stopped   chan struct{}
+	closeOnce sync.Once
+	closeMu   sync.RWMutex // locked while closing is closed; read-locked to queue a write that must be completed
 
 	mu       sync.Mutex
-	failedAt time.Duration // on the machine's clock; 0: the last write was taken
+	failedAt time.Duration // boot clock of the last failed write; 0: the last write succeeded
 }
 
-type waiting struct {
+type pendingNote struct {
 	record []byte
-	slot   uint64 // by when it is worth nothing
+	slot   uint64 // by which it has expired
 	key    uint64
-	done   chan error // takes one; nil: then is called, by who writes
+	done   chan error // buffered; nil: then is called by the writer
 	then   func(error)
 }
 
-// tell tells what came of it.
-func (w *waiting) tell(err error) {
+// complete reports the result.
+func (w *pendingNote) complete(err error) {
 	if w.then != nil {
 		w.then(err)
 		return
@@ -95,20 +96,21 @@
 	w.done <- err
 }
 
-// kept is a note as it is kept.
-type kept struct {
+// storedKey is a note as it is stored.
+type storedKey struct {
 	At  plan.Clock
 	Key handover.Key
 }
 
-// Open opens the file at path, and makes it where there is none. now is the clock.
+// Open opens the file at path, and creates it if missing. now is the clock.
 func Open(path string, now func() plan.Clock) (*Store, error) {
 	var db *bbolt.DB
 	var file *os.File
-	err := guarded(func(func(*bbolt.Tx) error) (err error) {
+	err := recoverPanic(func(func(*bbolt.Tx) error) (err error) {
 		db, err = bbolt.Open(path, 0o600, &bbolt.Options{
-			// No NoFreelistSync: with it a damaged page panics in a goroutine of the store's.
-			Timeout: openPatience,
+			// NoFreelistSync is off: with it a corrupted page panics in a goroutine of
+			// bbolt, where it can't be recovered.
+			Timeout: openTimeout,
 			OpenFile: func(name string, flag int, mode os.FileMode) (f *os.File, err error) {
 				f, err = os.OpenFile(name, flag, mode)
 				file = f
@@ -119,7 +121,7 @@
 	}, nil)
 	if err != nil {
 		if file != nil {
-			// The store that panicked has left it open, and its mapping keeps the lock.
+			// After a panic bbolt has left the file open, and its mapping keeps the lock.
 			unix.Flock(int(file.Fd()), unix.LOCK_UN)
 			file.Close()
 		}
@@ -128,46 +130,46 @@
 	return open(db, now), nil
 }
 
-func open(d disk, now func() plan.Clock) *Store {
-	s := &Store{disk: d, now: now, waiting: make(chan *waiting, mostWaiting), ending: make(chan struct{}), ended: make(chan struct{})}
-	go s.write() // until Close
+func open(d database, now func() plan.Clock) *Store {
+	s := &Store{db: d, now: now, queue: make(chan *pendingNote, maxPending), closing: make(chan struct{}), stopped: make(chan struct{})}
+	go s.writeLoop() // stops at Close
 	return s
 }
 
-// Close writes what waits, and closes the file.
+// Close writes pending notes and closes the file.
 func (s *Store) Close() error {
-	s.once.Do(func() {
-		s.ends.Lock()
-		defer s.ends.Unlock()
-		close(s.ending)
+	s.closeOnce.Do(func() {
+		s.closeMu.Lock()
+		defer s.closeMu.Unlock()
+		close(s.closing)
 	})
-	<-s.ended
-	return s.disk.Close()
+	<-s.stopped
+	return s.db.Close()
 }
 
-// Persist returns when the note is on the disk, or can't be: then the request is not to
-// be sent, since nobody would know of it after a kill.
+// Persist returns when the note is durable or can't be: in that case the request must not
+// be sent, since after a kill its key would be unknown.
 func (s *Store) Persist(ctx context.Context, k handover.Key) error {
 	at := s.now()
-	if s.failing(at) {
+	if s.recentlyFailed(at) {
 		return ErrFailed
 	}
-	record, err := encode(kept{at, k})
+	record, err := encode(storedKey{at, k})
 	if err != nil {
 		return err
 	}
-	w := &waiting{record: record, slot: slotOf(at.Since + k.Left), key: k.Key, done: make(chan error, 1)}
+	w := &pendingNote{record: record, slot: slotOf(at.Since + k.Left), key: k.Key, done: make(chan error, 1)}
 	select {
-	case <-s.ending:
+	case <-s.closing:
 		return errClosed
-	case s.waiting <- w:
+	case s.queue <- w:
 	default:
 		return ErrBusy
 	}
 	select {
 	case err := <-w.done:
 		return err
-	case <-s.ended: // it came as the store was closed, and may have been the last that was written
+	case <-s.stopped: // queued while the store was closed; possibly in the last batch
 		select {
 		case err := <-w.done:
 			return err
@@ -175,49 +177,49 @@
 			return errClosed
 		}
 	case <-ctx.Done():
-		return context.Cause(ctx) // it may be written yet: that does no harm
+		return context.Cause(ctx) // it may still be written, which is harmless
 	}
 }
 
-// PersistAsync has the note on the disk with those that come meanwhile, and does not wait.
-// Where too many wait, or the disk does not take them, it is not kept.
+// PersistAsync queues the note without waiting. It is dropped if too many are pending or
+// the disk fails.
 func (s *Store) PersistAsync(k handover.Key) { s.PersistThen(k, func(error) {}) }
 
-// PersistThen has the note on the disk with those that come meanwhile, and does not wait:
-// then is called once it is there, or can't be. It must not wait for anything.
+// PersistThen queues the note without waiting, and calls then once it is durable or can't
+// be. then must not block.
 func (s *Store) PersistThen(k handover.Key, then func(error)) {
 	at := s.now()
-	if s.failing(at) {
+	if s.recentlyFailed(at) {
 		then(ErrFailed)
 		return
 	}
-	record, err := encode(kept{at, k})
+	record, err := encode(storedKey{at, k})
 	if err != nil {
 		then(err)
 		return
 	}
-	s.ends.RLock() // so that what is put there is written
-	defer s.ends.RUnlock()
+	s.closeMu.RLock() // ensures that a queued note is written
+	defer s.closeMu.RUnlock()
 	select {
-	case <-s.ending:
+	case <-s.closing:
 		then(errClosed)
 		return
 	default:
 	}
 	select {
-	case s.waiting <- &waiting{record: record, slot: slotOf(at.Since + k.Left), key: k.Key, then: then}:
+	case s.queue <- &pendingNote{record: record, slot: slotOf(at.Since + k.Left), key: k.Key, then: then}:
 	default:
 		then(ErrBusy)
 	}
 }
 
-// recordVersion begins a record, and its checksum (CRC-32C) follows. A record of the
-// first version is JSON alone, which begins otherwise; it is read still.
+// recordVersion is the first byte of a record; a CRC-32C follows. A record of the first
+// version is plain JSON, which begins with another byte, and is still read.
 const recordVersion = 2
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func encode(k kept) ([]byte, error) {
+func encode(k storedKey) ([]byte, error) {
 	text, err := json.Marshal(k)
 	if err != nil {
 		return nil, fmt.Errorf("keystore: %w", err)
@@ -226,44 +228,44 @@
 	return append(b, text...), nil
 }
 
-func decode(b []byte) (k kept, err error) {
+func decode(b []byte) (k storedKey, err error) {
 	const head = 5
 	switch {
 	case len(b) > 0 && b[0] == '{':
 	case len(b) < head || b[0] != recordVersion || crc32.Checksum(b[head:], castagnoli) != binary.BigEndian.Uint32(b[1:]):
-		return kept{}, ErrDamaged
+		return storedKey{}, ErrDamaged
 	default:
 		b = b[head:]
 	}
 	if err := json.Unmarshal(b, &k); err != nil {
-		return kept{}, fmt.Errorf("keystore: %w", err)
+		return storedKey{}, fmt.Errorf("keystore: %w", err)
 	}
 	return k, nil
 }
 
-// guarded does something with the file, whose pages have no checksums: where one is
-// damaged the store panics, and where the file is cut the machine's fault comes as one.
-// It is an error here, and no end of the process.
-func guarded(do func(func(*bbolt.Tx) error) error, what func(*bbolt.Tx) error) (err error) {
+// recoverPanic runs an operation on the file, whose pages have no checksums: bbolt panics
+// on a corrupted page, and a truncated file raises a memory fault. Both become an error
+// instead of ending the process.
+func recoverPanic(run func(func(*bbolt.Tx) error) error, fn func(*bbolt.Tx) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w (%v)", ErrUnusable, p)
 		}
 	}()
-	return do(what)
+	return run(fn)
 }
 
-func slotOf(at time.Duration) uint64 { return uint64(max(at, 0)/slot) + 1 }
+func slotOf(at time.Duration) uint64 { return uint64(max(at, 0)/slotDuration) + 1 }
 
-// failing reports whether the disk failed a moment ago.
-func (s *Store) failing(at plan.Clock) bool {
+// recentlyFailed reports whether a write has failed less than retryDelay ago.
+func (s *Store) recentlyFailed(at plan.Clock) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failedAt != 0 && at.Since < s.failedAt+failPause
+	return s.failedAt != 0 && at.Since < s.failedAt+retryDelay
 }
 
-func (s *Store) failed(err error) {
+func (s *Store) recordResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failedAt = 0
@@ -272,50 +274,50 @@
 	}
 }
 
-// write writes what waits, as much at once as there is.
-func (s *Store) write() {
-	defer close(s.ended)
+// writeLoop writes pending notes in batches.
+func (s *Store) writeLoop() {
+	defer close(s.stopped)
 	for {
-		var batch []*waiting
+		var batch []*pendingNote
 		select {
-		case w := <-s.waiting:
+		case w := <-s.queue:
 			batch = append(batch, w)
-		case <-s.ending:
+		case <-s.closing:
 			select {
-			case w := <-s.waiting:
+			case w := <-s.queue:
 				batch = append(batch, w)
 			default:
 				return
 			}
 		}
-		for more := true; more && len(batch) < mostTogether; {
+		for more := true; more && len(batch) < maxBatch; {
 			select {
-			case w := <-s.waiting:
+			case w := <-s.queue:
 				batch = append(batch, w)
 			default:
 				more = false
 			}
 		}
-		err := guarded(s.disk.Update, func(tx *bbolt.Tx) error { return put(tx, batch, slotOf(s.now().Since)) })
-		if s.failed(err); err != nil {
+		err := recoverPanic(s.db.Update, func(tx *bbolt.Tx) error { return writeBatch(tx, batch, slotOf(s.now().Since)) })
+		if s.recordResult(err); err != nil {
 			err = fmt.Errorf("%w: %w", ErrFailed, err)
 		}
 		for _, w := range batch {
-			w.tell(err)
+			w.complete(err)
 		}
 	}
 }
 
-// put writes notes, and drops the slots that are over.
-func put(tx *bbolt.Tx, batch []*waiting, now uint64) error {
-	var over [][]byte
+// writeBatch writes notes and deletes expired slots.
+func writeBatch(tx *bbolt.Tx, batch []*pendingNote, now uint64) error {
+	var expired [][]byte
 	c := tx.Cursor()
 	for name, _ := c.First(); name != nil; name, _ = c.Next() {
-		if len(name) == slotName && binary.BigEndian.Uint64(name) < now {
-			over = append(over, append([]byte(nil), name...))
+		if len(name) == slotNameSize && binary.BigEndian.Uint64(name) < now {
+			expired = append(expired, append([]byte(nil), name...))
 		}
 	}
-	for _, name := range over {
+	for _, name := range expired {
 		if err := tx.DeleteBucket(name); err != nil {
 			return err
 		}
@@ -332,26 +334,26 @@
 	return nil
 }
 
-// ErrDamaged tells that some of what was kept is left out.
-var ErrDamaged = errors.New("keystore: records are damaged and left out")
+// ErrDamaged reports that corrupted records were skipped.
+var ErrDamaged = errors.New("keystore: corrupted records skipped")
 
-// Load returns the notes that are worth something now, each as it is to be adopted,
-// and the key that their hashes were made with; ok is false where there is none. Of more
-// than can be remembered those are left out that are over first. What is
-// damaged is left out, alone, and told by ErrDamaged beside the others.
+// Load returns the notes that are still valid, ready to be adopted, and the key that
+// their hashes were made with; ok is false if there is none. If there are more than can
+// be remembered, those that expire first are left out. Corrupted records are skipped one
+// by one and reported by ErrDamaged along with the others.
 func (s *Store) Load() (keys []handover.Key, hash uint64, ok bool, err error) {
-	l := loading{now: s.now(), left: mostRead}
-	err = guarded(s.disk.View, func(tx *bbolt.Tx) error {
+	l := loader{now: s.now(), remaining: maxRead}
+	err = recoverPanic(s.db.View, func(tx *bbolt.Tx) error {
 		if b := tx.Bucket(metaBucket); b != nil {
 			if v := b.Get(hashName); len(v) == 8 {
 				hash, ok = binary.BigEndian.Uint64(v), true
 			}
-			l.sameRun = l.now.Boot != "" && string(b.Get(bootName)) == l.now.Boot
+			l.sameBoot = l.now.Boot != "" && string(b.Get(bootName)) == l.now.Boot
 		}
 		c := tx.Cursor()
-		for name, _ := c.Last(); name != nil && !l.over(name); name, _ = c.Prev() {
-			if b := tx.Bucket(name); b != nil && len(name) == slotName {
-				l.slot(b)
+		for name, _ := c.Last(); name != nil && !l.finished(name); name, _ = c.Prev() {
+			if b := tx.Bucket(name); b != nil && len(name) == slotNameSize {
+				l.readSlot(b)
 			}
 		}
 		return nil
@@ -365,56 +367,56 @@
 	return l.keys, hash, ok, err
 }
 
-// loading is a Load under way, from the slot that is over last.
-type loading struct {
-	now     plan.Clock
-	sameRun bool // of the machine, as what was kept
-	left    int  // records that may be looked at yet
-	keys    []handover.Key
-	damaged int // records that were left out
+// loader is the state of a Load, which starts from the slot that expires last.
+type loader struct {
+	now       plan.Clock
+	sameBoot  bool // the file was written during the current boot
+	remaining int  // records that may still be read
+	keys      []handover.Key
+	damaged   int // corrupted records skipped
 }
 
-// over reports whether a slot and all before it tell nothing.
-func (l *loading) over(name []byte) bool {
-	return l.full() || l.sameRun && len(name) == slotName && binary.BigEndian.Uint64(name) < slotOf(l.now.Since)
+// finished reports whether this slot and all earlier ones can be skipped.
+func (l *loader) finished(name []byte) bool {
+	return l.full() || l.sameBoot && len(name) == slotNameSize && binary.BigEndian.Uint64(name) < slotOf(l.now.Since)
 }
 
-func (l *loading) full() bool { return l.left == 0 || len(l.keys) >= handover.MaxKeys }
+func (l *loader) full() bool { return l.remaining == 0 || len(l.keys) >= handover.MaxKeys }
 
-func (l *loading) slot(b *bbolt.Bucket) {
+func (l *loader) readSlot(b *bbolt.Bucket) {
 	c := b.Cursor()
 	for _, v := c.First(); v != nil && !l.full(); _, v = c.Next() {
-		l.left--
+		l.remaining--
 		k, err := decode(v)
 		if err != nil {
 			l.damaged++
 			continue
 		}
-		elapsed, sure := plan.Elapsed(k.At, l.now)
-		if note, usable := plan.UsableKey(k.Key.Note, elapsed, sure); usable {
+		elapsed, exact := plan.Elapsed(k.At, l.now)
+		if note, usable := plan.UsableKey(k.Key.Note, elapsed, exact); usable {
 			k.Key.Note = note
 			l.keys = append(l.keys, k.Key)
 		}
 	}
 }
 
-// Replace puts the notes that are known now in the place of all that was kept, with the
-// key that their hashes are made with: slots of another run of the machine tell nothing
-// of this one's time, and notes of another key nothing at all.
+// Replace replaces all stored notes by the given ones, and the key that their hashes are
+// made with: slots of another boot are in another time base, and notes hashed with
+// another key are useless.
 func (s *Store) Replace(hash uint64, known []handover.Key) error {
 	at := s.now()
-	var batch []*waiting
+	var batch []*pendingNote
 	for _, k := range known {
-		record, err := encode(kept{at, k})
+		record, err := encode(storedKey{at, k})
 		if err != nil {
 			return err
 		}
-		batch = append(batch, &waiting{record: record, slot: slotOf(at.Since + k.Left), key: k.Key})
+		batch = append(batch, &pendingNote{record: record, slot: slotOf(at.Since + k.Left), key: k.Key})
 	}
-	err := guarded(s.disk.Update, func(tx *bbolt.Tx) error {
+	err := recoverPanic(s.db.Update, func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err == nil {
-			err = dropAll(tx)
+			err = deleteSlots(tx)
 		}
 		if err == nil {
 			err = b.Put(hashName, binary.BigEndian.AppendUint64(nil, hash))
@@ -425,7 +427,7 @@
 		if err != nil {
 			return err
 		}
-		return put(tx, batch, 0)
+		return writeBatch(tx, batch, 0)
 	})
 	if err != nil {
 		return fmt.Errorf("keystore: %w", err)
@@ -433,10 +435,10 @@
 	return nil
 }
 
-func dropAll(tx *bbolt.Tx) error {
+func deleteSlots(tx *bbolt.Tx) error {
 	var names [][]byte
 	err := tx.ForEach(func(name []byte, _ *bbolt.Bucket) error {
-		if len(name) == slotName {
+		if len(name) == slotNameSize {
 			names = append(names, append([]byte(nil), name...))
 		}
 		return nil
--- a/internal/state/keystore/keystore_test.go
+++ b/internal/state/keystore/keystore_test.go
@@ -29,7 +29,7 @@
 	return handover.Key{ServiceRef: handover.ServiceRef{Platform: true}, Note: keyed.Note{Key: key, Cell: 4, Window: left, Left: left}}
 }
 
-// clock is set by a test.
+// clock is a clock that a test sets.
 type clock struct {
 	mu sync.Mutex
 	at plan.Clock
@@ -47,13 +47,13 @@
 	c.at = plan.Clock{Boot: boot, Since: since, Wall: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}
 }
 
-// What was kept is there after the process has ended, for as long as it is worth
-// something, and of another key of hashes or another run of the machine as is safe.
+// Stored notes are read after the process has ended, until they expire, and as far as
+// safe with another hash key or after a reboot.
 func TestKeepAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	var c clock
 	c.set("a", 100*time.Second)
-	again := func(old *Store) *Store {
+	reopen := func(old *Store) *Store {
 		t.Helper()
 		if old != nil {
 			if err := old.Close(); err != nil {
@@ -70,27 +70,27 @@
 		t.Helper()
 		all, got, ok, err := s.Load()
 		if err != nil || !ok || got != hash || len(all) != len(keys) {
-			t.Fatalf("%+v, hash %d, %v, %v; %v are expected", all, got, ok, err, keys)
+			t.Fatalf("got %+v, hash %d, %v, %v; want keys %v", all, got, ok, err, keys)
 		}
 		slices.SortFunc(all, func(a, b handover.Key) int { return cmp.Compare(a.Key, b.Key) })
 		for i := range keys {
 			if all[i].Key != keys[i] {
-				t.Errorf("key %d, %d is expected", all[i].Key, keys[i])
+				t.Errorf("got key %d, want %d", all[i].Key, keys[i])
 			}
 		}
 		return all
 	}
-	s := again(nil)
+	s := reopen(nil)
 	if _, err := Open(path, c.now); err == nil {
-		t.Error("opened twice")
+		t.Error("second Open succeeded")
 	}
 	if err := s.Replace(7, nil); err != nil {
 		t.Fatal(err)
 	}
-	var keeping sync.WaitGroup
+	var writers sync.WaitGroup
 	const many = handover.MaxKeys - 1
 	for client := range uint64(256) {
-		keeping.Go(func() {
+		writers.Go(func() {
 			for i := client; i < many; i += 256 {
 				if err := s.Persist(t.Context(), note(i, time.Second)); err != nil {
 					t.Error(err)
@@ -98,32 +98,32 @@
 			}
 		})
 	}
-	keeping.Wait()
+	writers.Wait()
 	s.PersistAsync(note(1000, time.Hour))
-	s = again(s) // what was to be soon is there at the end
+	s = reopen(s) // asynchronous writes complete before Close returns
 	if all, _, _, _ := s.Load(); len(all) != many+1 {
 		t.Errorf("%d keys", len(all))
 	}
-	c.set("a", 130*time.Second) // those of a second are over
+	c.set("a", 130*time.Second) // those of one second have expired
 	if all := load(s, 7, 1000); all[0].Age != 30*time.Second || all[0].Left != time.Hour-30*time.Second {
 		t.Errorf("%+v", all[0])
 	}
 	s.Persist(t.Context(), note(1001, time.Hour))
-	s.disk.View(func(tx *bbolt.Tx) error {
+	s.db.View(func(tx *bbolt.Tx) error {
 		if n := tx.Cursor().Bucket().Inspect(); len(n.Children) > 3 {
-			t.Errorf("%d slots are there: those that are over are not dropped", len(n.Children))
+			t.Errorf("%d slots: expired ones are not deleted", len(n.Children))
 		}
 		return nil
 	})
-	c.set("b", 5*time.Second) // another run of the machine: how long it is is not sure
+	c.set("b", 5*time.Second) // another boot: the elapsed time is uncertain
 	all := load(s, 7, 1000, 1001)
 	if all[0].Age < all[0].Window {
-		t.Errorf("a repeat may go where it may not be dropped: %+v", all[0])
+		t.Errorf("a retry is allowed where it may not be deduplicated: %+v", all[0])
 	}
 	if err := s.Replace(8, all[:1]); err != nil {
 		t.Fatal(err)
 	}
-	s = again(s)
+	s = reopen(s)
 	load(s, 8, 1000)
 	s.Close()
 	if err := s.Persist(t.Context(), note(1, time.Second)); !errors.Is(err, errClosed) {
@@ -131,58 +131,58 @@
 	}
 }
 
-// sick is a disk that fails, or hangs.
-type sick struct {
+// faultyDB is a database that fails or hangs.
+type faultyDB struct {
 	err   error
 	hangs chan struct{}
 }
 
-func (d *sick) Update(func(*bbolt.Tx) error) error {
+func (d *faultyDB) Update(func(*bbolt.Tx) error) error {
 	if d.hangs != nil {
 		<-d.hangs
 	}
 	return d.err
 }
-func (d *sick) View(func(*bbolt.Tx) error) error { return d.err }
-func (d *sick) Close() error                     { return nil }
+func (d *faultyDB) View(func(*bbolt.Tx) error) error { return d.err }
+func (d *faultyDB) Close() error                     { return nil }
 
-// A disk that is full refuses keys at once, and is tried again after a while; one that
-// hangs holds a request no longer than its time, and no more wait than may.
-func TestSickDisks(t *testing.T) {
+// A full disk rejects keys at once and is retried after a delay. One that hangs delays a
+// request no longer than its deadline, and the number of waiting notes is bounded.
+func TestFaultyDisks(t *testing.T) {
 	var c clock
 	c.set("a", time.Second)
-	full := &sick{err: errors.New("no space left on device")}
+	full := &faultyDB{err: errors.New("no space left on device")}
 	s := open(full, c.now)
 	if err := s.Persist(t.Context(), note(1, time.Second)); !errors.Is(err, ErrFailed) {
 		t.Errorf("full: %v", err)
 	}
-	full.err = nil // nothing of it is asked until the pause is over
+	full.err = nil // the disk is not used until the delay is over
 	if err := s.Persist(t.Context(), note(1, time.Second)); !errors.Is(err, ErrFailed) {
-		t.Errorf("right after that: %v", err)
+		t.Errorf("during the retry delay: %v", err)
 	}
-	c.set("a", time.Second+failPause)
+	c.set("a", time.Second+retryDelay)
 	if err := s.Persist(t.Context(), note(1, time.Second)); err != nil {
-		t.Errorf("with room again: %v", err)
+		t.Errorf("with space available again: %v", err)
 	}
 	s.Close()
 
-	hung := &sick{hangs: make(chan struct{})}
+	hung := &faultyDB{hangs: make(chan struct{})}
 	s = open(hung, c.now)
 	ctx, cancel := context.WithCancelCause(t.Context())
-	ended := make(chan error, mostWaiting+mostTogether+1)
+	ended := make(chan error, maxPending+maxBatch+1)
 	for range cap(ended) {
 		go func() { ended <- s.Persist(ctx, note(1, time.Second)) }()
 	}
-	if err := <-ended; !errors.Is(err, ErrBusy) { // the first that ends had no place
+	if err := <-ended; !errors.Is(err, ErrBusy) { // the first to end was rejected
 		t.Errorf("too many: %v", err)
 	}
-	for range 2 * mostWaiting { // more than there are places for, none of which waits
+	for range 2 * maxPending { // more than the queue holds; none of them waits
 		s.PersistAsync(note(1, time.Second))
 	}
-	late := errors.New("late")
-	cancel(late)
+	errDeadline := errors.New("late")
+	cancel(errDeadline)
 	for range cap(ended) - 1 {
-		if err := <-ended; !errors.Is(err, ErrBusy) && !errors.Is(err, late) {
+		if err := <-ended; !errors.Is(err, ErrBusy) && !errors.Is(err, errDeadline) {
 			t.Errorf("hung: %v", err)
 		}
 	}
@@ -190,9 +190,8 @@
 	s.Close()
 }
 
-// What it costs to have a key on the disk, alone and beside others.
-// Of more keys than can be remembered those are used whose window is open longest, and
-// a file of another run of the machine, all over, is not read to its end.
+// Of more keys than can be remembered, those that expire last are loaded, and an expired
+// file of another boot is not read to its end.
 func TestLoadIsBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	var c clock
@@ -202,7 +201,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	all := make([]handover.Key, mostRead+handover.MaxKeys)
+	all := make([]handover.Key, maxRead+handover.MaxKeys)
 	for i := range all {
 		all[i] = note(uint64(i), 10*time.Minute+time.Duration(i)*time.Millisecond)
 	}
@@ -215,24 +214,24 @@
 	}
 	for _, k := range keys {
 		if int(k.Key) < len(all)-2*handover.MaxKeys {
-			t.Fatalf("key %d of %d is used before younger ones", k.Key, len(all))
+			t.Fatalf("key %d of %d was loaded instead of later ones", k.Key, len(all))
 		}
 	}
 	c.set("a", 3*time.Hour)
-	l := loading{now: c.now(), sameRun: true, left: mostRead}
-	if keys, _, _, err := s.Load(); err != nil || len(keys) > 0 || !l.over([]byte{0, 0, 0, 0, 0, 0, 0, 99}) {
-		t.Errorf("%d keys that are over, %v", len(keys), err)
+	l := loader{now: c.now(), sameBoot: true, remaining: maxRead}
+	if keys, _, _, err := s.Load(); err != nil || len(keys) > 0 || !l.finished([]byte{0, 0, 0, 0, 0, 0, 0, 99}) {
+		t.Errorf("%d expired keys, %v", len(keys), err)
 	}
 	c.set("b", 3*time.Hour)
 	c.at.Wall = c.at.Wall.Add(30 * 24 * time.Hour)
 	if keys, _, _, err := s.Load(); err != nil || len(keys) > 0 {
-		t.Errorf("%d keys of another time, %v", len(keys), err)
+		t.Errorf("%d keys of an earlier boot, %v", len(keys), err)
 	}
 }
 
-// A file in which bits have changed, or that was cut, at any place: no key comes back as
-// another than was kept, and nothing panics. What is damaged alone is left out alone.
-func TestBitRot(t *testing.T) {
+// With bits flipped or the file truncated at any place, no key is read back altered, and
+// nothing panics. A single corrupted record is skipped alone.
+func TestCorruption(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	var c clock
 	c.set("a", time.Hour)
@@ -244,13 +243,13 @@
 	if err == nil {
 		err = errors.Join(s.Replace(1, all), s.Close())
 	}
-	whole, e := os.ReadFile(path)
+	contents, e := os.ReadFile(path)
 	if err = errors.Join(err, e); err != nil {
 		t.Fatal(err)
 	}
-	random, alone := rand.New(rand.NewPCG(1, 1)), 0
+	random, skippedOne := rand.New(rand.NewPCG(1, 1)), 0
 	for round := range 400 {
-		b := bytes.Clone(whole)
+		b := bytes.Clone(contents)
 		if round%8 == 0 {
 			b = b[:random.IntN(len(b))]
 		} else {
@@ -261,28 +260,28 @@
 		}
 		s, err := Open(path, c.now)
 		if err != nil {
-			continue // told
+			continue // the corruption is reported
 		}
 		keys, _, _, err := s.Load()
 		if errors.Is(err, ErrDamaged) && len(keys) == len(all)-1 {
-			alone++
+			skippedOne++
 		}
 		for _, k := range keys {
 			if i := int(k.Key); i >= len(all) || k != all[i] {
-				t.Fatalf("round %d: %+v was never kept", round, k)
+				t.Fatalf("round %d: %+v was never stored", round, k)
 			}
 		}
 		s.Replace(1, keys)
 		s.Close()
 	}
-	if alone == 0 {
-		t.Error("no record was left out alone")
+	if skippedOne == 0 {
+		t.Error("no run skipped exactly one record")
 	}
 }
 
-// Records of the first version are read.
+// Records of version 1 are still read.
 func TestOlderRecords(t *testing.T) {
-	text, _ := json.Marshal(kept{plan.Clock{Boot: "a"}, note(7, time.Hour)})
+	text, _ := json.Marshal(storedKey{plan.Clock{Boot: "a"}, note(7, time.Hour)})
 	if k, err := decode(text); err != nil || k.Key.Key != 7 {
 		t.Errorf("%+v, %v", k, err)
 	}
--- a/internal/state/parts/parts.go
+++ b/internal/state/parts/parts.go
@@ -1,11 +1,11 @@
-// Package parts writes what is kept as parts, each with a checksum of its own, so that
-// one which is damaged on the disk is left out alone. It is pure.
+// Package parts encodes data as parts, each with its own checksum, so that only a
+// corrupted part is lost. It is pure.
 //
-// A part is a line: CRC-32C of its JSON in eight hexadecimal digits, and the JSON, in
-// which no line ends. It begins with the end of a line too, so that whatever stands
-// before it, half a part or something else, spoils that much and no more. It guards
-// against bits that change, and against what is cut off or written by half; a part that
-// is lost whole is not noticed here, and its reader has to do without it.
+// A part is a line: the CRC-32C of its JSON in eight hexadecimal digits, and the JSON,
+// which contains no newline. It also starts with a newline, so that a torn part or
+// garbage before it does not affect it. This detects bit flips, truncation and partial
+// writes; a part that is lost entirely is not detected, and the reader has to do without
+// it.
 package parts
 
 import (
@@ -17,11 +17,11 @@
 	"hash/crc32"
 )
 
-const sumDigits = 8
+const checksumDigits = 8
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Append appends a part to others.
+// Append appends an encoded part to dst.
 func Append(dst []byte, part any) ([]byte, error) {
 	text, err := json.Marshal(part)
 	if err != nil {
@@ -33,30 +33,30 @@
 	return append(dst, '\n'), nil
 }
 
-// Read returns the parts that are whole, in their order, and how many lines are not.
-// The parts are of b's memory.
-func Read(b []byte) (whole []json.RawMessage, damaged int) {
+// Read returns the valid parts in order, and the number of corrupted lines. The parts
+// share the memory of b.
+func Read(b []byte) (valid []json.RawMessage, damaged int) {
 	for line := range bytes.SplitSeq(b, []byte{'\n'}) {
 		if len(line) == 0 {
 			continue
 		}
-		if text, ok := check(line); ok {
-			whole = append(whole, text)
+		if text, ok := verify(line); ok {
+			valid = append(valid, text)
 		} else {
 			damaged++
 		}
 	}
-	return whole, damaged
+	return valid, damaged
 }
 
-func check(line []byte) (json.RawMessage, bool) {
-	var sum [sumDigits / 2]byte
-	if len(line) <= sumDigits {
+func verify(line []byte) (json.RawMessage, bool) {
+	var sum [checksumDigits / 2]byte
+	if len(line) <= checksumDigits {
 		return nil, false
 	}
-	if _, err := hex.Decode(sum[:], line[:sumDigits]); err != nil {
+	if _, err := hex.Decode(sum[:], line[:checksumDigits]); err != nil {
 		return nil, false
 	}
-	text := line[sumDigits:]
+	text := line[checksumDigits:]
 	return text, crc32.Checksum(text, castagnoli) == binary.BigEndian.Uint32(sum[:])
 }
--- a/internal/state/parts/parts_test.go
+++ b/internal/state/parts/parts_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is done to some of the bytes, the parts that they do not belong to are read,
-// and none is read that was not written.
-func TestDamage(t *testing.T) {
+// Whatever happens to some of the bytes, all parts that they do not belong to are read,
+// and no part is read that was not written.
+func TestReadCorrupted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		texts := rapid.SliceOfN(rapid.String(), 1, 6).Draw(rt, "texts")
 		var b []byte
 		var ends []int
 		for i := range texts {
-			texts[i] = fmt.Sprint(i, " ", texts[i]) // no two are the same
+			texts[i] = fmt.Sprint(i, " ", texts[i]) // make them distinct
 		}
 		for _, text := range texts {
 			var err error
@@ -28,12 +28,12 @@
 		}
 		from := rapid.IntRange(0, len(b)).Draw(rt, "from")
 		to := rapid.IntRange(from, min(from+20, len(b))).Draw(rt, "to")
-		spoilt := bytes.Clone(b[:from])
-		if rapid.Bool().Draw(rt, "altered") { // else it is lost
-			spoilt = append(spoilt, rapid.SliceOfN(rapid.Byte(), to-from, to-from).Draw(rt, "noise")...)
+		corrupted := bytes.Clone(b[:from])
+		if rapid.Bool().Draw(rt, "altered") { // else deleted
+			corrupted = append(corrupted, rapid.SliceOfN(rapid.Byte(), to-from, to-from).Draw(rt, "noise")...)
 		}
-		spoilt = append(spoilt, b[to:]...)
-		whole, _ := Read(spoilt)
+		corrupted = append(corrupted, b[to:]...)
+		whole, _ := Read(corrupted)
 		var got []string
 		for _, w := range whole {
 			var text string
@@ -44,18 +44,18 @@
 		}
 		begin := 0
 		for i, text := range texts {
-			if end := ends[i]; end <= from || begin >= to { // not touched
+			if end := ends[i]; end <= from || begin >= to { // not affected
 				if len(got) == 0 || got[0] != text {
-					rt.Fatalf("part %d, %q, is not read: %q", i, text, got)
+					rt.Fatalf("part %d, %q, is missing: %q", i, text, got)
 				}
 				got = got[1:]
-			} else if len(got) > 0 && got[0] == text { // as it was all the same
+			} else if len(got) > 0 && got[0] == text { // unchanged by the noise
 				got = got[1:]
 			}
 			begin = ends[i]
 		}
 		if len(got) > 0 {
-			rt.Fatalf("%q was not written", got)
+			rt.Fatalf("read parts that were never written: %q", got)
 		}
 	})
 }
@@ -66,7 +66,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		whole, damaged := Read(b)
 		if len(whole)+damaged > len(b) {
-			t.Errorf("%d parts of %d bytes", len(whole)+damaged, len(b))
+			t.Errorf("%d lines in %d bytes", len(whole)+damaged, len(b))
 		}
 	})
 }
--- a/internal/state/parts/rapid_test.go
+++ b/internal/state/parts/rapid_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The same verdict every time; another course is tried with -rapid.seed=N.
+// A fixed seed makes runs reproducible; -rapid.seed=N overrides it.
 func init() { flag.Set("rapid.seed", "1") }
--- a/internal/state/plan/plan.go
+++ b/internal/state/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan decides what is still worth something of what a sidecar kept on a
-// disk before it ended. It is pure: the clocks come in with the calls.
+// Package plan decides which parts of the persisted state of a sidecar are still valid.
+// It is pure: the clocks come in with the calls.
 package plan
 
 import (
@@ -10,85 +10,85 @@
 	"spokegw/internal/keyed"
 )
 
-// Version is that of what is kept. Of those before it all are read, each brought
-// forward to it; one after it is refused, as what it means is not known here.
+// Version is the current format version. Earlier versions are read and converted; later
+// ones are rejected, since their meaning is unknown.
 //
-//	1  one piece of JSON, an Image
+//	1  a single JSON value, an Image
 //	2  Parts, each with a checksum
 const Version = 2
 
-// checkVersion tells why a version can't be read; "": it can.
-func checkVersion(v int) string {
+// unsupportedVersion returns why a version can't be read; "": it can.
+func unsupportedVersion(v int) string {
 	switch {
 	case v > Version:
-		return fmt.Sprintf("it is of version %d, which a newer program made; up to %d are read here", v, Version)
+		return fmt.Sprintf("version %d was written by a newer program; versions up to %d are supported", v, Version)
 	case v < 1:
-		return fmt.Sprintf("it is of version %d; 1 to %d are expected", v, Version)
+		return fmt.Sprintf("version is %d, expected 1 to %d", v, Version)
 	}
 	return ""
 }
 
-// Clock is an instant, so that another process can tell how long ago it was.
+// Clock is an instant from which another process can compute the elapsed time.
 type Clock struct {
-	Boot  string        // names the run of the machine; "": not known
-	Since time.Duration // since the machine began, sleep included
+	Boot  string        // boot id of the machine; "": unknown
+	Since time.Duration // since boot, including suspend
 	Wall  time.Time
 }
 
-// Elapsed is how long ago an instant was. It is sure on the same run of a machine,
-// whatever happened to the clock of the day; else it is what that clock tells, which
-// may have been set, and never less than 0.
-func Elapsed(then, now Clock) (d time.Duration, sure bool) {
+// Elapsed is the time between two instants. It is exact within one boot of a machine,
+// whatever happened to the wall clock; else it is the difference of the wall clocks,
+// which may have been set, and at least 0.
+func Elapsed(then, now Clock) (d time.Duration, exact bool) {
 	if then.Boot != "" && then.Boot == now.Boot && now.Since >= then.Since {
 		return now.Since - then.Since, true
 	}
 	return max(now.Wall.Sub(then.Wall), 0), false
 }
 
-// Image is what is kept at one instant.
+// Image is the persisted state at one instant.
 type Image struct {
 	Version int
 	Name    string // of the sidecar
 	At      Clock
-	Ended   bool // in order: nothing was served after it
+	Ended   bool // shut down in order: no request was served after it
 	State   *handover.State
 }
 
-// Part is a part of an image. It stands on its own, so that others may be lost: of an
-// image that is damaged, or of several that follow each other.
+// Part is an independent part of an image, so that others may be lost: of one image that
+// is corrupted, or of several that follow each other.
 type Part struct {
 	Version int
 	Name    string // of the sidecar
 	At      Clock
 	Kind    Kind
-	Ended   bool              `json:",omitempty"` // as the image's; KindService
+	Ended   bool              `json:",omitempty"` // as in the image; KindService
 	Drained bool              `json:",omitempty"` // KindSidecar
 	IDs     *handover.IDs     `json:",omitempty"` // KindIDs
-	Hash    uint64            `json:",omitempty"` // that keys are made with; KindKeys
-	Service *handover.Service `json:",omitempty"` // its name, and what the kind tells of it
+	Hash    uint64            `json:",omitempty"` // hash key of the keyed requests; KindKeys
+	Service *handover.Service `json:",omitempty"` // its reference, and the fields of the kind
 }
 
-// Kind says what a part tells.
+// Kind is the type of a part.
 type Kind string
 
 const (
-	KindSidecar Kind = "sidecar" // what operators have said of the sidecar
-	KindIDs     Kind = "ids"     // of requests taken of late
-	KindService Kind = "service" // what operators have said of a service; speeds, capacity and contracts, with the classes that they are told by
-	KindMembers Kind = "members" // its list
-	KindKeys    Kind = "keys"    // its keyed requests
+	KindSidecar Kind = "sidecar" // operator settings of the sidecar
+	KindIDs     Kind = "ids"     // ids of recently accepted requests
+	KindService Kind = "service" // operator settings of a service; learned speeds and capacity, and usage of contracts, with the classes that they refer to
+	KindMembers Kind = "members" // endpoint list of a service
+	KindKeys    Kind = "keys"    // keyed requests of a service
 )
 
-// Parts are the parts of an image. One of an earlier version is brought forward.
-func Parts(i *Image) (all []Part, why string) {
+// Parts splits an image into its parts. An image of an earlier version is converted.
+func Parts(i *Image) (all []Part, reason string) {
 	if i == nil || i.State == nil {
-		return nil, "nothing is kept"
+		return nil, "no state is stored"
 	}
-	if why := checkVersion(i.Version); why != "" {
-		return nil, why
+	if reason := unsupportedVersion(i.Version); reason != "" {
+		return nil, reason
 	}
-	part := func(k Kind, of *handover.Service) *Part {
-		all = append(all, Part{Version: Version, Name: i.Name, At: i.At, Kind: k, Service: of})
+	part := func(k Kind, service *handover.Service) *Part {
+		all = append(all, Part{Version: Version, Name: i.Name, At: i.At, Kind: k, Service: service})
 		return &all[len(all)-1]
 	}
 	part(KindSidecar, nil).Drained = i.State.Drained
@@ -101,80 +101,81 @@
 	return all, ""
 }
 
-// What is kept is worth nothing when it is older than this. What is missing is
-// read as by a sidecar that has just been installed.
+// Persisted data older than these limits is ignored. Missing data is treated as by a
+// sidecar that has just been installed.
 const (
-	// MaxLearntAge is for speeds, capacity and health: the servers have other loads by
-	// then. Missing: nominal sizes, and every endpoint well.
+	// MaxLearntAge applies to speeds, capacity and health: the load of the servers has
+	// changed by then. If missing: nominal sizes, and every endpoint healthy.
 	MaxLearntAge = 10 * time.Minute
-	// MaxListAge is for the list: discovery is asked in any case, and this is what there
-	// is until it answers. Missing: what the configuration knows.
+	// MaxListAge applies to the endpoint list: discovery is called in any case, and the
+	// list is used until it answers. If missing: the endpoints of the configuration.
 	MaxListAge = time.Hour
-	// MaxIDAge is for ids of requests taken: nobody repeats one later. Missing: a request
-	// that was taken before the end may be taken again.
+	// MaxIDAge applies to ids of accepted requests: no client repeats one later. If
+	// missing: a request that was accepted before the end may be accepted again.
 	MaxIDAge = time.Minute
-	// MaxKeyAge bounds what is believed of keys where the time that has passed is not
-	// sure: they are kept as if none had, and dropped when this is over by any clock.
+	// MaxKeyAge limits keys if the elapsed time is uncertain: they are treated as if no
+	// time had passed, and dropped when this age is reached by any clock.
 	MaxKeyAge = time.Hour
-	// MaxUsageAge is for contracts. Missing: a fresh burst. It is adopted as it was:
-	// what a team had left then, and nothing for the time between. After a kill nobody
-	// knows what was used since: all that was saved up counts as used.
+	// MaxUsageAge applies to the usage of contracts. If missing: a full burst. It is
+	// restored unchanged: a team has the tokens that it had left, and none for the time
+	// between. After a kill the usage since then is unknown, so all saved-up tokens count
+	// as spent.
 	MaxUsageAge = time.Hour
 )
 
-// Usable is what is worth something of an image now; nil: nothing. The reason is
-// for the log.
-func Usable(i *Image, name string, now Clock) (st *handover.State, why string) {
-	parts, why := Parts(i)
-	if why != "" {
-		return nil, why
+// Usable returns the parts of an image that are still valid; nil: none. The reason is for
+// the log.
+func Usable(i *Image, name string, now Clock) (st *handover.State, reason string) {
+	parts, reason := Parts(i)
+	if reason != "" {
+		return nil, reason
 	}
 	return Merge(parts, name, now)
 }
 
-// Merge is what is worth something now of parts, of which the younger come last and go
-// before older ones of the same thing; nil: nothing. The reason is for the log.
-func Merge(parts []Part, name string, now Clock) (st *handover.State, why string) {
-	m := merging{state: &handover.State{}, services: map[handover.ServiceRef]int{}, hashes: map[handover.ServiceRef]uint64{}}
-	why = "nothing is kept"
-	any := false
+// Merge combines the parts that are still valid; later parts override earlier ones of the
+// same item; nil: none is valid. The reason is for the log.
+func Merge(parts []Part, name string, now Clock) (st *handover.State, reason string) {
+	m := merger{state: &handover.State{}, services: map[handover.ServiceRef]int{}, hashes: map[handover.ServiceRef]uint64{}}
+	reason = "no state is stored"
+	found := false
 	for i := range parts {
 		p := &parts[i]
-		switch w := checkVersion(p.Version); {
-		case w != "":
-			why = w
+		switch unsupported := unsupportedVersion(p.Version); {
+		case unsupported != "":
+			reason = unsupported
 		case p.Name != name:
-			why = "it is of another sidecar"
+			reason = "the state belongs to another sidecar"
 		default:
-			elapsed, sure := Elapsed(p.At, now)
-			m.add(p, elapsed, sure)
-			any = true
+			elapsed, exact := Elapsed(p.At, now)
+			m.add(p, elapsed, exact)
+			found = true
 		}
 	}
-	if !any {
-		return nil, why
+	if !found {
+		return nil, reason
 	}
-	m.matchKeys()
+	m.dropMismatchedKeys()
 	return m.state, ""
 }
 
-// merging is a Merge under way.
-type merging struct {
+// merger is the state of a Merge.
+type merger struct {
 	state    *handover.State
-	services map[handover.ServiceRef]int // places in the state's
+	services map[handover.ServiceRef]int // index into the services of the state
 	hashes   map[handover.ServiceRef]uint64
 }
 
-// mostServices bounds the services of a state: more than an operator's file has.
-const mostServices = 4096
+// maxServices bounds the services of a state: more than an operator file has.
+const maxServices = 4096
 
-func (m *merging) add(p *Part, elapsed time.Duration, sure bool) {
+func (m *merger) add(p *Part, elapsed time.Duration, exact bool) {
 	switch {
 	case p.Kind == KindSidecar:
 		m.state.Drained = p.Drained
 	case p.Kind == KindIDs && p.IDs != nil:
-		m.state.IDs = handover.IDs{Key: p.IDs.Key} // the key of the hashes goes with the keys as well
-		if elapsed <= MaxIDAge || !sure {
+		m.state.IDs = handover.IDs{Key: p.IDs.Key} // the keyed requests are hashed with the same key
+		if elapsed <= MaxIDAge || !exact {
 			m.state.IDs.Hashes = p.IDs.Hashes
 		}
 	case p.Service != nil:
@@ -182,26 +183,27 @@
 			if p.Kind == KindKeys {
 				m.hashes[s.ServiceRef] = p.Hash
 			}
-			use(s, p, elapsed, sure)
+			applyPart(s, p, elapsed, exact)
 		}
 	}
 }
 
-func (m *merging) service(of handover.ServiceRef) *handover.Service {
-	at, known := m.services[of]
+func (m *merger) service(ref handover.ServiceRef) *handover.Service {
+	index, known := m.services[ref]
 	if !known {
-		if at = len(m.state.Services); at == mostServices {
+		if index = len(m.state.Services); index == maxServices {
 			return nil
 		}
-		m.services[of] = at
-		m.state.Services = append(m.state.Services, handover.Service{ServiceRef: of})
+		m.services[ref] = index
+		m.state.Services = append(m.state.Services, handover.Service{ServiceRef: ref})
 	}
-	return &m.state.Services[at]
+	return &m.state.Services[index]
 }
 
-// matchKeys leaves out keys whose hashes are not those of the rest: nobody would find
-// them. Where the ids are lost the keys tell what they were made with.
-func (m *merging) matchKeys() {
+// dropMismatchedKeys drops keyed requests whose hash key is not that of the ids: no
+// lookup would find them. If the ids are lost, the first keyed requests determine the
+// hash key.
+func (m *merger) dropMismatchedKeys() {
 	for i := range m.state.Services {
 		s := &m.state.Services[i]
 		if hash := m.hashes[s.ServiceRef]; len(s.Keys) > 0 && m.state.IDs.Key == 0 {
@@ -212,41 +214,41 @@
 	}
 }
 
-// use puts what a part tells of a service, and is worth something, in the place of what
-// an older one told.
-func use(s *handover.Service, p *Part, elapsed time.Duration, sure bool) {
-	told := p.Service
+// applyPart replaces what an older part set of a service by what is still valid of this
+// one.
+func applyPart(s *handover.Service, p *Part, elapsed time.Duration, exact bool) {
+	from := p.Service
 	switch p.Kind {
 	case KindService:
-		s.Disabled, s.Classes, s.Learnt, s.Standing = told.Disabled, told.Classes, nil, nil
+		s.Disabled, s.Classes, s.Learnt, s.Standing = from.Disabled, from.Classes, nil, nil
 		if elapsed <= MaxLearntAge {
-			s.Learnt = told.Learnt
+			s.Learnt = from.Learnt
 		}
-		if elapsed <= MaxUsageAge && told.Standing != nil {
-			standing := *told.Standing
-			standing.Spent = standing.Spent || !p.Ended
-			s.Standing = &standing
+		if elapsed <= MaxUsageAge && from.Standing != nil {
+			usage := *from.Standing
+			usage.Spent = usage.Spent || !p.Ended
+			s.Standing = &usage
 		}
 	case KindMembers:
 		s.Members = handover.Members{}
 		if elapsed <= MaxListAge {
-			s.Members = told.Members
+			s.Members = from.Members
 		}
 	case KindKeys:
 		s.Keys = nil
-		for _, k := range told.Keys {
-			if k, ok := UsableKey(k, elapsed, sure); ok {
+		for _, k := range from.Keys {
+			if k, ok := UsableKey(k, elapsed, exact); ok {
 				s.Keys = append(s.Keys, k)
 			}
 		}
 	}
 }
 
-// UsableKey is a key's note after the time that has passed. Where that is not sure
-// its window may be over and may not: nobody may be sent a repeat then, for as long
-// as the client may ask again.
-func UsableKey(k keyed.Note, elapsed time.Duration, sure bool) (keyed.Note, bool) {
-	if sure {
+// UsableKey ages the note of a key by the elapsed time, and reports whether it is still
+// valid. If that time is uncertain the deduplication window may have closed: no retry may
+// be sent then for as long as the client may repeat the request.
+func UsableKey(k keyed.Note, elapsed time.Duration, exact bool) (keyed.Note, bool) {
+	if exact {
 		k.Age, k.Left = k.Age+elapsed, k.Left-elapsed
 		return k, k.Left > 0
 	}
--- a/internal/state/plan/plan_test.go
+++ b/internal/state/plan/plan_test.go
@@ -28,7 +28,7 @@
 	}}
 }
 
-// What is too old is left out, each by its own age, and the rest is as it was.
+// Each kind of data is dropped at its own age, and the rest is unchanged.
 func TestAges(t *testing.T) {
 	for after, want := range map[time.Duration]struct{ ids, learnt, list, standing, keys bool }{
 		time.Second:         {true, true, true, true, true},
@@ -37,20 +37,20 @@
 		30 * time.Minute:    {false, false, true, true, false},
 		40 * 24 * time.Hour: {},
 	} {
-		st, why := Usable(image(), "n0", Clock{"a", time.Hour + after, day.Add(-time.Hour)}) // the clock of the day has been set back
+		st, why := Usable(image(), "n0", Clock{"a", time.Hour + after, day.Add(-time.Hour)}) // the wall clock has been set back
 		if st == nil {
 			t.Fatalf("after %v: %s", after, why)
 		}
 		s := st.Services[0]
 		got := struct{ ids, learnt, list, standing, keys bool }{len(st.IDs.Hashes) > 0, len(s.Learnt) > 0, len(s.Members.Entries) > 0, s.Standing != nil, len(s.Keys) > 0}
 		if got != want || !st.Drained || len(s.Disabled) != 1 || st.IDs.Key != 3 {
-			t.Errorf("after %v: %+v, %+v is expected; %+v", after, got, want, st)
+			t.Errorf("after %v: got %+v, want %+v; %+v", after, got, want, st)
 		}
 	}
 }
 
-// Of a process that was not ended in order nobody knows what its teams used at last.
-func TestStandingAfterAKill(t *testing.T) {
+// After a kill the last usage of the teams is unknown.
+func TestUsageAfterKill(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		i := image()
 		i.Ended = ended
@@ -59,38 +59,38 @@
 			t.Errorf("ended %v: %+v %s", ended, st, why)
 		}
 		if i.State.Services[0].Standing.Spent {
-			t.Error("the image itself is changed")
+			t.Error("the image was modified")
 		}
 	}
 }
 
 func TestForeignImages(t *testing.T) {
-	for name, spoil := range map[string]func(*Image){
-		"another version": func(i *Image) { i.Version++ }, "another sidecar": func(i *Image) { i.Name = "n1" }, "nothing": func(i *Image) { i.State = nil },
+	for name, modify := range map[string]func(*Image){
+		"another version": func(i *Image) { i.Version++ }, "another sidecar": func(i *Image) { i.Name = "n1" }, "no state": func(i *Image) { i.State = nil },
 	} {
 		i := image()
-		spoil(i)
+		modify(i)
 		if st, why := Usable(i, "n0", i.At); st != nil || why == "" {
-			t.Errorf("%s was taken", name)
+			t.Errorf("image accepted: %s", name)
 		}
 	}
 }
 
-// Whatever the clocks do, a key is never allowed anywhere that it would not be if
-// the time that truly passed were known.
-func TestKeysAreSafe(t *testing.T) {
+// Whatever the clocks do, a retry of a key is never allowed where it would not be if the
+// true elapsed time were known.
+func TestKeySafety(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		span := func(what string, most time.Duration) time.Duration {
-			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(rt, what))
+		duration := func(what string, limit time.Duration) time.Duration {
+			return time.Duration(rapid.Int64Range(0, int64(limit)).Draw(rt, what))
 		}
 		i := image()
 		note := &i.State.Services[0].Keys[0]
-		note.Window, note.Age = span("window", 20*time.Second), span("age", 10*time.Second)
-		note.Left = span("left", 30*time.Second)
-		passed := span("passed", 40*time.Second)
+		note.Window, note.Age = duration("window", 20*time.Second), duration("age", 10*time.Second)
+		note.Left = duration("left", 30*time.Second)
+		passed := duration("passed", 40*time.Second)
 		now := Clock{"a", i.At.Since + passed, day.Add(time.Duration(rapid.Int64Range(-int64(time.Hour), int64(30*time.Minute)).Draw(rt, "set")))}
 		if rapid.Bool().Draw(rt, "booted") {
-			now.Boot, now.Since = "b", span("since", time.Minute)
+			now.Boot, now.Since = "b", duration("since", time.Minute)
 		}
 		st, _ := Usable(i, "n0", now)
 		table := keyed.New()
@@ -99,13 +99,13 @@
 		}
 		e, known := table.Find(0, 9)
 		to := policy.Endpoint{Cell: rapid.SampledFrom([]int{4, 5}).Draw(rt, "cell")}
-		asked := note.Left > passed // a client may ask again still
-		drops := to.Cell == 4 && note.Age+passed < note.Window
-		if asked && !known {
-			rt.Fatal("a key that may come again is not known")
+		repeatable := note.Left > passed // the client may still repeat the request
+		deduplicated := to.Cell == 4 && note.Age+passed < note.Window
+		if repeatable && !known {
+			rt.Fatal("a key that may be repeated is missing")
 		}
-		if known && asked && e.Allows(0, to) && !drops {
-			rt.Fatal("a repeat may go where it is not dropped")
+		if known && repeatable && e.Allows(0, to) && !deduplicated {
+			rt.Fatal("a retry is allowed where it is not deduplicated")
 		}
 	})
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -19,9 +19,8 @@
 	"spokegw/internal/state/plan"
 )
 
-// known is what a sidecar knows of two services; what is told of it is told apart by a
-// number.
-func known(n int) *handover.State {
+// testState returns the state of a sidecar with two services; n distinguishes states.
+func testState(n int) *handover.State {
 	st := &handover.State{Drained: n%2 == 1, IDs: handover.IDs{Key: 3, Hashes: []uint64{uint64(n)}}}
 	for _, of := range []handover.ServiceRef{{Platform: true}, {Service: "weather"}} {
 		st.Services = append(st.Services, handover.Service{
@@ -35,8 +34,8 @@
 	return st
 }
 
-// ageless leaves out what the clock makes of an image between two looks at it.
-func ageless(st *handover.State) *handover.State {
+// clearAges clears the fields of a state that depend on the time of reading.
+func clearAges(st *handover.State) *handover.State {
 	for i := range st.Services {
 		for k := range st.Services[i].Keys {
 			st.Services[i].Keys[k].Age, st.Services[i].Keys[k].Left = 0, 0
@@ -45,8 +44,8 @@
 	return st
 }
 
-// mustDecode is what is worth something of a file with these images, one of its bytes
-// changed; at < 0: none.
+// mustDecode decodes a file with these images after flipping one bit, counted in bytes
+// from the end; at < 0: none.
 func mustDecode(t *rapid.T, images [][]byte, at int, bit uint) *handover.State {
 	var b []byte
 	for _, image := range images {
@@ -66,15 +65,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ageless(st)
+	return clearAges(st)
 }
 
-// Where a bit of the last image has changed on the disk, one part at most is the image's
-// before, or is not known where there is none; all others are the last's.
-func TestImageRot(t *testing.T) {
+// After a bit flip in the last image at most one part is that of the previous image, or
+// missing if there is none; all others are from the last image.
+func TestImageCorruption(t *testing.T) {
 	var images [][]byte
 	for n := range 3 {
-		image, err := Encode("n0", known(n), false)
+		image, err := Encode("n0", testState(n), false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -93,44 +92,44 @@
 			before = &handover.State{Services: make([]handover.Service, 2)}
 		}
 		lost := 0
-		differ := func(what string, got, new, old any) {
+		compare := func(what string, got, want, previous any) {
 			switch {
-			case reflect.DeepEqual(got, new):
-			case !reflect.DeepEqual(got, old):
-				rt.Fatalf("%s is %v, neither %v nor %v", what, got, new, old)
+			case reflect.DeepEqual(got, want):
+			case !reflect.DeepEqual(got, previous):
+				rt.Fatalf("%s is %v, want %v or %v", what, got, want, previous)
 			default:
 				lost++
 			}
 		}
-		differ("drained", st.Drained, last.Drained, before.Drained)
-		differ("ids", st.IDs.Hashes, last.IDs.Hashes, before.IDs.Hashes)
+		compare("drained", st.Drained, last.Drained, before.Drained)
+		compare("ids", st.IDs.Hashes, last.IDs.Hashes, before.IDs.Hashes)
 		if st.IDs.Key != 3 {
-			rt.Fatalf("the key of the hashes is %d", st.IDs.Key)
+			rt.Fatalf("hash key is %d", st.IDs.Key)
 		}
 		for i := range last.Services {
 			of := last.Services[i].ServiceRef
 			g, n, o := st.Find(of), &last.Services[i], &before.Services[i]
 			if g == nil {
-				rt.Fatalf("%+v is not known", of)
+				rt.Fatalf("service %+v is missing", of)
 			}
-			differ("list", g.Members, n.Members, o.Members)
-			differ("keys", g.Keys, n.Keys, o.Keys)
-			differ("learnt", []any{g.Learnt, g.Classes, g.Disabled, g.Standing}, []any{n.Learnt, n.Classes, n.Disabled, n.Standing}, []any{o.Learnt, o.Classes, o.Disabled, o.Standing})
+			compare("list", g.Members, n.Members, o.Members)
+			compare("keys", g.Keys, n.Keys, o.Keys)
+			compare("learnt", []any{g.Learnt, g.Classes, g.Disabled, g.Standing}, []any{n.Learnt, n.Classes, n.Disabled, n.Standing}, []any{o.Learnt, o.Classes, o.Disabled, o.Standing})
 		}
 		if lost > 1 {
-			rt.Fatalf("%d parts are lost by one bit", lost)
+			rt.Fatalf("%d parts are lost by one bit flip", lost)
 		}
 	})
 }
 
-// An image of the first version is brought forward; one of a version to come is refused
-// with the reason, and so is a part of one.
+// An image of version 1 is converted; one of an unknown later version is rejected with
+// the reason, and so is a part of one.
 func TestVersions(t *testing.T) {
-	first, err := json.Marshal(plan.Image{Version: 1, Name: "n0", At: Now(), State: known(1)})
+	first, err := json.Marshal(plan.Image{Version: 1, Name: "n0", At: Now(), State: testState(1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := Encode("n0", known(1), false)
+	second, err := Encode("n0", testState(1), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,23 +138,23 @@
 		t.Fatal(err)
 	}
 	now, err := Decode("n0", second, nil)
-	if err != nil || !reflect.DeepEqual(ageless(old), ageless(now)) {
-		t.Errorf("%+v of the first version, %+v of the second, %v", old, now, err)
+	if err != nil || !reflect.DeepEqual(clearAges(old), clearAges(now)) {
+		t.Errorf("version 1: %+v, version 2: %+v, %v", old, now, err)
 	}
 	third := bytes.Replace(first, []byte(`"Version":1`), []byte(`"Version":3`), 1)
-	if _, err := Decode("n0", third, nil); err == nil || !strings.Contains(err.Error(), "of version 3, which a newer program made") {
+	if _, err := Decode("n0", third, nil); err == nil || !strings.Contains(err.Error(), "version 3 was written by a newer program") {
 		t.Errorf("%v", err)
 	}
 	if _, err := Decode("n1", second, nil); err == nil || !strings.Contains(err.Error(), "another sidecar") {
 		t.Errorf("%v", err)
 	}
 	if _, err := Decode("n0", []byte("{"), nil); err == nil {
-		t.Error("half an image was read")
+		t.Error("truncated image was accepted")
 	}
 }
 
-// Of moves a service's last whole part counts, whichever version it is of.
-func TestKeptMoves(t *testing.T) {
+// The last valid part of each service counts, whichever version it has.
+func TestSavedMoves(t *testing.T) {
 	a, b := SavedMoves{ServiceRef: handover.ServiceRef{Service: "a"}, Moves: []moves.Record{{Name: "x", Share: 0.1}}}, SavedMoves{ServiceRef: handover.ServiceRef{Service: "b"}}
 	first, err := json.Marshal([]SavedMoves{a, b})
 	if err != nil {
@@ -172,7 +171,7 @@
 		}
 	}
 	if all, err := DecodeMoves(first, second[8:]); err != nil || all[0].Moves[0].Share != 0.1 {
-		t.Errorf("spoilt in a: %+v, %v", all, err)
+		t.Errorf("corrupted in a: %+v, %v", all, err)
 	}
 	if none, err := EncodeMoves(nil); err != nil || len(none) == 0 {
 		t.Errorf("%q, %v", none, err)
