--- a/internal/moves/judge/evidence.go
+++ b/internal/moves/judge/evidence.go
@@ -92,34 +92,34 @@
 	logWeights []float64 // log weights at odds ratio 1, from minBad on, up to a constant factor
 }
 
-func (c *hypergeometric) compute(b *Block) {
+func (h *hypergeometric) compute(b *Block) {
 	bad := b.NewBad + b.OldBad
-	c.minBad = max(0, bad-b.Old)
+	h.minBad = max(0, bad-b.Old)
 	hi := min(bad, b.New)
-	c.logWeights = append(c.logWeights[:0], 0)
-	for k := c.minBad; k < hi; k++ {
-		up := float64(b.New-k) * float64(bad-k)
-		down := float64(k+1) * float64(b.Old-bad+k+1)
-		c.logWeights = append(c.logWeights, c.logWeights[len(c.logWeights)-1]+math.Log(up/down))
+	h.logWeights = append(h.logWeights[:0], 0)
+	for k := h.minBad; k < hi; k++ {
+		num := float64(b.New-k) * float64(bad-k)
+		denom := float64(k+1) * float64(b.Old-bad+k+1)
+		h.logWeights = append(h.logWeights, h.logWeights[len(h.logWeights)-1]+math.Log(num/denom))
 	}
 }
 
 // degenerate reports whether only one outcome is possible: the block carries no
 // information.
-func (c *hypergeometric) degenerate() bool { return len(c.logWeights) == 1 }
+func (h *hypergeometric) degenerate() bool { return len(h.logWeights) == 1 }
 
 // logProb is the log probability of k at the given log odds ratio.
-func (c *hypergeometric) logProb(k int, logOdds float64) float64 {
+func (h *hypergeometric) logProb(k int, logOdds float64) float64 {
 	top := math.Inf(-1)
-	for i, l := range c.logWeights {
+	for i, l := range h.logWeights {
 		top = max(top, l+float64(i)*logOdds)
 	}
 	sum := 0.0
-	for i, l := range c.logWeights {
+	for i, l := range h.logWeights {
 		sum += math.Exp(l + float64(i)*logOdds - top)
 	}
-	i := k - c.minBad
-	return c.logWeights[i] + float64(i)*logOdds - top - math.Log(sum)
+	i := k - h.minBad
+	return h.logWeights[i] + float64(i)*logOdds - top - math.Log(sum)
 }
 
 // logLikelihoodRatio is that of rate p over rate q for bad out of n.
--- a/internal/moves/judge/judge_test.go
+++ b/internal/moves/judge/judge_test.go
@@ -25,19 +25,19 @@
 
 // meanGrowth returns the mean growth of each e-process in one block at the true rates p
 // and q, over all outcomes.
-func meanGrowth(g Guard, newN, oldN int, p, q float64) (over, ratio, fine, alike float64) {
+func meanGrowth(g Guard, newN, oldN int, p, q float64) (newOverBound, overMargin, nearBound, nearMargin float64) {
 	for x, px := range binomial(newN, p) {
 		for y, py := range binomial(oldN, q) {
 			t := NewSequentialTest(g)
 			t.Add(Block{newN, x, oldN, y})
 			w := startWeight(0)
-			over += px * py * t.newOverBound.value() / w
-			ratio += px * py * t.overMargin.value() / w
-			fine += px * py * t.nearBound.value() / w
-			alike += px * py * t.nearMargin.value() / w
+			newOverBound += px * py * t.newOverBound.value() / w
+			overMargin += px * py * t.overMargin.value() / w
+			nearBound += px * py * t.nearBound.value() / w
+			nearMargin += px * py * t.nearMargin.value() / w
 		}
 	}
-	return over, ratio, fine, alike
+	return newOverBound, overMargin, nearBound, nearMargin
 }
 
 func odds(p float64) float64 { return p / (1 - p) }
@@ -49,19 +49,19 @@
 		g := Guard{Bound: rapid.Float64Range(0.001, 0.2).Draw(rt, "bound"), Margin: rapid.Float64Range(1, 3).Draw(rt, "margin")}
 		newN, oldN := rapid.IntRange(0, 7).Draw(rt, "new"), rapid.IntRange(0, 7).Draw(rt, "old")
 		p, q := rapid.Float64Range(0.001, 0.95).Draw(rt, "p"), rapid.Float64Range(0.001, 0.95).Draw(rt, "q")
-		over, ratio, fine, alike := meanGrowth(g, newN, oldN, p, q)
+		newOverBound, overMargin, nearBound, nearMargin := meanGrowth(g, newN, oldN, p, q)
 		const slack = 1 + 1e-9
-		if p <= g.Bound && over > slack {
-			rt.Errorf("rate within the bound: evidence for a higher rate grows by %v", over)
+		if p <= g.Bound && newOverBound > slack {
+			rt.Errorf("rate within the bound: evidence for a higher rate grows by %v", newOverBound)
 		}
-		if odds(p) <= g.Margin*odds(q) && ratio > slack {
-			rt.Errorf("odds within the margin: evidence for higher odds grows by %v", ratio)
+		if odds(p) <= g.Margin*odds(q) && overMargin > slack {
+			rt.Errorf("odds within the margin: evidence for higher odds grows by %v", overMargin)
 		}
-		if p >= excludedRatio*g.Bound && fine > slack {
-			rt.Errorf("rate far over the bound: evidence for a lower rate grows by %v", fine)
+		if p >= excludedRatio*g.Bound && nearBound > slack {
+			rt.Errorf("rate far over the bound: evidence for a lower rate grows by %v", nearBound)
 		}
-		if odds(p) >= excludedRatio*g.Margin*odds(q) && alike > slack {
-			rt.Errorf("odds far over the margin: evidence for lower odds grows by %v", alike)
+		if odds(p) >= excludedRatio*g.Margin*odds(q) && nearMargin > slack {
+			rt.Errorf("odds far over the margin: evidence for lower odds grows by %v", nearMargin)
 		}
 	})
 }
@@ -108,7 +108,7 @@
 	g := Guard{Bound: 0.005, Margin: 1.5}
 	for name, c := range map[string]struct {
 		rates  func(int) (float64, float64)
-		blames bool // whether the new pool is judged worse within that many blocks
+		worse  bool // whether the new pool is judged worse within that many blocks
 		blocks int
 	}{
 		"a fault of 5%": {steady(0.05, 0), true, 120},
@@ -141,7 +141,7 @@
 			for seed := range uint64(20) {
 				tr := NewSequentialTest(g)
 				at := addBlocks(tr, rand.New(rand.NewPCG(seed, 1)), c.blocks, 6, 100, c.rates, func() bool { return tr.WorseEvidence() >= level })
-				if (at >= 0) != c.blames {
+				if (at >= 0) != c.worse {
 					t.Errorf("seed %d: judged worse at block %d, totals %v", seed, at, tr.total)
 				}
 			}
@@ -180,7 +180,7 @@
 	for name, c := range map[string]struct {
 		slower float64
 		surge  bool
-		blames bool
+		worse  bool
 	}{"1.3 times": {1.3, false, true}, "1.3 times in a surge": {1.3, true, true}, "as fast": {1, false, false}, "in a surge": {1, true, false}, "within the margin": {1.08, false, false}} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
@@ -203,7 +203,7 @@
 					tr.Add(p.TakeBlock())
 					judgedWorse = judgedWorse || tr.WorseEvidence() >= level
 				}
-				if judgedWorse != c.blames {
+				if judgedWorse != c.worse {
 					t.Errorf("seed %d: judged worse: %v; %v", seed, judgedWorse, tr.total)
 				}
 			}
--- a/internal/moves/judge/latency.go
+++ b/internal/moves/judge/latency.go
@@ -37,51 +37,51 @@
 }
 
 // AddOld adds a latency of the old pool.
-func (p *LatencyComparison) AddOld(took time.Duration) {
+func (c *LatencyComparison) AddOld(took time.Duration) {
 	s := max(took.Seconds(), 1e-6)
-	if p.block.Old < MaxBlock {
-		p.block.Old++
-		if p.median > 0 && s > p.median {
-			p.block.OldBad++
+	if c.block.Old < MaxBlock {
+		c.block.Old++
+		if c.median > 0 && s > c.median {
+			c.block.OldBad++
 		}
 	}
-	p.samples++
+	c.samples++
 	l := math.Log(s)
-	if p.samples == 1 {
-		p.logMedian = l
+	if c.samples == 1 {
+		c.logMedian = l
 		return
 	}
-	step := 1 / min(float64(p.samples), medianWindow) // a sign-based update tracks the median
-	if l > p.logMedian {
-		p.logMedian += step
+	step := 1 / min(float64(c.samples), medianWindow) // a sign-based update tracks the median
+	if l > c.logMedian {
+		c.logMedian += step
 	} else {
-		p.logMedian -= step
+		c.logMedian -= step
 	}
 }
 
 // AddNew adds a latency of the new pool.
-func (p *LatencyComparison) AddNew(took time.Duration) {
-	if p.block.New < MaxBlock {
-		p.block.New++
-		if p.median > 0 && took.Seconds()/p.margin > p.median {
-			p.block.NewBad++
+func (c *LatencyComparison) AddNew(took time.Duration) {
+	if c.block.New < MaxBlock {
+		c.block.New++
+		if c.median > 0 && took.Seconds()/c.margin > c.median {
+			c.block.NewBad++
 		}
 	}
 }
 
 // TakeBlock ends the block and returns it; it is empty until the median is known.
-func (p *LatencyComparison) TakeBlock() (b Block) {
-	if p.median > 0 {
-		b = p.block
+func (c *LatencyComparison) TakeBlock() (b Block) {
+	if c.median > 0 {
+		b = c.block
 	}
-	p.block = Block{}
-	if p.samples >= minSamples {
-		p.median = math.Exp(p.logMedian)
+	c.block = Block{}
+	if c.samples >= minSamples {
+		c.median = math.Exp(c.logMedian)
 	}
 	return b
 }
 
 // Median is the median latency of the old pool; 0 until it is known.
-func (p *LatencyComparison) Median() time.Duration {
-	return time.Duration(p.median * float64(time.Second))
+func (c *LatencyComparison) Median() time.Duration {
+	return time.Duration(c.median * float64(time.Second))
 }
--- a/internal/moves/moves_test.go
+++ b/internal/moves/moves_test.go
@@ -78,8 +78,8 @@
 				if c.undone && p.UndoneAt < 0 || !c.undone && p.DoneAt < 0 {
 					t.Errorf("seed %d: undone at %d s, done at %d s\n%v\n%+v", seed, p.UndoneAt, p.DoneAt, p.Log, p.Progress())
 				}
-				if part := float64(p.Harmed) / float64(p.Asked); c.harmed > 0 && part > c.harmed {
-					t.Errorf("seed %d: %.2f%% of all requests were harmed in %d s\n%v", seed, 100*part, p.UndoneAt, p.Log)
+				if harmed := float64(p.Harmed) / float64(p.Asked); c.harmed > 0 && harmed > c.harmed {
+					t.Errorf("seed %d: %.2f%% of all requests were harmed in %d s\n%v", seed, 100*harmed, p.UndoneAt, p.Log)
 				}
 			}
 		})
@@ -240,9 +240,9 @@
 		t.Errorf("%d of %d keys are routed to the new pool at a share of 0.25", routed, n)
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		place := moves.Position(rapid.Uint64().Draw(rt, "key"), rapid.Uint64().Draw(rt, "salt"))
-		if place < 0 || place >= 1 {
-			rt.Errorf("position %v is outside [0, 1)", place)
+		position := moves.Position(rapid.Uint64().Draw(rt, "key"), rapid.Uint64().Draw(rt, "salt"))
+		if position < 0 || position >= 1 {
+			rt.Errorf("position %v is outside [0, 1)", position)
 		}
 		pools := moves.Pools{From: rapid.Uint8().Draw(rt, "from"), To: rapid.Uint8().Draw(rt, "to")}
 		pools.To &^= pools.From
--- a/internal/moves/progress_test.go
+++ b/internal/moves/progress_test.go
@@ -21,12 +21,12 @@
 }
 
 type modelEvent struct {
-	action  string
-	worse   bool
-	common  bool
-	enough  bool
-	at      Conditions
-	seconds int
+	action      string
+	regression  bool
+	commonFault bool
+	sufficient  bool
+	conditions  Conditions
+	seconds     int
 }
 
 var modelPlans = []Plan{
@@ -47,12 +47,12 @@
 func (s modelState) events() (all []modelEvent) {
 	healthy := Conditions{From: 4, To: 4, FromCapacity: 1, ToCapacity: 1}
 	for _, at := range []Conditions{healthy, {From: 2, To: 4, FromCapacity: 0.5, ToCapacity: 1}, {From: 4, To: 0, FromCapacity: 1}, {From: 4, To: 4, FromCapacity: 1, ToCapacity: 0.1}} {
-		all = append(all, modelEvent{action: "tick", at: at, enough: true, seconds: 1}, modelEvent{action: "tick", at: at, seconds: 1},
-			modelEvent{action: "tick", at: at, worse: true, seconds: 1})
+		all = append(all, modelEvent{action: "tick", conditions: at, sufficient: true, seconds: 1}, modelEvent{action: "tick", conditions: at, seconds: 1},
+			modelEvent{action: "tick", conditions: at, regression: true, seconds: 1})
 	}
-	all = append(all, modelEvent{action: "tick", at: healthy, common: true, enough: true, seconds: 1}, modelEvent{action: "tick", at: healthy, enough: true, worse: true, seconds: 9})
+	all = append(all, modelEvent{action: "tick", conditions: healthy, commonFault: true, sufficient: true, seconds: 1}, modelEvent{action: "tick", conditions: healthy, sufficient: true, regression: true, seconds: 9})
 	for _, command := range []string{"begin", "hold", "go-on", "undo", "other plan", "another process"} {
-		all = append(all, modelEvent{action: command, at: healthy})
+		all = append(all, modelEvent{action: command, conditions: healthy})
 	}
 	return all
 }
@@ -63,15 +63,15 @@
 	switch e.action {
 	case "tick":
 		n.ended++
-		v := Assessment{Sufficient: e.enough, NewRequests: n.ended}
-		if e.worse {
-			v.Regression = "worse"
+		a := Assessment{Sufficient: e.sufficient, NewRequests: n.ended}
+		if e.regression {
+			a.Regression = "worse"
 		}
-		if e.common {
-			v.CommonFault = "common"
+		if e.commonFault {
+			a.CommonFault = "common"
 		}
-		n.Progress.Tick(n.now, &modelPlans[n.plan], v, e.at)
-		return n, s.checkTick(e, &n, v)
+		n.Progress.Tick(n.now, &modelPlans[n.plan], a, e.conditions)
+		return n, s.checkTick(e, &n, a)
 	case "other plan":
 		n.plan = 1 - n.plan
 		n.Restore(n.now, &modelPlans[n.plan])
@@ -90,7 +90,7 @@
 
 func final(p Phase) bool { return p == Undone || p == Done }
 
-func (s *modelState) checkTick(e modelEvent, n *modelState, v Assessment) error {
+func (s *modelState) checkTick(e modelEvent, n *modelState, a Assessment) error {
 	plan := &modelPlans[s.plan]
 	stepped := n.Step > s.Step && s.Phase != Waiting || n.Phase == Watching && s.Phase != Watching
 	switch {
@@ -100,13 +100,13 @@
 		return errResumed
 	case n.Phase == Undone && n.Share != 0:
 		return errStillRouted
-	case n.Share > s.Share && (n.Phase != Moving || n.Share > plan.Steps[n.Step] || n.Share > e.at.ToCapacity):
+	case n.Share > s.Share && (n.Phase != Moving || n.Share > plan.Steps[n.Step] || n.Share > e.conditions.ToCapacity):
 		return errShareGrew
-	case stepped && (s.Phase != Moving || s.Share < plan.Steps[s.Step] || n.now-s.Since < plan.StepTime || v.NewRequests-s.EndedAtStart < plan.StepRequests || !e.enough || e.common || e.at.To == 0):
+	case stepped && (s.Phase != Moving || s.Share < plan.Steps[s.Step] || n.now-s.Since < plan.StepTime || a.NewRequests-s.EndedAtStart < plan.StepRequests || !e.sufficient || e.commonFault || e.conditions.To == 0):
 		return errStepSkipped
 	case n.Step > s.Step+1:
 		return errStepSkipped
-	case e.worse && e.seconds == 1 && s.Phase.UnderWay() && n.Phase != Undoing && n.Phase != Undone:
+	case e.regression && e.seconds == 1 && s.Phase.UnderWay() && n.Phase != Undoing && n.Phase != Undone:
 		return errNotUndone
 	}
 	return nil
@@ -117,11 +117,11 @@
 	valid := false
 	switch e.action {
 	case "begin":
-		err, valid = n.Begin(n.now, n.ended, e.at), s.Phase == Waiting
+		err, valid = n.Begin(n.now, n.ended, e.conditions), s.Phase == Waiting
 	case "hold":
 		err, valid = n.Hold(n.now, n.ended, "held"), s.Phase == Moving || s.Phase == Halted || s.Phase == Watching || s.Phase == Paused
 	case "go-on":
-		err, valid = n.Resume(n.now, n.ended, e.at), s.Phase == Paused || s.Phase == Halted
+		err, valid = n.Resume(n.now, n.ended, e.conditions), s.Phase == Paused || s.Phase == Halted
 	case "undo":
 		err, valid = n.Undo(n.now, n.ended, "undone"), s.Phase != Waiting && s.Phase != Undone && s.Phase != Undoing
 	}
@@ -158,30 +158,30 @@
 // Operators are shown what a move waits for, and why it has stopped.
 func TestProgressReasons(t *testing.T) {
 	c, p := Progress{Phase: Waiting}, &modelPlans[0]
-	at := Conditions{From: 4, To: 4, FromCapacity: 1, ToCapacity: 0.1}
+	cond := Conditions{From: 4, To: 4, FromCapacity: 1, ToCapacity: 0.1}
 	if err := c.Begin(0, 0, Conditions{From: 4}); err == nil || !strings.Contains(err.Error(), "0 in the new") {
 		t.Errorf("begin with an empty pool: %v", err)
 	}
-	if err := c.Begin(0, 0, at); err != nil {
+	if err := c.Begin(0, 0, cond); err != nil {
 		t.Fatal(err)
 	}
-	tick := func(s int, v Assessment) string {
-		c.Tick(time.Duration(s)*time.Second, p, v, at)
+	tick := func(s int, a Assessment) string {
+		c.Tick(time.Duration(s)*time.Second, p, a, cond)
 		return c.WaitingFor + c.Why
 	}
 	for i, want := range []string{"capacity for only 10%", "of the step's time", "of the step's time", "1 of the step's requests", "evidence", "both are slow", ""} {
-		v := Assessment{Sufficient: true, NewRequests: 5}
+		a := Assessment{Sufficient: true, NewRequests: 5}
 		switch i {
 		case 1:
-			at.ToCapacity = 1
+			cond.ToCapacity = 1
 		case 4:
-			v.NewRequests, v.Sufficient, v.Missing = 9, false, "evidence"
+			a.NewRequests, a.Sufficient, a.Missing = 9, false, "evidence"
 		case 5:
-			v.CommonFault = "both are slow"
+			a.CommonFault = "both are slow"
 		case 6:
-			at.From = 1
+			cond.From = 1
 		}
-		if got := tick(i+1, v); !strings.Contains(got, want) {
+		if got := tick(i+1, a); !strings.Contains(got, want) {
 			t.Errorf("second %d: got %q, want %q", i+1, got, want)
 		}
 	}
