--- a/internal/state/accepted_test.go
+++ b/internal/state/accepted_test.go
@@ -29,13 +29,13 @@
 	if b, err := DecodeAccepted("n0", record); err != nil || b.Text != "rate = 1" || !b.Marks[0].At.Equal(time.Unix(10, 0)) {
 		t.Errorf("%+v, %v", b, err)
 	}
-	whole := string(record)
+	text := string(record)
 	for why, c := range map[string]struct{ name, record string }{
-		`to sidecar "n0"`:    {"n1", whole},
-		"has version 2":      {"n0", strings.Replace(whole, `"Version":1`, `"Version":2`, 1)},
-		"not match the hash": {"n0", strings.Replace(whole, "rate = 1", "rate = 9", 1)},
+		`to sidecar "n0"`:    {"n1", text},
+		"has version 2":      {"n0", strings.Replace(text, `"Version":1`, `"Version":2`, 1)},
+		"not match the hash": {"n0", strings.Replace(text, "rate = 1", "rate = 9", 1)},
 		"no applied file":    {"n0", `{"Version":1,"Name":"n0"}`},
-		"unexpected end":     {"n0", whole[:len(whole)-1]},
+		"unexpected end":     {"n0", text[:len(text)-1]},
 	} {
 		if _, err := DecodeAccepted(c.name, []byte(c.record)); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("want an error with %q, got %v", why, err)
--- a/internal/state/keystore/keystore.go
+++ b/internal/state/keystore/keystore.go
@@ -393,7 +393,7 @@
 			continue
 		}
 		elapsed, exact := plan.Elapsed(k.At, l.now)
-		if note, usable := plan.UsableKey(k.Key.Note, elapsed, exact); usable {
+		if note, valid := plan.UsableKey(k.Key.Note, elapsed, exact); valid {
 			k.Key.Note = note
 			l.keys = append(l.keys, k.Key)
 		}
--- a/internal/state/parts/parts_test.go
+++ b/internal/state/parts/parts_test.go
@@ -33,9 +33,9 @@
 			corrupted = append(corrupted, rapid.SliceOfN(rapid.Byte(), to-from, to-from).Draw(rt, "noise")...)
 		}
 		corrupted = append(corrupted, b[to:]...)
-		whole, _ := Read(corrupted)
+		valid, _ := Read(corrupted)
 		var got []string
-		for _, w := range whole {
+		for _, w := range valid {
 			var text string
 			if err := json.Unmarshal(w, &text); err != nil {
 				rt.Fatal(err)
@@ -64,9 +64,9 @@
 	b, _ := Append(nil, "one")
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		whole, damaged := Read(b)
-		if len(whole)+damaged > len(b) {
-			t.Errorf("%d lines in %d bytes", len(whole)+damaged, len(b))
+		valid, damaged := Read(b)
+		if len(valid)+damaged > len(b) {
+			t.Errorf("%d lines in %d bytes", len(valid)+damaged, len(b))
 		}
 	})
 }
--- a/internal/state/plan/plan_test.go
+++ b/internal/state/plan/plan_test.go
@@ -30,21 +30,21 @@
 
 // Each kind of data is dropped at its own age, and the rest is unchanged.
 func TestAges(t *testing.T) {
-	for after, want := range map[time.Duration]struct{ ids, learnt, list, standing, keys bool }{
+	for elapsed, want := range map[time.Duration]struct{ ids, learnt, list, standing, keys bool }{
 		time.Second:         {true, true, true, true, true},
 		9 * time.Second:     {true, true, true, true, false},
 		2 * time.Minute:     {false, true, true, true, false},
 		30 * time.Minute:    {false, false, true, true, false},
 		40 * 24 * time.Hour: {},
 	} {
-		st, why := Usable(image(), "n0", Clock{"a", time.Hour + after, day.Add(-time.Hour)}) // the wall clock has been set back
+		st, why := Usable(image(), "n0", Clock{"a", time.Hour + elapsed, day.Add(-time.Hour)}) // the wall clock has been set back
 		if st == nil {
-			t.Fatalf("after %v: %s", after, why)
+			t.Fatalf("after %v: %s", elapsed, why)
 		}
 		s := st.Services[0]
 		got := struct{ ids, learnt, list, standing, keys bool }{len(st.IDs.Hashes) > 0, len(s.Learnt) > 0, len(s.Members.Entries) > 0, s.Standing != nil, len(s.Keys) > 0}
 		if got != want || !st.Drained || len(s.Disabled) != 1 || st.IDs.Key != 3 {
-			t.Errorf("after %v: got %+v, want %+v; %+v", after, got, want, st)
+			t.Errorf("after %v: got %+v, want %+v; %+v", elapsed, got, want, st)
 		}
 	}
 }
@@ -87,8 +87,8 @@
 		note := &i.State.Services[0].Keys[0]
 		note.Window, note.Age = duration("window", 20*time.Second), duration("age", 10*time.Second)
 		note.Left = duration("left", 30*time.Second)
-		passed := duration("passed", 40*time.Second)
-		now := Clock{"a", i.At.Since + passed, day.Add(time.Duration(rapid.Int64Range(-int64(time.Hour), int64(30*time.Minute)).Draw(rt, "set")))}
+		elapsed := duration("passed", 40*time.Second)
+		now := Clock{"a", i.At.Since + elapsed, day.Add(time.Duration(rapid.Int64Range(-int64(time.Hour), int64(30*time.Minute)).Draw(rt, "set")))}
 		if rapid.Bool().Draw(rt, "booted") {
 			now.Boot, now.Since = "b", duration("since", time.Minute)
 		}
@@ -99,8 +99,8 @@
 		}
 		e, known := table.Find(0, 9)
 		to := policy.Endpoint{Cell: rapid.SampledFrom([]int{4, 5}).Draw(rt, "cell")}
-		repeatable := note.Left > passed // the client may still repeat the request
-		deduplicated := to.Cell == 4 && note.Age+passed < note.Window
+		repeatable := note.Left > elapsed // the client may still repeat the request
+		deduplicated := to.Cell == 4 && note.Age+elapsed < note.Window
 		if repeatable && !known {
 			rt.Fatal("a key that may be repeated is missing")
 		}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -62,8 +62,8 @@
 // decodeParts decodes the valid parts. One with a correct checksum that can't be decoded
 // comes from another program: the first such error is returned.
 func decodeParts[T any](b []byte) (all []T, firstErr error) {
-	whole, _ := parts.Read(b)
-	for _, text := range whole {
+	valid, _ := parts.Read(b)
+	for _, text := range valid {
 		var p T
 		if err := json.Unmarshal(text, &p); err == nil {
 			all = append(all, p)
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -80,15 +80,15 @@
 		images = append(images, image)
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		alone := rapid.Bool().Draw(rt, "alone")
-		kept := images
-		if alone {
-			kept = images[2:]
+		onlyLast := rapid.Bool().Draw(rt, "alone")
+		file := images
+		if onlyLast {
+			file = images[2:]
 		}
-		st := mustDecode(rt, kept, rapid.IntRange(0, len(images[2])-1).Draw(rt, "at"), uint(rapid.IntRange(0, 7).Draw(rt, "bit")))
+		st := mustDecode(rt, file, rapid.IntRange(0, len(images[2])-1).Draw(rt, "at"), uint(rapid.IntRange(0, 7).Draw(rt, "bit")))
 		last := mustDecode(rt, images[2:], -1, 0)
 		before := mustDecode(rt, images[1:2], -1, 0)
-		if alone {
+		if onlyLast {
 			before = &handover.State{Services: make([]handover.Service, 2)}
 		}
 		lost := 0
