--- a/internal/framing/answer.go
+++ b/internal/framing/answer.go
@@ -12,29 +12,29 @@
 type Answer struct {
 	Head
 	Status           int
-	Minor            int // of HTTP/1
+	Minor            int // minor version of HTTP/1
 	Header           http.Header
-	ClosesConnection bool // the connection ends with it, by what is told or by what is not
+	ClosesConnection bool // the connection closes after this answer, explicitly or because the body's length is unknown
 }
 
-var errStatus = errors.New("the answer does not begin with a version of HTTP/1 and a status of three digits")
+var errStatus = errors.New("the answer does not begin with an HTTP/1 version and a three-digit status")
 
-// ReadAnswer reads a whole head of an answer that Check finds nothing wrong with. Names
-// are canonical, values without the space around them and in their order.
+// ReadAnswer parses a complete head of an answer that Check accepts. Names are
+// canonical; values are trimmed and keep their order.
 func ReadAnswer(text []byte) (Answer, error) {
 	head, err := Check(text)
 	a := Answer{Head: head}
 	if err != nil {
 		return a, err
 	}
-	line, lines, _ := strings.Cut(string(text), "\r\n") // the one copy that all names and values are parts of
+	line, lines, _ := strings.Cut(string(text), "\r\n") // one copy, of which all names and values are substrings
 	if a.Minor, a.Status = status(line); a.Status == 0 {
 		return a, errStatus
 	}
-	a.Header = fieldsOf(lines)
+	a.Header = parseFields(lines)
 	if a.Minor == 0 {
 		if a.Chunked {
-			return a, errCoding // which that version does not have: a reader of it goes on to the end
+			return a, errCoding // HTTP/1.0 has no chunked coding, so its readers read to the end of the connection
 		}
 		a.ClosesConnection = !a.KeepAlive
 	}
@@ -42,12 +42,12 @@
 	return a, nil
 }
 
-// HasBody reports whether the status lets a body come (RFC 9112 section 6.3).
+// HasBody reports whether the status allows a body (RFC 9112 section 6.3).
 func (a *Answer) HasBody() bool {
 	return a.Status >= 200 && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified
 }
 
-// status reads a status line; a status of 0: it is none.
+// status parses a status line; a status of 0 means that it is invalid.
 func status(line string) (minor, status int) {
 	const version = "HTTP/1."
 	if len(line) <= len(version) || line[:len(version)] != version || line[7] != '0' && line[7] != '1' {
@@ -67,9 +67,10 @@
 	return int(line[7] - '0'), status
 }
 
-// fieldsOf reads the lines of a head that was checked. The values of all names share one
-// slice, each with no room behind it: what is appended to one does not meet the next.
-func fieldsOf(lines string) http.Header {
+// parseFields parses the header lines of a head that Check accepts. The values of all
+// names share one slice, each without spare capacity, so that appending to one name's
+// values does not overwrite the next.
+func parseFields(lines string) http.Header {
 	n := strings.Count(lines, "\r\n") - 1
 	h, values := make(http.Header, n), make([]string, 0, n)
 	for range n {
@@ -77,8 +78,8 @@
 		lines = rest
 		name, value, _ := strings.Cut(line, ":")
 		name, value = textproto.CanonicalMIMEHeaderKey(name), strings.Trim(value, " \t")
-		if of := h[name]; of != nil {
-			h[name] = append(of, value)
+		if existing := h[name]; existing != nil {
+			h[name] = append(existing, value)
 			continue
 		}
 		values = append(values, value)
@@ -87,10 +88,11 @@
 	return h
 }
 
-// hasToken reports whether a list has a token, in any case (RFC 9110 section 5.6.1).
+// hasToken reports whether a comma-separated list has a token, ignoring case (RFC 9110
+// section 5.6.1).
 func hasToken(list []byte, token string) bool {
-	for of := range bytes.SplitSeq(list, []byte(",")) {
-		if bytes.EqualFold(bytes.Trim(of, " \t"), []byte(token)) {
+	for item := range bytes.SplitSeq(list, []byte(",")) {
+		if bytes.EqualFold(bytes.Trim(item, " \t"), []byte(token)) {
 			return true
 		}
 	}
--- a/internal/framing/answer_test.go
+++ b/internal/framing/answer_test.go
@@ -9,31 +9,31 @@
 	"testing"
 )
 
-// differ tells what ReadAnswer makes of a head that net/http's reader makes otherwise;
-// "": nothing, or a difference that is meant.
-func differ(text string) string {
+// diffAnswer describes where ReadAnswer and net/http's reader disagree on a head; ""
+// means nowhere, or only as intended.
+func diffAnswer(text string) string {
 	a, err := ReadAnswer([]byte(text))
-	resp, theirs := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
+	resp, netErr := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 	switch {
 	case err != nil:
-		return "" // stricter by intent: see the package, and TestAnswersRefused
-	case theirs != nil:
-		return "net/http refuses it: " + theirs.Error()
+		return "" // stricter by design: see the package comment and TestAnswersRefused
+	case netErr != nil:
+		return "net/http refuses it: " + netErr.Error()
 	case a.Status != resp.StatusCode || a.Minor != resp.ProtoMinor:
-		return "another status or version"
+		return "different status or version"
 	case a.ClosesConnection != resp.Close && a.Status >= 200:
-		return "another end of the connection"
+		return "disagreement on whether the connection closes"
 	}
-	mine := a.Header.Clone()
-	if v := mine["Pragma"]; len(v) > 0 && v[0] == "no-cache" && mine["Cache-Control"] == nil {
-		mine.Set("Cache-Control", "no-cache") // which net/http makes up
+	own := a.Header.Clone()
+	if v := own["Pragma"]; len(v) > 0 && v[0] == "no-cache" && own["Cache-Control"] == nil {
+		own.Set("Cache-Control", "no-cache") // net/http adds it
 	}
-	for _, name := range []string{"Content-Length", "Transfer-Encoding", "Trailer", "Connection"} { // which it takes for its own, the last at times
-		mine.Del(name)
+	for _, name := range []string{"Content-Length", "Transfer-Encoding", "Trailer", "Connection"} { // net/http consumes them, Connection only in some cases
+		own.Del(name)
 		resp.Header.Del(name)
 	}
-	if !reflect.DeepEqual(mine, resp.Header) {
-		return "other fields"
+	if !reflect.DeepEqual(own, resp.Header) {
+		return "different fields"
 	}
 	return ""
 }
@@ -46,13 +46,13 @@
 	"HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 200 OK\r\nPragma: no-cache\r\nContent-Length: 1\r\n\r\n",
 }
 
-func TestAnswersAsNetHTTPReadsThem(t *testing.T) {
+func TestAnswersMatchNetHTTP(t *testing.T) {
 	for _, text := range answerSeeds {
 		if _, err := ReadAnswer([]byte(text)); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
-		if what := differ(text); what != "" {
-			t.Errorf("%q: %s", text, what)
+		if diff := diffAnswer(text); diff != "" {
+			t.Errorf("%q: %s", text, diff)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 	}
 }
 
-// What is appended to one name's values does not meet those of the next.
-func TestFieldsDoNotMeet(t *testing.T) {
+// Appending to one name's values must not overwrite those of the next.
+func TestFieldValuesDoNotAlias(t *testing.T) {
 	a, err := ReadAnswer([]byte("HTTP/1.1 200 OK\r\nA: 1\r\nB: 2\r\n\r\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -89,8 +89,8 @@
 		if end := End(b); end == 0 || end != len(b) || bytes.Contains(b, []byte("\r\n\r\n\r\n")) {
 			return
 		}
-		if what := differ(string(b)); what != "" {
-			t.Errorf("%q: %s", b, what)
+		if diff := diffAnswer(string(b)); diff != "" {
+			t.Errorf("%q: %s", b, diff)
 		}
 	})
 }
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,14 +1,13 @@
-// Package framing checks the heads of HTTP/1.1 messages more strictly than
-// net/http does. net/http settles what is in doubt in its own way, and without
-// telling: it drops Content-Length where Transfer-Encoding is there too, takes
-// a bare line feed for the end of a line, and unites equal lengths. Two peers
-// that settle it differently disagree on where a message ends, and what one
-// takes for a body the other takes for the next message. So whatever leaves the
-// end of a message in doubt is an error here, whichever way it does.
+// Package framing checks the heads of HTTP/1.1 messages more strictly than net/http
+// does. net/http resolves ambiguities silently and in its own way: it drops
+// Content-Length when Transfer-Encoding is present, accepts a bare line feed as the end
+// of a line, and merges equal lengths. Two peers that resolve them differently disagree
+// on where a message ends, and what one takes for a body the other takes for the next
+// message (request smuggling). So whatever leaves the end of a message ambiguous is an
+// error here, however it could be resolved.
 //
-// It could do harm to a peer that is sloppy and means well: one that ends lines
-// with a bare line feed, folds headers, or uses a coding other than chunked is
-// turned away.
+// This rejects sloppy peers that are harmless: those that end lines with a bare line
+// feed, fold headers, or use a coding other than chunked.
 package framing
 
 import (
@@ -17,30 +16,31 @@
 	"strconv"
 )
 
-// MaxHead bounds a message's head. It fits into a reader's buffer of that size.
+// MaxHead is the longest head of a message in bytes. It fits into a read buffer of that
+// size.
 const MaxHead = 8 << 10
 
-// Head is what a head says of the length of its body.
+// Head is what a head states about the length of its body.
 type Head struct {
-	Length  int64 // Content-Length; -1: there is none
+	Length  int64 // Content-Length; -1: absent
 	Chunked bool
 
-	// What Connection says: the connection ends with this message, or, where that is
-	// usual, does not.
+	// From the Connection header: whether the connection closes after this message or
+	// is to be kept, where the version's default differs.
 	Close, KeepAlive bool
 }
 
 var (
-	errLine      = errors.New("a line of the head does not end in CRLF or holds control characters")
-	errField     = errors.New("a line of the head is no header")
-	errLength    = errors.New("Content-Length is no length or stands there twice")
-	errCoding    = errors.New("Transfer-Encoding is not chunked or stands there twice")
-	errAmbiguous = errors.New("both Content-Length and Transfer-Encoding are there")
+	errLine      = errors.New("a line of the head does not end in CRLF or contains control characters")
+	errField     = errors.New("a line of the head is not a valid header field")
+	errLength    = errors.New("Content-Length is invalid or appears twice")
+	errCoding    = errors.New("Transfer-Encoding is not chunked or appears twice")
+	errAmbiguous = errors.New("both Content-Length and Transfer-Encoding are present")
 )
 
-// End returns the length of the head that b begins with, its empty line
-// included; 0 if b does not hold all of it. It ends a head where the most
-// lenient reader would: Check then refuses what the strict ones read on.
+// End returns the length of the head that b begins with, including its empty line; 0 if
+// b does not hold all of it. It ends a head where the most lenient reader would, so
+// that Check refuses a head that strict readers would continue to read.
 func End(b []byte) int {
 	for i := 0; ; {
 		n := bytes.IndexByte(b[i:], '\n')
@@ -54,12 +54,12 @@
 	}
 }
 
-// Check reads a whole head. What the start line says is for others to judge.
+// Check parses a complete head. It does not check the content of the start line.
 func Check(head []byte) (Head, error) {
 	h := Head{Length: -1}
 	for n := 0; len(head) > 0; n++ {
 		line, rest, ok := bytes.Cut(head, crlf)
-		if !ok || !clean(line, n > 0) {
+		if !ok || !validLine(line, n > 0) {
 			return h, errLine
 		}
 		head = rest
@@ -96,16 +96,16 @@
 
 var crlf, colon = []byte("\r\n"), []byte(":")
 
-// What a byte of a head may be in (RFC 9110 sections 5.5 and 5.6.2).
+// Classes of bytes in a head (RFC 9110 sections 5.5 and 5.6.2).
 const (
 	inToken uint8 = 1 << iota
 	inField
-	inStart  // of what the start line holds only this is judged: no line ends, no 0
-	inTarget // of a plain request's
-	inHost   // of a plain request's: a name or an address, and a port
+	inStart  // the start line is checked only for line ends and NUL
+	inTarget // the target of a plain request
+	inHost   // the host of a plain request: a name or an address, and a port
 )
 
-var kinds = func() (k [256]uint8) {
+var byteClasses = func() (k [256]uint8) {
 	for c := range k {
 		if c != 0 && c != '\r' && c != '\n' {
 			k[c] |= inStart
@@ -127,26 +127,26 @@
 	return k
 }()
 
-// clean reports whether a line holds nothing that ends lines, and one of a field no other
-// control characters either.
-func clean(line []byte, field bool) bool {
-	want := inStart
+// validLine reports whether a line contains no line end, and, if it is a header field,
+// no other control characters either.
+func validLine(line []byte, field bool) bool {
+	class := inStart
 	if field {
-		want = inField
+		class = inField
 	}
 	for _, c := range line {
-		if kinds[c]&want == 0 {
+		if byteClasses[c]&class == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// isToken reports whether name may be a header's name: no space before the
-// colon, no folded line.
+// isToken reports whether name is a valid field name. This excludes a space before the
+// colon, and folded lines.
 func isToken(name []byte) bool {
 	for _, c := range name {
-		if kinds[c]&inToken == 0 {
+		if byteClasses[c]&inToken == 0 {
 			return false
 		}
 	}
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -32,7 +32,7 @@
 			t.Errorf("%q ends after %d of %d bytes", c.head, n, len(c.head))
 		}
 		if n := End([]byte(c.head[:len(c.head)-1])); n != 0 {
-			t.Errorf("%q ends after %d bytes although its last is missing", c.head, n)
+			t.Errorf("%q ends after %d bytes although its last byte is missing", c.head, n)
 		}
 		switch got, err := Check([]byte(c.head)); {
 		case err != c.err:
--- a/internal/framing/request_test.go
+++ b/internal/framing/request_test.go
@@ -17,26 +17,26 @@
 	"GET /tile HTTP/1.1\r\nHost: b\r\nConnection: keep-alive\r\nCookie: a=\xff\r\n\r\n",
 }
 
-// differs tells where what is plain here is something else to net/http; "": nowhere, or
-// it is not plain.
-func differs(text string) string {
+// diffRequest describes where ReadRequest and net/http disagree on a plain request; ""
+// means nowhere, or that it is not plain.
+func diffRequest(text string) string {
 	own, ok := ReadRequest([]byte(text))
 	if !ok {
 		return ""
 	}
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
-		return "net/http has " + err.Error()
+		return "net/http: " + err.Error()
 	}
 	length := max(own.Length, 0)
 	theirs := Request{own.Head, r.Method, r.RequestURI, r.Host, r.Header}
 	switch {
 	case !reflect.DeepEqual(own, theirs):
-		return fmt.Sprintf("%+v, net/http has %+v", own, theirs)
+		return fmt.Sprintf("%+v, net/http: %+v", own, theirs)
 	case r.ContentLength != length || len(r.TransferEncoding) > 0:
-		return fmt.Sprintf("a length of %d, net/http has %d", length, r.ContentLength)
+		return fmt.Sprintf("length %d, net/http: %d", length, r.ContentLength)
 	case r.Close != own.Close:
-		return fmt.Sprintf("ends its connection: %v, net/http has %v", own.Close, r.Close)
+		return fmt.Sprintf("closes its connection: %v, net/http: %v", own.Close, r.Close)
 	}
 	return ""
 }
@@ -46,13 +46,14 @@
 		if _, ok := ReadRequest([]byte(text)); !ok {
 			t.Errorf("%q is not plain", text)
 		}
-		if what := differs(text); what != "" {
-			t.Errorf("%q: %s", text, what)
+		if diff := diffRequest(text); diff != "" {
+			t.Errorf("%q: %s", text, diff)
 		}
 	}
 }
 
-// What a reader could take in two ways, or acts on, is not plain.
+// A request that readers could interpret in two ways, or that needs handling by the
+// reader, is not plain.
 func TestRequestsNotPlain(t *testing.T) {
 	for _, text := range []string{
 		"GET /a HTTP/1.0\r\nHost: b\r\n\r\n", "GET /a HTTP/1.1\r\n\r\n", "GET /a HTTP/1.1\r\nHost: b\r\nHost: b\r\n\r\n",
@@ -79,8 +80,8 @@
 		if end := End(b); end == 0 || end != len(b) {
 			return
 		}
-		if what := differs(string(b)); what != "" {
-			t.Errorf("%q: %s", b, what)
+		if diff := diffRequest(string(b)); diff != "" {
+			t.Errorf("%q: %s", b, diff)
 		}
 	})
 }
