--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,5 +1,5 @@
-// Package wire hosts instances of the decision module on the bench's line
-// protocol. It decides nothing.
+// Package wire runs instances of the decision module behind the bench's line protocol.
+// It makes no decisions itself.
 package wire
 
 import (
@@ -13,7 +13,7 @@
 	"spokegw/policy"
 )
 
-// message is one line: its name and its fields in order.
+// message is one line: its name, and its fields in order.
 type message struct {
 	name   string
 	fields []field
@@ -28,7 +28,7 @@
 	for more {
 		var part string
 		if strings.HasPrefix(rest, "options=") || strings.HasPrefix(rest, "text=") {
-			part, more = rest, false // these run to the end of the line
+			part, more = rest, false // these extend to the end of the line
 		} else {
 			part, rest, more = strings.Cut(rest, "\t")
 		}
@@ -41,7 +41,7 @@
 	return m, nil
 }
 
-// reader takes typed values from a message and keeps the first error.
+// reader reads typed values from a message and keeps the first error.
 type reader struct {
 	m   message
 	err error
@@ -70,7 +70,7 @@
 	return v
 }
 
-// id reads a number below 2^32 that has to be there.
+// id reads a required number below 2^32.
 func (r *reader) id(name string) uint32 {
 	v := r.text(name)
 	if r.err != nil {
@@ -83,7 +83,7 @@
 	return uint32(n)
 }
 
-// integer reads an optional whole number; absent is 0.
+// integer reads an optional integer; the default is 0.
 func (r *reader) integer(name string) int {
 	v, ok := r.lookup(name)
 	if !ok {
@@ -96,7 +96,7 @@
 	return int(n)
 }
 
-// number reads an optional number; absent is 0.
+// number reads an optional number; the default is 0.
 func (r *reader) number(name string) float64 {
 	v, ok := r.lookup(name)
 	if !ok {
@@ -110,7 +110,7 @@
 	return x
 }
 
-// ms reads an optional time in milliseconds.
+// ms reads an optional duration in milliseconds.
 func (r *reader) ms(name string) time.Duration { return fromMS(r.number(name)) }
 
 // flag reads an optional bool.
@@ -122,8 +122,8 @@
 	return v == "1"
 }
 
-// row reads an optional load report.
-func (r *reader) row(name string) []float64 {
+// numbers reads an optional load report.
+func (r *reader) numbers(name string) []float64 {
 	v, ok := r.lookup(name)
 	if !ok || v == "" {
 		return nil
@@ -140,7 +140,7 @@
 	return out
 }
 
-// maxMS keeps a time within what a Duration can hold.
+// maxMS, in milliseconds, keeps a duration within the range of time.Duration.
 const maxMS = 1e12
 
 func fromMS(ms float64) time.Duration {
@@ -188,24 +188,24 @@
 	return e
 }
 
-// Settings is what the settings object holds for those that host the module:
-// the module's own part, and what real sockets need besides.
+// Settings is the settings object as the module's hosts need it: the module's own part,
+// and what real sockets need in addition.
 type Settings struct {
 	Policy         policy.Settings
-	Classes        []string // names, by position
+	Classes        []string // names, by index
 	Tenants        []string
 	Kinds          []string
 	Zones          []string
-	Report         []string // fields of a load report
+	Report         []string // names of the fields of a load report
 	ConnectTimeout time.Duration
 }
 
-// named is an element of a list that the settings refer to by position.
+// named is a list element that the settings refer to by index.
 type named struct {
 	Name string `json:"name"`
 }
 
-// options is the part of the settings that is made use of.
+// options is the part of the settings object that is used.
 type options struct {
 	Classes []struct {
 		named
@@ -263,7 +263,7 @@
 	fields  = map[string]policy.ReportField{"rif": policy.FieldInFlight, "q": policy.FieldQueue, "rate": policy.FieldRate}
 )
 
-// unknown stands for a name the module has no value for; New refuses it.
+// unknown stands for a name that the module has no value for; New refuses it.
 const unknown = 255
 
 func lookup[T ~uint8](table map[string]T, name string) T {
@@ -273,7 +273,7 @@
 	return unknown
 }
 
-// DecodeSettings reads the settings object; what is unknown is skipped.
+// DecodeSettings decodes the settings object; unknown keys are ignored.
 func DecodeSettings(text []byte) (Settings, error) {
 	var o options
 	if err := json.Unmarshal(text, &o); err != nil {
@@ -312,13 +312,13 @@
 	return s, nil
 }
 
-// appendAction writes one action as a line.
+// appendAction appends one action as a line.
 func appendAction(dst []byte, a policy.Action) []byte {
 	num := func(name string, n uint32) {
 		dst = append(append(append(dst, '\t'), name...), '=')
 		dst = strconv.AppendUint(dst, uint64(n), 10)
 	}
-	span := func(name string, d time.Duration) {
+	duration := func(name string, d time.Duration) {
 		dst = append(append(append(dst, '\t'), name...), '=')
 		dst = appendMS(dst, d)
 	}
@@ -326,13 +326,13 @@
 	case policy.Send:
 		dst = append(dst, "relay"...)
 		num("xid", uint32(a.Request))
-		span("cap_ms", a.Timeout)
+		duration("cap_ms", a.Timeout)
 		num("endpoint", uint32(a.Endpoint))
 	case policy.Refuse:
 		dst = append(dst, "bounce"...)
 		num("xid", uint32(a.Request))
 		if a.RetryAfter > 0 {
-			span("cool_down_ms", a.RetryAfter)
+			duration("cool_down_ms", a.RetryAfter)
 		}
 	case policy.Fail:
 		dst = append(dst, "lose"...)
@@ -349,7 +349,7 @@
 		dst = strconv.AppendUint(dst, uint64(a.Token.Purpose), 10)
 		dst = append(dst, '.')
 		dst = strconv.AppendUint(dst, uint64(a.Token.Request), 10)
-		span("in_ms", max(a.Delay, 0))
+		duration("in_ms", max(a.Delay, 0))
 	case policy.Subscribe:
 		dst = append(dst, "keep_informed\tenable=1"...)
 	default:
--- a/internal/wire/faults.go
+++ b/internal/wire/faults.go
@@ -16,8 +16,8 @@
 // UnmarshalJSON decodes the settings object.
 func (s *RawSettings) UnmarshalJSON(text []byte) error { return json.Unmarshal(text, &s.options) }
 
-// Check notes in the file what the module refuses of the settings, which are
-// at key. The module itself tells the first of it, without a place.
+// Check records in the file what the module refuses in the settings, which are at key.
+// The module itself reports only the first fault, and not where it is.
 func (s *RawSettings) Check(f *jsonfile.File, key string) {
 	if len(s.Classes) == 0 {
 		f.Fault(key+".classes", "at least one class is expected")
@@ -49,12 +49,12 @@
 	if c.Limit == 0 {
 		f.Fault(key+".hard_limit_ms", "a time over 0 in milliseconds is expected, not 0")
 	}
-	for _, span := range []struct {
+	for _, field := range []struct {
 		name string
 		ms   float64
 	}{{"aim_ms", c.Aim}, {"hard_limit_ms", c.Limit}, {"dedup_window_ms", c.Window}} {
-		if span.ms < 0 {
-			f.Fault(key+"."+span.name, "a time in milliseconds is expected, not %v", span.ms)
+		if field.ms < 0 {
+			f.Fault(key+"."+field.name, "a time in milliseconds is expected, not %v", field.ms)
 		}
 	}
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -12,8 +12,8 @@
 	"spokegw/policy"
 )
 
-// host runs the instances of one process. What it keeps across instances is
-// the registered lists, which are input and never changed.
+// host runs the instances of one process. Across instances it keeps only the registered
+// lists, which are input and never modified.
 type host struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
@@ -22,18 +22,18 @@
 	lists     map[int][]policy.Endpoint
 	instances map[uint32]*instance
 	current   *instance
-	who       uint32
+	currentID uint32
 	reply     []byte
-	by        int64 // instance the reply's last `by` named; -1: none
+	lastNamed int64 // instance of the reply's last `by`; -1: none
 	fields    []field
 }
 
 type instance struct {
 	balancer *policy.Balancer
-	failed   bool // declared a fault
+	failed   bool // reported a fault
 }
 
-// Serve answers batches until the end of input. An error names the line.
+// Serve answers batches until the end of input. Errors include the line number.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &host{
 		in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18),
@@ -50,7 +50,8 @@
 	}
 }
 
-// next reads a line that is not empty; io.EOF only at a clean end.
+// next reads the next line that is not empty. It returns io.EOF only if no partial line
+// remains.
 func (h *host) next() (string, error) {
 	for {
 		line, err := h.in.ReadString('\n')
@@ -64,7 +65,7 @@
 	}
 }
 
-// batch answers one batch; io.EOF tells that there is none.
+// batch answers one batch; io.EOF means that there is none.
 func (h *host) batch() error {
 	line, err := h.next()
 	if err != nil {
@@ -83,7 +84,7 @@
 	if r.err != nil {
 		return r.err
 	}
-	h.reply, h.by, h.current = h.reply[:0], -1, nil
+	h.reply, h.lastNamed, h.current = h.reply[:0], -1, nil
 	for {
 		line, err := h.next()
 		if err != nil {
@@ -103,7 +104,7 @@
 	return h.out.Flush()
 }
 
-// event handles one line inside a batch.
+// event handles one line of a batch.
 func (h *host) event(line string) error {
 	m, err := parse(line, h.fields)
 	if err != nil {
@@ -113,8 +114,8 @@
 	r := &reader{m: m}
 	switch m.name {
 	case "instance":
-		h.who = r.id("who")
-		h.current = h.instances[h.who]
+		h.currentID = r.id("who")
+		h.current = h.instances[h.currentID]
 		return r.err
 	case "register":
 		return h.register(r)
@@ -126,10 +127,10 @@
 		return err
 	}
 	if h.current == nil {
-		return fmt.Errorf("%s for instance %d, which was not started", m.name, h.who)
+		return fmt.Errorf("%s for instance %d, which was not started", m.name, h.currentID)
 	}
 	if m.name == "detach" {
-		delete(h.instances, h.who)
+		delete(h.instances, h.currentID)
 		h.current = nil
 		return nil
 	}
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// run makes one call on the current instance and writes its actions. A panic
-// in the module becomes a fault.
+// run makes one call on the current instance and writes its actions. A panic in the
+// module becomes a fault.
 func (h *host) run(call func(*policy.Balancer) []policy.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -148,24 +149,24 @@
 		}
 	}()
 	for _, a := range call(h.current.balancer) {
-		h.speak()
+		h.nameInstance()
 		h.reply = appendAction(h.reply, a)
 	}
 }
 
-// speak names the current instance in the reply, where it changed.
-func (h *host) speak() {
-	if h.by == int64(h.who) {
+// nameInstance names the current instance in the reply if it has changed.
+func (h *host) nameInstance() {
+	if h.lastNamed == int64(h.currentID) {
 		return
 	}
-	h.by = int64(h.who)
+	h.lastNamed = int64(h.currentID)
 	h.reply = append(h.reply, "by\twho="...)
-	h.reply = strconv.AppendUint(h.reply, uint64(h.who), 10)
+	h.reply = strconv.AppendUint(h.reply, uint64(h.currentID), 10)
 	h.reply = append(h.reply, '\n')
 }
 
 func (h *host) fault(text string) {
-	h.speak()
+	h.nameInstance()
 	h.reply = append(h.reply, "fault\ttext="...)
 	h.reply = append(h.reply, strings.Map(printable, text)...)
 	h.reply = append(h.reply, '\n')
@@ -187,7 +188,7 @@
 	if err != nil {
 		return fmt.Errorf("hello: init_seed is not a number")
 	}
-	set, err := DecodeSettings([]byte(r.text("options")))
+	settings, err := DecodeSettings([]byte(r.text("options")))
 	if r.err != nil {
 		return r.err
 	}
@@ -195,8 +196,8 @@
 		return err
 	}
 	h.current = &instance{}
-	h.instances[h.who] = h.current
-	if h.current.balancer, err = policy.New(set.Policy, uint64(seed)); err != nil {
+	h.instances[h.currentID] = h.current
+	if h.current.balancer, err = policy.New(settings.Policy, uint64(seed)); err != nil {
 		h.fault(err.Error())
 	}
 	return nil
@@ -204,7 +205,7 @@
 
 // register reads the numbered list that follows the line.
 func (h *host) register(r *reader) error {
-	set, n := int(r.id("set_id")), r.integer("items")
+	id, n := int(r.id("set_id")), r.integer("items")
 	if r.err != nil {
 		return r.err
 	}
@@ -228,12 +229,11 @@
 			return entry.err
 		}
 	}
-	h.lists[set] = list
+	h.lists[id] = list
 	return nil
 }
 
-// decode turns an event into the call it stands for; nil for a message that
-// is not known.
+// decode turns an event into a call on the module; nil for an unknown message.
 func (h *host) decode(r *reader) (func(*policy.Balancer) []policy.Action, error) {
 	now := h.now
 	var call func(*policy.Balancer) []policy.Action
@@ -266,7 +266,7 @@
 		call = func(b *policy.Balancer) []policy.Action { return b.StreamStarted(now, id, n) }
 	case "checked":
 		p := policy.ProbeResult{
-			Endpoint: policy.EndpointID(r.id("endpoint")), Result: r.result(), Report: r.row("usage"),
+			Endpoint: policy.EndpointID(r.id("endpoint")), Result: r.result(), Report: r.numbers("usage"),
 		}
 		call = func(b *policy.Balancer) []policy.Action { return b.Probed(now, p) }
 	case "timeout_fired":
@@ -298,8 +298,8 @@
 		if r.err == nil && !ok {
 			r.err = fmt.Errorf("announce: list %d was not registered", set)
 		}
-		whole := how != "INCREMENTAL"
-		return func(b *policy.Balancer) []policy.Action { return b.Endpoints(now, list, whole) }, r.err
+		full := how != "INCREMENTAL"
+		return func(b *policy.Balancer) []policy.Action { return b.Endpoints(now, list, full) }, r.err
 	}
 	return nil, fmt.Errorf("announce: how=%q is not known", how)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("instance\twho=%d\nhello\tinit_seed=%d\toptions=%s\n", who, who+5, opts)
 }
 
-const saved = "register\tset_id=0\titems=2\nendpoint\tmachine=0\tgroup=0\treadiness=IN\tregion_part=0\tendpoint=51\tnominal=1\n" +
+const savedList = "register\tset_id=0\titems=2\nendpoint\tmachine=0\tgroup=0\treadiness=IN\tregion_part=0\tendpoint=51\tnominal=1\n" +
 	"endpoint\tendpoint=52\n" + "announce\thow=SAVED\tepoch=1\tset_id=0\n"
 
 func batch(body string) string { return "tick\tsim_time_ms=1000.5\n" + body + "eof_batch\n" }
@@ -27,8 +27,8 @@
 	return out.String(), err
 }
 
-func TestARequestIsSentAndAnswered(t *testing.T) {
-	out, err := serve(batch(hello(3, sampleOptions)+saved) +
+func TestSendAndRetry(t *testing.T) {
+	out, err := serve(batch(hello(3, sampleOptions)+savedList) +
 		batch("instance\twho=3\njob_in\txid=9\ttier_class=0\tleft_ms=240.0\tpredicted_ms=12.0\tattrs=1\tnovel=1\nfuture_event\ta=b\n") +
 		batch("instance\twho=3\nresult\txid=9\tending=turned_away\tendpoint=51\tshot=0\telapsed_ms=1.5\n") + batch(""))
 	if err != nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-func TestInstancesNameThemselvesInReplies(t *testing.T) {
-	out, err := serve(batch(hello(1, sampleOptions)+saved+hello(2, sampleOptions)+"announce\thow=SAVED\tepoch=1\tset_id=0\n"+
+func TestRepliesNameInstances(t *testing.T) {
+	out, err := serve(batch(hello(1, sampleOptions)+savedList+hello(2, sampleOptions)+"announce\thow=SAVED\tepoch=1\tset_id=0\n"+
 		"instance\twho=1\njob_in\txid=1\tleft_ms=9\ninstance\twho=2\njob_in\txid=2\tleft_ms=9\ninstance\twho=1\njob_in\txid=3\tleft_ms=9\n") +
 		batch("instance\twho=1\ndetach\n"+hello(1, sampleOptions)))
 	if err != nil || strings.Count(out, "by\twho=1") != 2 || strings.Count(out, "by\twho=2") != 1 {
@@ -48,21 +48,21 @@
 	}
 }
 
-func TestBadSettingsBecomeAFault(t *testing.T) {
+func TestInvalidSettingsFault(t *testing.T) {
 	for field, opts := range map[string]string{
 		"classes":    `{"fleet_size":1}`,
 		"fleet_size": strings.Replace(sampleOptions, `"fleet_size":2`, `"fleet_size":0`, 1),
 		"effect":     strings.Replace(sampleOptions, "read_like", "magic", 1),
 	} {
-		out, err := serve(batch(hello(1, opts) + saved))
+		out, err := serve(batch(hello(1, opts) + savedList))
 		if err != nil || !strings.Contains(out, "fault\ttext=settings: ") || !strings.Contains(out, field) {
 			t.Errorf("%s: error %v, reply %q", field, err, out)
 		}
 	}
 }
 
-func TestMalformedInputIsNamedWithItsLine(t *testing.T) {
-	started := batch(hello(1, sampleOptions) + saved)
+func TestMalformedInputLineNumbers(t *testing.T) {
+	started := batch(hello(1, sampleOptions) + savedList)
 	lines := strings.Count(started, "\n")
 	for _, body := range []string{
 		"instance\twho=1\njob_in\txid=no\tleft_ms=5\n",
@@ -86,7 +86,7 @@
 	for _, input := range []string{"job_in\txid=1\n", "tick\n" + "eof_batch\n",
 		batch("register\tset_id=0\titems=1\nendpoint\tmachine=0\n"), batch("register\tset_id=0\titems=2\nendpoint\tendpoint=1\n")} {
 		if _, err := serve(input); err == nil {
-			t.Errorf("%q was taken", input)
+			t.Errorf("%q was accepted", input)
 		}
 	}
 }
@@ -100,8 +100,8 @@
 	}
 }
 
-func TestAPanicBecomesAFault(t *testing.T) {
-	h := &host{by: -1, current: &instance{}}
+func TestPanicFault(t *testing.T) {
+	h := &host{lastNamed: -1, current: &instance{}}
 	h.run(func(*policy.Balancer) []policy.Action { panic("out of\trange") })
 	if got := string(h.reply); got != "by\twho=0\nfault\ttext=out of range\n" || !h.current.failed {
 		t.Errorf("reply %q", got)
@@ -109,7 +109,7 @@
 }
 
 func FuzzServe(f *testing.F) {
-	started := batch(hello(1, sampleOptions) + saved)
+	started := batch(hello(1, sampleOptions) + savedList)
 	f.Add(started + batch("instance\twho=1\njob_in\txid=9\tleft_ms=24\n"))
 	f.Add(started + batch("instance\twho=1\nresult\txid=9\tending=served\tcomplete=1\tendpoint=51\tshot=0\tusage=1,2\n"))
 	f.Add(batch("register\tset_id=0\titems=99999999\n"))
