--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -1,4 +1,4 @@
-// Package peek looks at what waits on a connection without reading it.
+// Package peek inspects the unread data of a connection without reading it.
 package peek
 
 import (
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// ended tells what a look means that found so many bytes. A want of memory, which passes, tells
-// nothing of the connection (recv(2)).
-func ended(got int, err error) bool {
+// connEnded reports whether the result of a peek shows that the connection has ended. A
+// lack of memory is transient and says nothing about the connection (recv(2)).
+func connEnded(got int, err error) bool {
 	switch err {
 	case nil:
 		return got == 0
@@ -18,15 +18,16 @@
 	return true
 }
 
-// Peek reports whether something waits to be read from c, n is 1 then, and
-// whether the other side has closed it or it is broken. It may be called while
-// another goroutine waits in Read.
+// Peek reports whether data waits to be read from c (n is then 1), and whether the peer
+// has closed it or it is broken. It may be called while another goroutine is blocked in
+// Read.
 func Peek(c *net.TCPConn) (n int, closed bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, true
 	}
-	// Control and not Read: that would wait in line behind a reader.
+	// RawConn.Read would wait for the goroutine that is blocked in Read; Control does
+	// not.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		for {
@@ -34,7 +35,7 @@
 			if err == syscall.EINTR {
 				continue
 			}
-			n, closed = max(got, 0), ended(got, err)
+			n, closed = max(got, 0), connEnded(got, err)
 			return
 		}
 	})
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A look that fails for a moment does not make the client one who has left, whose request would
-// have no answer.
-func TestFailedLookIsNoEndOfTheConnection(t *testing.T) {
+// A peek that fails for a moment must not count as a client that has disconnected,
+// whose request would get no answer.
+func TestTransientPeekErrors(t *testing.T) {
 	for _, c := range []struct {
 		got  int
 		err  error
@@ -16,8 +16,8 @@
 		{0, nil, true}, {1, nil, false}, {-1, syscall.EAGAIN, false}, {-1, syscall.ENOMEM, false}, {-1, syscall.ENOBUFS, false},
 		{-1, syscall.ECONNRESET, true}, {-1, syscall.ETIMEDOUT, true}, {-1, syscall.EHOSTUNREACH, true}, {-1, syscall.EPIPE, true},
 	} {
-		if ended(c.got, c.err) != c.want {
-			t.Errorf("%d bytes, %v: ended %t", c.got, c.err, !c.want)
+		if connEnded(c.got, c.err) != c.want {
+			t.Errorf("%d bytes, %v: reported as ended: %t", c.got, c.err, !c.want)
 		}
 	}
 }
--- a/internal/quiclb/quiclb.go
+++ b/internal/quiclb/quiclb.go
@@ -1,8 +1,8 @@
-// Package quiclb makes QUIC connection IDs that a load balancer can route by,
-// as draft-ietf-quic-load-balancers foresees: each holds the ID of the server
-// that made it, in plain or encrypted under a key that balancer and servers
-// share. So a connection that moves to another address still reaches the
-// instance that has it. The package is pure: nonces come in.
+// Package quiclb makes QUIC connection IDs that a load balancer can route by, as
+// specified by draft-ietf-quic-load-balancers: each contains the ID of the server that
+// made it, in plaintext or encrypted with a key that balancer and servers share. So a
+// connection that migrates to another address still reaches its instance. The package
+// has no source of randomness: nonces are arguments.
 package quiclb
 
 import (
@@ -13,13 +13,14 @@
 )
 
 const (
-	// MaxConfig is the highest config rotation codepoint; 0b111 marks a
-	// connection ID that can't be routed (section 3.1 of the draft).
+	// MaxConfig is the highest config rotation codepoint; 0b111 marks an unroutable
+	// connection ID (section 3.1 of the draft).
 	MaxConfig = 6
-	// The draft's bounds (sections 3 and 5.2): an ID fits QUIC version 1.
-	minNonce, maxNonce = 4, 18
-	maxServer          = 15
-	maxBoth            = 19
+	// The draft's limits in bytes (sections 3 and 5.2), with which an ID fits QUIC
+	// version 1.
+	minNonceLen, maxNonceLen = 4, 18
+	maxServerLen             = 15
+	maxCombinedLen           = 19
 	// KeyLen is the length of a key in bytes.
 	KeyLen = 16
 )
@@ -29,34 +30,33 @@
 	Config   byte   // rotation codepoint, 0 to MaxConfig
 	Server   []byte // this server's ID, 1 to 15 bytes
 	NonceLen int    // 4 to 18 bytes, at most 19 with the server's ID
-	Key      []byte // of KeyLen bytes; nil: server ID and nonce are in plain
+	Key      []byte // KeyLen bytes; nil: server ID and nonce are in plaintext
 }
 
-// Encoder makes connection IDs of one server. Its methods may be called by
-// several goroutines.
+// Encoder makes connection IDs of one server. Its methods may be called concurrently.
 type Encoder struct {
 	config Config
-	block  cipher.Block // nil: in plain
+	block  cipher.Block // nil: plaintext
 }
 
-// New makes an encoder. The error names what is out of the draft's bounds.
+// New makes an encoder. The error states which value is out of the draft's limits.
 func New(c Config) (*Encoder, error) {
 	switch {
 	case c.Config > MaxConfig:
 		return nil, fmt.Errorf("config %d: 0 to %d is expected", c.Config, MaxConfig)
-	case len(c.Server) < 1 || len(c.Server) > maxServer:
-		return nil, fmt.Errorf("server ID of %d bytes: 1 to %d are expected", len(c.Server), maxServer)
-	case c.NonceLen < minNonce || c.NonceLen > maxNonce:
-		return nil, fmt.Errorf("nonce of %d bytes: %d to %d are expected", c.NonceLen, minNonce, maxNonce)
-	case len(c.Server)+c.NonceLen > maxBoth:
-		return nil, fmt.Errorf("server ID and nonce of %d bytes: %d at most are expected", len(c.Server)+c.NonceLen, maxBoth)
+	case len(c.Server) < 1 || len(c.Server) > maxServerLen:
+		return nil, fmt.Errorf("server ID of %d bytes: 1 to %d are expected", len(c.Server), maxServerLen)
+	case c.NonceLen < minNonceLen || c.NonceLen > maxNonceLen:
+		return nil, fmt.Errorf("nonce of %d bytes: %d to %d are expected", c.NonceLen, minNonceLen, maxNonceLen)
+	case len(c.Server)+c.NonceLen > maxCombinedLen:
+		return nil, fmt.Errorf("server ID and nonce of %d bytes: %d at most are expected", len(c.Server)+c.NonceLen, maxCombinedLen)
 	}
 	e := &Encoder{config: c}
 	if c.Key != nil {
 		if len(c.Key) != KeyLen {
 			return nil, fmt.Errorf("key of %d bytes: %d are expected", len(c.Key), KeyLen)
 		}
-		e.block, _ = aes.NewCipher(c.Key) // of a length that it takes
+		e.block, _ = aes.NewCipher(c.Key) // can't fail: the length is valid
 	}
 	return e, nil
 }
@@ -67,9 +67,9 @@
 // NonceLen is the length of a nonce in bytes.
 func (e *Encoder) NonceLen() int { return e.config.NonceLen }
 
-// Encode makes the connection ID of a nonce, which must not be used twice under
-// one key. Its first byte holds the config and the length of the rest (section
-// 3.3), so that devices which know no config can tell where the ID ends.
+// Encode makes the connection ID of a nonce, which must not be used twice with one key.
+// Its first byte holds the config and the length of the remaining bytes (section 3.3),
+// so that devices without the config can tell where the ID ends.
 func (e *Encoder) Encode(nonce []byte) ([]byte, error) {
 	if len(nonce) != e.config.NonceLen {
 		return nil, fmt.Errorf("nonce of %d bytes: %d are expected", len(nonce), e.config.NonceLen)
@@ -83,14 +83,14 @@
 	return id, nil
 }
 
-// errNotOurs tells that a connection ID was not made under the config.
-var errNotOurs = errors.New("the connection ID is of another config or length")
+// errOtherConfig means that a connection ID was not made with this config.
+var errOtherConfig = errors.New("the connection ID has another config or length")
 
-// Decode reads a connection ID as a balancer does: the server's ID, and the
-// nonce, of which a balancer has no use.
+// Decode decodes a connection ID as a balancer does, into the server's ID and the
+// nonce, which a balancer does not use.
 func (e *Encoder) Decode(id []byte) (server, nonce []byte, err error) {
 	if len(id) != e.Len() || id[0]>>5 != e.config.Config {
-		return nil, nil, errNotOurs
+		return nil, nil, errOtherConfig
 	}
 	text := append([]byte(nil), id[1:]...)
 	if e.block != nil {
@@ -100,8 +100,9 @@
 	return text[:n], text[n:], nil
 }
 
-// encrypt encrypts server ID and nonce in place: in one pass where they fill a
-// block (section 5.4.1), else in the four of a Feistel network (section 5.4.2).
+// encrypt encrypts server ID and nonce in place: with one AES block operation if they
+// fill a block (section 5.4.1), otherwise with a Feistel network of four rounds
+// (section 5.4.2).
 func (e *Encoder) encrypt(text []byte) {
 	if len(text) == aes.BlockSize {
 		e.block.Encrypt(text, text)
@@ -118,24 +119,24 @@
 	e.feistel(text, 4, 3, 2, 1)
 }
 
-// feistel makes passes in an order. Odd ones mix the left half into the right one, even
-// ones the right half into the left one.
-func (e *Encoder) feistel(text []byte, passes ...int) {
+// feistel runs rounds in the given order. Odd rounds mix the left half into the right
+// one, even rounds the right half into the left one.
+func (e *Encoder) feistel(text []byte, rounds ...int) {
 	left, right := split(text)
-	for _, n := range passes {
+	for _, n := range rounds {
 		from, into := left, right
 		if n%2 == 0 {
 			from, into = right, left
 		}
-		e.pass(n, len(text), from, into)
+		e.round(n, len(text), from, into)
 	}
 	join(text, left, right)
 }
 
-// pass mixes the one half into the other. Of a text of odd length the halves
-// share the byte in the middle: the left one has its high four bits, the right
-// one its low four, and the others stay 0.
-func (e *Encoder) pass(n, length int, from, into []byte) {
+// round mixes one half into the other. In a text of odd length the halves share the
+// middle byte: the left half has its high four bits, the right half its low four, and
+// the others stay 0.
+func (e *Encoder) round(n, length int, from, into []byte) {
 	var b [aes.BlockSize]byte
 	copy(b[:], from)
 	b[14], b[15] = byte(length), byte(n)
--- a/internal/quiclb/quiclb_test.go
+++ b/internal/quiclb/quiclb_test.go
@@ -18,8 +18,8 @@
 	return b
 }
 
-// The vectors of the draft's appendix B.2: of one pass, and of four with texts
-// of odd and even length.
+// The test vectors of the draft's appendix B.2: one for a single block, and four-round
+// ones with texts of odd and even length.
 func TestVectors(t *testing.T) {
 	for _, v := range []struct {
 		config            byte
@@ -45,7 +45,7 @@
 	}
 }
 
-// In plain the server's ID stands behind the first byte, and the nonce behind it.
+// In plaintext, the server's ID follows the first byte, and the nonce follows the ID.
 func TestPlain(t *testing.T) {
 	e, err := New(Config{Config: 3, Server: []byte{0xab, 0xcd}, NonceLen: 4})
 	if err != nil {
@@ -57,12 +57,12 @@
 	}
 }
 
-// Whatever is encoded is decoded again, in all lengths, and two nonces never
-// give one ID.
+// Decoding inverts encoding for all lengths, and different nonces never give the same
+// ID.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		server := rapid.SliceOfN(rapid.Byte(), 1, maxServer).Draw(t, "server")
-		n := rapid.IntRange(minNonce, maxBoth-len(server)).Draw(t, "nonce length")
+		server := rapid.SliceOfN(rapid.Byte(), 1, maxServerLen).Draw(t, "server")
+		n := rapid.IntRange(minNonceLen, maxCombinedLen-len(server)).Draw(t, "nonce length")
 		key := rapid.OneOf(rapid.Just([]byte(nil)), rapid.SliceOfN(rapid.Byte(), KeyLen, KeyLen)).Draw(t, "key")
 		e, err := New(Config{Config: byte(rapid.IntRange(0, MaxConfig).Draw(t, "config")), Server: server, NonceLen: n, Key: key})
 		if err != nil {
@@ -75,7 +75,7 @@
 		}
 		gotServer, gotNonce, err := e.Decode(id)
 		if err != nil || !bytes.Equal(gotServer, server) || !bytes.Equal(gotNonce, a) {
-			t.Fatalf("%x is read as %x and %x (%v), it is of %x and %x", id, gotServer, gotNonce, err, server, a)
+			t.Fatalf("%x is decoded as %x and %x (%v), it was made of %x and %x", id, gotServer, gotNonce, err, server, a)
 		}
 		if other, _ := e.Encode(b); bytes.Equal(id, other) != bytes.Equal(a, b) {
 			t.Fatalf("nonces %x and %x: %x and %x", a, b, id, other)
@@ -99,7 +99,7 @@
 	}
 	e, _ := New(Config{Config: 1, Server: []byte{1}, NonceLen: 4})
 	if _, err := e.Encode(make([]byte, 5)); err == nil {
-		t.Error("a nonce of another length was taken")
+		t.Error("a nonce of the wrong length was accepted")
 	}
 	for _, id := range [][]byte{nil, {0x25}, {0x45, 1, 2, 3, 4, 5}, make([]byte, 7)} {
 		if _, _, err := e.Decode(id); err == nil {
--- a/internal/quiclb/rapid_test.go
+++ b/internal/quiclb/rapid_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The same verdict every time; another course is tried with -rapid.seed=N.
+// A fixed seed makes runs repeatable; -rapid.seed=N selects another.
 func init() { flag.Set("rapid.seed", "1") }
