--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -12,14 +12,14 @@
 	"spokegw/internal/fields"
 )
 
-// WriteTimeout is for writing an answer, or the next piece of a long one, to a
+// WriteTimeout limits writing an answer, or the next piece of a streamed one, to a
 // client that does not read.
 const WriteTimeout = 5 * time.Second
 
-// Write writes an answer, and frees it. What is of the connection alone is the
-// caller's. A long answer that breaks off, or whose client does, panics with
-// http.ErrAbortHandler: the client is to see that it is not whole. ctx ends when
-// the client has left.
+// Write writes an answer and frees it. Header fields that concern only the connection
+// are the caller's. If a streamed answer is truncated, or its client disconnects, Write
+// panics with http.ErrAbortHandler, so that the client can tell that the answer is
+// incomplete. ctx ends when the client has disconnected.
 func Write(ctx context.Context, w http.ResponseWriter, a *core.Answer) {
 	defer a.Free()
 	if a.RetryAfter > 0 {
@@ -37,17 +37,17 @@
 		io.WriteString(w, reason+"\n")
 		return
 	}
-	w.Header()["Content-Type"] = nil // else one that the endpoint did not tell is guessed from the body
+	w.Header()["Content-Type"] = nil // otherwise net/http would guess a type that the endpoint did not send
 	fields.EachForwarded(a.Header, func(name, value string) { w.Header().Add(name, value) })
 	length := int64(len(a.Body))
 	if a.Stream() != nil || length == 0 {
-		length = a.Length // of one that goes on, or of the body that a HEAD does not bring
+		length = a.Length // of a streamed answer, or of the body that an answer to HEAD omits
 	}
 	if length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	if s := a.Stream(); s != nil {
-		if pass(ctx, w, a.Body, s) != nil {
+		if writeStream(ctx, w, a.Body, s) != nil {
 			panic(http.ErrAbortHandler)
 		}
 		return
@@ -55,11 +55,11 @@
 	w.Write(a.Body)
 }
 
-// pieces are the buffers that long answers are passed on in.
-var pieces = sync.Pool{New: func() any { return new([32 << 10]byte) }}
+// copyBuffers are the buffers that streamed answers are copied through.
+var copyBuffers = sync.Pool{New: func() any { return new([32 << 10]byte) }}
 
-// pass passes a long answer on as it comes: what has come is held for nothing.
-func pass(ctx context.Context, w http.ResponseWriter, head []byte, s core.Stream) error {
+// writeStream forwards a streamed answer as it arrives, without buffering all of it.
+func writeStream(ctx context.Context, w http.ResponseWriter, head []byte, s core.Stream) error {
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
 	rc := http.NewResponseController(w)
@@ -72,17 +72,18 @@
 	})
 }
 
-// CopyStream puts the beginning of a long answer and then the rest as it comes.
-func CopyStream(head []byte, s core.Stream, put func(piece []byte) error) error {
-	buf := pieces.Get().(*[32 << 10]byte)
-	defer pieces.Put(buf)
-	if err := put(head); err != nil {
+// CopyStream writes the first part of a streamed answer, and then the remaining data as
+// it arrives.
+func CopyStream(head []byte, s core.Stream, write func(piece []byte) error) error {
+	buf := copyBuffers.Get().(*[32 << 10]byte)
+	defer copyBuffers.Put(buf)
+	if err := write(head); err != nil {
 		return err
 	}
 	for {
 		n, err := s.Read(buf[:])
 		if n > 0 {
-			if err := put(buf[:n]); err != nil {
+			if err := write(buf[:n]); err != nil {
 				return err
 			}
 		}
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -1,5 +1,5 @@
-// Package front holds what the fronts of all protocols do alike: they read a
-// body within the core's room for it, and write the core's answers.
+// Package front holds what the front ends of all protocols share: they read a body
+// within the memory that the core grants for it, and write the core's answers.
 package front
 
 import (
@@ -13,94 +13,93 @@
 )
 
 const (
-	// MaxBody is the longest body that there may be; longer ones are turned away
-	// unread.
+	// MaxBody is the longest body in bytes; longer ones are refused unread.
 	MaxBody = 40 << 20
-	// maxHeld is the longest body that is held whole, where there is room: it is
-	// sent when it has come. What is longer is passed on as it comes.
-	maxHeld = 1 << 20
-	// firstHeld is held of a body whose length is not told.
-	firstHeld = 64 << 10
-	// streamRoom is what is held of a body that is passed on.
-	streamRoom = 32 << 10
+	// maxBuffered is the longest body in bytes that is buffered completely, if memory
+	// allows, and sent once it has arrived. A longer one is streamed.
+	maxBuffered = 1 << 20
+	// initialReserve is reserved, in bytes, for a body of unknown length.
+	initialReserve = 64 << 10
+	// streamReserve is reserved, in bytes, for a body that is streamed.
+	streamReserve = 32 << 10
 )
 
 var (
-	errTooLong  = errors.New("the body is too long")
-	errNoMemory = errors.New("no memory for the body")
-	errMore     = errors.New("the body goes on beyond its length")
+	errTooLong    = errors.New("the body is too long")
+	errNoMemory   = errors.New("no memory for the body")
+	errExcessData = errors.New("the body is longer than declared")
 )
 
-// ReadBody reads a body of the length told, -1 where none is. It returns the
-// whole, or with more the beginning of one that is to be passed on as it comes.
-// hold reserves the memory for it, before any of it is read.
-func ReadBody(body io.Reader, length int64, hold func(bytes int64) bool) (text []byte, more bool, err error) {
+// ReadBody reads a body of the declared length; -1 is unknown. It returns all of it or,
+// if more is true, the first part of one that is to be streamed. reserve reserves
+// memory, and is called before any of the body is read.
+func ReadBody(body io.Reader, length int64, reserve func(bytes int64) bool) (data []byte, more bool, err error) {
 	switch {
 	case length == 0:
 		return nil, false, nil
 	case length > MaxBody:
 		return nil, false, errTooLong
 	case length < 0:
-		return readUntold(body, hold)
-	case length > maxHeld || !hold(length):
-		if length <= streamRoom || !hold(streamRoom) {
+		return readUnknownLength(body, reserve)
+	case length > maxBuffered || !reserve(length):
+		if length <= streamReserve || !reserve(streamReserve) {
 			return nil, false, errNoMemory
 		}
 		return nil, true, nil
 	}
-	text = make([]byte, length)
-	if _, err = io.ReadFull(body, text); err != nil {
+	data = make([]byte, length)
+	if _, err = io.ReadFull(body, data); err != nil {
 		return nil, false, err
 	}
-	return text, false, readEnd(body)
+	return data, false, expectEOF(body)
 }
 
-// readUntold reads a body whose length is not told, and holds as much of it as
-// may be.
-func readUntold(body io.Reader, hold func(bytes int64) bool) (text []byte, more bool, err error) {
-	if !hold(firstHeld) {
+// readUnknownLength reads a body of unknown length, and buffers as much of it as
+// allowed.
+func readUnknownLength(body io.Reader, reserve func(bytes int64) bool) (data []byte, more bool, err error) {
+	if !reserve(initialReserve) {
 		return nil, false, errNoMemory
 	}
-	text = make([]byte, 0, 4<<10)
-	for held := firstHeld; ; {
-		if len(text) == held {
-			if held == maxHeld || !hold(int64(held)) {
-				return text, true, nil
+	data = make([]byte, 0, 4<<10)
+	for reserved := initialReserve; ; {
+		if len(data) == reserved {
+			if reserved == maxBuffered || !reserve(int64(reserved)) {
+				return data, true, nil
 			}
-			held *= 2
+			reserved *= 2
 		}
-		if len(text) == cap(text) {
-			grown := make([]byte, len(text), min(2*cap(text), held))
-			copy(grown, text)
-			text = grown
+		if len(data) == cap(data) {
+			grown := make([]byte, len(data), min(2*cap(data), reserved))
+			copy(grown, data)
+			data = grown
 		}
-		n, err := body.Read(text[len(text):min(cap(text), held)])
-		text = text[:len(text)+n]
+		n, err := body.Read(data[len(data):min(cap(data), reserved)])
+		data = data[:len(data)+n]
 		switch {
 		case err == io.EOF:
-			return text, false, nil
+			return data, false, nil
 		case err != nil:
 			return nil, false, err
 		}
 	}
 }
 
-// readEnd reads on to the end of a body: it shows that nothing follows, and
-// net/http watches for a client that leaves from then on.
-func readEnd(body io.Reader) error {
+// expectEOF reads to the end of a body. This verifies that nothing follows, and from
+// then on net/http watches for a client that disconnects.
+func expectEOF(body io.Reader) error {
 	if _, err := io.ReadFull(body, make([]byte, 1)); err != io.EOF {
-		return errors.Join(errMore, err)
+		return errors.Join(errExcessData, err)
 	}
 	return nil
 }
 
-// IncompleteBody is the answer to a request whose body did not come whole.
+// IncompleteBody is the answer to a request whose body could not be read completely.
 func IncompleteBody(err error) *core.Answer {
 	a := &core.Answer{Status: http.StatusBadRequest, Reason: "the body is malformed or not whole", Malformed: true}
 	switch {
 	case errors.Is(err, errTooLong):
 		a.Status, a.Reason = http.StatusRequestEntityTooLarge, err.Error()
-	case errors.Is(err, errNoMemory): // nothing was sent on: trying again is harmless
+	case errors.Is(err, errNoMemory): // nothing was forwarded, so a retry is safe
 		a.Status, a.Reason, a.RetryAfter = http.StatusServiceUnavailable, err.Error(), time.Second
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		a.Status, a.Reason = http.StatusRequestTimeout, "the request did not come whole in time"
--- a/internal/front/clock_test.go
+++ b/internal/front/clock_test.go
@@ -11,19 +11,19 @@
 func TestClock(t *testing.T) {
 	at := At(Now() + time.Hour)
 	if left := time.Until(at); left < 59*time.Minute || left > time.Hour {
-		t.Errorf("an hour from now is in %v", left)
+		t.Errorf("the time one hour ahead is reached in %v", left)
 	}
-	if d := Until(at) - Now(); d < 59*time.Minute || d > time.Hour {
-		t.Errorf("and %v", d)
+	if d := Offset(at) - Now(); d < 59*time.Minute || d > time.Hour {
+		t.Errorf("its offset is %v from now", d)
 	}
 	if text := at.String(); !strings.Contains(text, "m=+") {
-		t.Errorf("%s is by the clock of the day", text)
+		t.Errorf("%s has no monotonic reading", text)
 	}
 }
 
-// No test can set the clock of the day, so this looks for times that would move
-// with it: those turned into a number, and made of one.
-func TestNoTimeOfDay(t *testing.T) {
+// No test can set the wall clock, so this one searches the sources for times that would
+// move with it: conversions to and from a number.
+func TestNoWallClockTimes(t *testing.T) {
 	files, err := filepath.Glob("*/*.go")
 	if err != nil || len(files) < 5 {
 		t.Fatal(files, err)
@@ -36,9 +36,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, of := range []string{".UnixNano()", ".Unix()", ".UnixMilli()", "time.Unix(", ".Round(0)"} {
-			if strings.Contains(string(text), of) {
-				t.Errorf("%s has %s", name, of)
+		for _, pattern := range []string{".UnixNano()", ".Unix()", ".UnixMilli()", "time.Unix(", ".Round(0)"} {
+			if strings.Contains(string(text), pattern) {
+				t.Errorf("%s uses %s", name, pattern)
 			}
 		}
 	}
--- a/internal/front/fronttest/fronttest.go
+++ b/internal/front/fronttest/fronttest.go
@@ -1,6 +1,6 @@
-// Package fronttest is one suite for the fronts of all protocols: it is told how
-// to send a request and reads the one outcome. What a client sees, and what
-// endpoints see of its requests, has to be alike.
+// Package fronttest is one test suite for the front ends of all protocols: given a
+// client for a protocol, it sends requests and reads their outcomes. What clients see,
+// and what endpoints see of their requests, must not depend on the protocol.
 package fronttest
 
 import (
@@ -20,32 +20,32 @@
 	"spokegw/internal/lab/scene"
 )
 
-// Request is what a case has sent.
+// Request is a request that a case sends.
 type Request struct {
 	Method string
 	Target string
 	Header http.Header
 	Body   string
-	Length int64 // told; 0: that of Body
+	Length int64 // declared; 0: that of Body
 }
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome struct {
 	Status     int // 0: no answer
 	Body       string
-	RetryAfter bool   // there was a time, and not longer than the client waits
-	Attempts   int    // of the request, seen at endpoints
-	Effects    int    // of its key, run at endpoints: repeats that a pod drops do not count
-	Reason     string // of a status 0, where the protocol tells one
+	RetryAfter bool   // there is a time, and it is not longer than the client waits
+	Attempts   int    // of the request, as seen at endpoints
+	Effects    int    // of its key, as run at endpoints: repeats that a pod drops do not count
+	Reason     string // of a status 0, if the protocol provides one
 }
 
 func (o Outcome) String() string {
 	return fmt.Sprintf("status %d, body %.40q, Retry-After %v, attempts %d, effects %d %s", o.Status, o.Body, o.RetryAfter, o.Attempts, o.Effects, o.Reason)
 }
 
-// Client sends requests by one protocol.
+// Client sends requests over one protocol.
 type Client interface {
-	// Do sends a request and reads its answer. Ending ctx is the client leaving.
+	// Do sends a request and reads its answer. When ctx ends, the client disconnects.
 	Do(ctx context.Context, r Request) (*http.Response, error)
 	Close()
 }
@@ -53,36 +53,36 @@
 // Dial makes a client of a scene.
 type Dial func(s *scene.Scene) (Client, error)
 
-// Case is one thing that happens.
+// Case is one scenario.
 type Case struct {
 	Name  string
 	Scene scene.Config
-	// Play sends requests and returns what became of them, in order.
+	// Play sends requests and returns their outcomes in order.
 	Play func(p *Player) []Outcome
 }
 
-// Player plays a case by one protocol.
+// Player runs a case over one protocol.
 type Player struct {
 	Client Client
 	Scene  *scene.Scene
 	Seen   *Seen
-	play   int64 // ids are of one play alone: endpoints of a case may know them
+	play   int64 // number of the run, for unique IDs: the endpoints of a case may know earlier ones
 	n      int
 }
 
 var plays atomic.Int64
 
-// Seen is what endpoints have seen.
+// Seen records what endpoints have seen.
 type Seen struct {
-	mu       sync.Mutex
-	attempts map[string]int
-	effects  map[string]int
-	arrived  chan string // paths, as requests come whole; bounded, the rest is dropped
-	left     chan string // of requests whose attempt was given up
+	mu        sync.Mutex
+	attempts  map[string]int
+	effects   map[string]int
+	arrived   chan string // paths of complete requests; bounded, what exceeds the buffer is dropped
+	cancelled chan string // paths of requests whose attempt was cancelled
 }
 
 func newSeen() *Seen {
-	return &Seen{attempts: map[string]int{}, effects: map[string]int{}, arrived: make(chan string, 1000), left: make(chan string, 1000)}
+	return &Seen{attempts: map[string]int{}, effects: map[string]int{}, arrived: make(chan string, 1000), cancelled: make(chan string, 1000)}
 }
 
 func (s *Seen) request(r *http.Request) {
@@ -98,16 +98,16 @@
 	}
 	context.AfterFunc(r.Context(), func() {
 		select {
-		case s.left <- r.URL.Path:
+		case s.cancelled <- r.URL.Path:
 		default:
 		}
 	})
 }
 
-// patience bounds what should come at once.
+// patience is the timeout for what should happen at once.
 const patience = 20 * time.Second
 
-// Operator is the contracts of all cases, unless they bring their own.
+// Operator has the contracts of all cases without their own.
 const Operator = `[[service]]
 name = "maps"
 [[team]]
@@ -129,31 +129,31 @@
 burst = 1
 `
 
-// Tile is a request that is safe to repeat, Report one with a key.
+// Tile is an idempotent request; Report is one with an idempotency key.
 func (p *Player) Tile(team string) Request {
 	p.n++
 	return Request{Method: "GET", Target: "/map-tile/3/7?user=k", Header: http.Header{
-		"Req-Id": {p.name("id")}, "Req-Kind": {"map-tile"}, "Req-Owner": {team}, "Req-Deadline": {"3000m"},
+		"Req-Id": {p.uniqueName("id")}, "Req-Kind": {"map-tile"}, "Req-Owner": {team}, "Req-Deadline": {"3000m"},
 	}}
 }
 
 func (p *Player) Report(team string) Request {
 	p.n++
 	return Request{Method: "POST", Target: "/status-report?user=k", Body: strings.Repeat("r", 212), Header: http.Header{
-		"Req-Id": {p.name("id")}, "Req-Kind": {"status-report"}, "Req-Owner": {team}, "Req-Deadline": {"3000m"},
-		"Idempotency-Key": {p.name("key")},
+		"Req-Id": {p.uniqueName("id")}, "Req-Kind": {"status-report"}, "Req-Owner": {team}, "Req-Deadline": {"3000m"},
+		"Idempotency-Key": {p.uniqueName("key")},
 	}}
 }
 
-func (p *Player) name(of string) string { return fmt.Sprintf("%s-%d-%d", of, p.play, p.n) }
+func (p *Player) uniqueName(kind string) string { return fmt.Sprintf("%s-%d-%d", kind, p.play, p.n) }
 
-// With changes a request.
+// With returns a changed copy of a request.
 func (r Request) With(change func(r *Request)) Request {
 	change(&r)
 	return r
 }
 
-// Ask sends a request to its end.
+// Ask sends a request and waits for its outcome.
 func (p *Player) Ask(r Request) Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -179,7 +179,7 @@
 	return o
 }
 
-// Play plays a case with a client of its own.
+// Play runs a case with a client of its own.
 func Play(c Case, dial Dial) ([]Outcome, error) {
 	seen := newSeen()
 	config := c.Scene
@@ -209,7 +209,7 @@
 	return c.Play(&Player{Client: client, Scene: s, Seen: seen, play: plays.Add(1)}), nil
 }
 
-// drop ends the connection of a request at an endpoint, after some bytes.
+// drop closes the connection of a request at an endpoint, after writing a text.
 func drop(w http.ResponseWriter, text string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -222,7 +222,7 @@
 	conn.Close()
 }
 
-// faulty are three endpoints that answer in one bad way.
+// faulty makes three endpoints with the same faulty answer.
 func faulty(answer func(w http.ResponseWriter, r *http.Request)) scene.Config {
 	e := lab.EndpointConfig{Workers: 8, Body: 300, Answer: func(w http.ResponseWriter, r *http.Request) bool {
 		answer(w, r)
@@ -231,10 +231,10 @@
 	return scene.Config{Maps: []lab.EndpointConfig{e, e, e}}
 }
 
-// both asks for a tile and reports once.
+// both sends one tile request and one report.
 func both(p *Player) []Outcome { return []Outcome{p.Ask(p.Tile("kiosks")), p.Ask(p.Report("patrols"))} }
 
-// set changes a field of a tile; no values take it away.
+// set changes a field of a tile request; no values remove it.
 func set(name string, values ...string) func(p *Player) []Outcome {
 	return func(p *Player) []Outcome {
 		return []Outcome{p.Ask(p.Tile("patrols").With(func(r *Request) {
@@ -251,7 +251,7 @@
 	}
 }
 
-// Cases are the suite, by name.
+// Cases returns the suite, sorted by name.
 func Cases() []Case {
 	cases := []Case{
 		{Name: "served", Play: both},
@@ -320,7 +320,7 @@
 		{Name: "silence", Scene: scene.Config{Aim: 300 * time.Millisecond, Deadline: 400 * time.Millisecond, Maps: []lab.EndpointConfig{{Workers: 0}}}, Play: both},
 		{Name: "no endpoint", Scene: scene.Config{Maps: []lab.EndpointConfig{}}, Play: both},
 		{Name: "one of two fails once", Scene: scene.Config{Maps: []lab.EndpointConfig{failsOnce()}}, Play: both},
-		{Name: "client leaves", Play: clientLeaves, Scene: scene.Config{Maps: []lab.EndpointConfig{{Workers: 0}}}},
+		{Name: "client leaves", Play: clientDisconnects, Scene: scene.Config{Maps: []lab.EndpointConfig{{Workers: 0}}}},
 		{Name: "reload", Play: func(p *Player) []Outcome {
 			before := p.Ask(p.Report("kiosks"))
 			if err := p.Scene.Reload(strings.Replace(Operator, `classes = ["map-tile"]`, "", 1)); err != nil {
@@ -328,7 +328,7 @@
 			}
 			return []Outcome{before, p.Ask(p.Report("kiosks"))}
 		}},
-		{Name: "endpoint drains", Play: drains},
+		{Name: "endpoint drains", Play: endpointDrains},
 		{Name: "stop with a request open", Play: stopWithOneOpen, Scene: scene.Config{Maps: []lab.EndpointConfig{{Workers: 1, Work: 300 * time.Millisecond, Body: 10}}}},
 		{Name: "stop under load", Play: stopUnderLoad, Scene: scene.Config{Maps: []lab.EndpointConfig{{Workers: 16, Work: 20 * time.Millisecond, Body: 10}}}},
 	}
@@ -336,8 +336,8 @@
 	return cases
 }
 
-// failsOnce is an endpoint that answers the first attempt of each request with
-// an error.
+// failsOnce is an endpoint that answers the first attempt of each request with an
+// error.
 func failsOnce() lab.EndpointConfig {
 	var mu sync.Mutex
 	seen := map[string]bool{}
@@ -354,9 +354,9 @@
 	}}
 }
 
-// clientLeaves has a client leave while an endpoint works: the attempt is given
-// up, and no other is made.
-func clientLeaves(p *Player) []Outcome {
+// clientDisconnects has a client disconnect while an endpoint works: the attempt is
+// cancelled, and no other is made.
+func clientDisconnects(p *Player) []Outcome {
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
 	r := p.Report("patrols")
@@ -366,8 +366,8 @@
 		return []Outcome{{Reason: "the request did not arrive"}}
 	}
 	leave()
-	if !await(p.Seen.left) {
-		return []Outcome{{Reason: "the attempt was not given up"}}
+	if !await(p.Seen.cancelled) {
+		return []Outcome{{Reason: "the attempt was not cancelled"}}
 	}
 	<-ended
 	p.Seen.mu.Lock()
@@ -384,35 +384,35 @@
 	}
 }
 
-// drains takes an endpoint off the list: what comes after goes to the other.
-func drains(p *Player) []Outcome {
+// endpointDrains removes an endpoint from the list: later requests go to the other one.
+func endpointDrains(p *Player) []Outcome {
 	first := p.Ask(p.Tile("kiosks"))
 	entries := scene.Entries(p.Scene.Maps...)
 	entries[0].State = "leaving"
 	p.Scene.Registry.Set(entries)
 	before := 0
-	for range 200 { // until the sidecar has been told, which nothing shows but where requests go
+	for range 200 { // until the sidecar knows, which shows only in where requests go
 		if before = p.Scene.Maps[0].Served(); p.Ask(p.Tile("kiosks")).Status != 200 {
-			return []Outcome{{Reason: "a request failed while an endpoint drains"}}
+			return []Outcome{{Reason: "a request failed while an endpoint was draining"}}
 		}
-		if same(p, before, 5) {
+		if notServed(p, before, 5) {
 			return []Outcome{first, p.Ask(p.Tile("kiosks"))}
 		}
 	}
-	return []Outcome{{Reason: "requests go to an endpoint that drains"}}
+	return []Outcome{{Reason: "requests are still sent to a draining endpoint"}}
 }
 
-// same reports whether n requests leave what the first endpoint has served as it
-// was.
-func same(p *Player, served, n int) bool {
+// notServed reports whether n requests leave the first endpoint's number of served
+// requests unchanged.
+func notServed(p *Player, served, n int) bool {
 	for range n {
 		p.Ask(p.Tile("kiosks"))
 	}
 	return p.Scene.Maps[0].Served() == served
 }
 
-// stopWithOneOpen stops the sidecar while it works on a request, which is
-// answered, and takes none after.
+// stopWithOneOpen stops the sidecar while it works on a request. That request is
+// answered, and none is taken after it.
 func stopWithOneOpen(p *Player) []Outcome {
 	ended := make(chan Outcome, 1)
 	r := p.Tile("kiosks")
@@ -427,21 +427,21 @@
 	return []Outcome{o, after}
 }
 
-// stopUnderLoad stops the sidecar while clients ask: each request that has begun
-// at an endpoint is answered, and one that is not answered has never begun. It
-// has one outcome, of all; how many got through is not to be compared.
+// stopUnderLoad stops the sidecar while clients send requests: each request that has
+// reached an endpoint is answered, and one that is not answered has never started. It
+// has one combined outcome; how many requests succeed is not compared.
 func stopUnderLoad(p *Player) []Outcome {
-	const clients, most = 8, 2000
+	const clients, maxRequests = 8, 2000
 	var asking sync.WaitGroup
 	var mu sync.Mutex
 	all := Outcome{}
-	wrong := func(o Outcome) {
+	fail := func(o Outcome) {
 		mu.Lock()
 		defer mu.Unlock()
 		all.Reason = "wrong: " + o.String()
 	}
 	for range clients {
-		requests := make([]Request, most)
+		requests := make([]Request, maxRequests)
 		for i := range requests {
 			requests[i] = p.Report("patrols")
 		}
@@ -449,14 +449,14 @@
 			for _, r := range requests {
 				o := p.Ask(r)
 				if o.Status != 200 && o.Attempts == 0 {
-					return // never begun, by a refusal or a connection that is not taken
+					return // never started: refused, or the connection was not accepted
 				}
 				if o.Status != 200 || o.Effects != 1 {
-					wrong(o)
+					fail(o)
 					return
 				}
 			}
-			wrong(Outcome{Reason: "the server goes on"})
+			fail(Outcome{Reason: "the server did not stop"})
 		})
 	}
 	for range 100 {
--- a/internal/front/fronttest/protocols_test.go
+++ b/internal/front/fronttest/protocols_test.go
@@ -28,8 +28,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// byHTTP1 writes requests as they are, one connection for each: a client of the
-// standard library would mend some of them.
+// byHTTP1 writes requests unchanged, one connection each: a client of the standard
+// library would correct some of them.
 type byHTTP1 struct{ addr string }
 
 func (c byHTTP1) Close() {}
@@ -64,7 +64,7 @@
 	return resp, err
 }
 
-// byHTTP3 sends requests on one connection, as a client would.
+// byHTTP3 sends requests on one connection, as clients do.
 type byHTTP3 struct {
 	addr      string
 	transport *http3.Transport
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The path as it is: parsing would mend it.
+	// The path unchanged: parsing would normalize it.
 	req.URL.Opaque = "//" + c.addr + r.Target
 	req.Header = r.Header.Clone()
 	return c.transport.RoundTrip(req)
@@ -97,11 +97,10 @@
 	return byHTTP3{s.Sidecar.AddrHTTP3().String(), &http3.Transport{TLSClientConfig: &tls.Config{RootCAs: roots}, DisableCompression: true}}, nil
 }
 
-// known are the differences that the protocols have, with where they say so.
+// known maps cases with known differences between the protocols to the reason.
 var known = map[string]string{}
 
-// Each case by both protocols: what comes of each request is alike, field by
-// field.
+// Each case has the same outcomes over both protocols, field by field.
 func TestProtocolsAgree(t *testing.T) {
 	for _, c := range Cases() {
 		t.Run(c.Name, func(t *testing.T) {
@@ -121,7 +120,7 @@
 				if one[i] != three[i] && known[c.Name] == "" {
 					t.Errorf("request %d\nby HTTP/1.1: %v\nby HTTP/3:   %v", i, one[i], three[i])
 				}
-				t.Logf("request %d, by both protocols: %v", i, one[i])
+				t.Logf("request %d, over both protocols: %v", i, one[i])
 				if strings.HasPrefix(one[i].Reason, "wrong") {
 					t.Error(one[i].Reason)
 				}
@@ -130,9 +129,10 @@
 	}
 }
 
-// What is counted is what clients have seen, by whichever front, in a random
-// course of requests that are served, refused, turned away by endpoints, and left.
-func TestFiguresAgree(t *testing.T) {
+// The server's request metrics agree with what clients have seen, over both protocols,
+// in a random sequence of requests that are served, refused, answered with errors, or
+// cancelled by their clients.
+func TestMetricsMatchClients(t *testing.T) {
 	const asked = 300
 	s, err := scene.Start(scene.Config{HTTP3: true, Aim: 5 * time.Second, Deadline: 5 * time.Second,
 		Operator: "[[service]]\nname = 'maps'\n[no-contract]\naction = 'share'\nshare = 1.0\nrate = 200\nburst = 40\n",
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	figures := func() map[string]int {
+	readMetrics := func() map[string]int {
 		lines, err := management.Call(t.Context(), s.Sidecar.AddrManagement(), "show-stat")
 		if err != nil {
 			t.Fatal(err)
@@ -179,7 +179,7 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var mu sync.Mutex
-	seen, left := map[string]int{}, 0
+	seen, disconnected := map[string]int{}, 0
 	var open sync.WaitGroup
 	for i := range asked {
 		want := []string{"", "", "", "error", "silence"}[rng.IntN(5)]
@@ -187,7 +187,7 @@
 		open.Go(func() {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			if want == "silence" { // and leave
+			if want == "silence" { // and disconnect
 				time.AfterFunc(50*time.Millisecond, cancel)
 			}
 			h := http.Header{"Req-Id": {fmt.Sprint("f", i)}, "Req-Deadline": {"4000m"}, "X-Want": {want}}
@@ -200,7 +200,7 @@
 			defer mu.Unlock()
 			switch {
 			case err != nil && want == "silence":
-				left++
+				disconnected++
 			case err != nil:
 				t.Errorf("request %d: %v", i, err)
 			case resp.StatusCode == 200:
@@ -212,25 +212,25 @@
 			}
 		})
 		if i%20 == 0 {
-			if f := figures(); f["node.pending"] > i+1 {
+			if f := readMetrics(); f["node.pending"] > i+1 {
 				t.Errorf("%d are pending of %d", f["node.pending"], i+1)
 			}
 		}
 	}
 	open.Wait()
-	f := figures()
-	for until := time.Now().Add(10 * time.Second); f["node.pending"] > 0 && time.Now().Before(until); f = figures() { // who left is noticed soon
+	f := readMetrics()
+	for until := time.Now().Add(10 * time.Second); f["node.pending"] > 0 && time.Now().Before(until); f = readMetrics() { // disconnects are noticed soon
 	}
-	more := 0 // that those who left did not see
+	unseen := 0 // outcomes that disconnected clients did not see
 	for _, outcome := range []string{"completed", "rejected", "failed"} {
-		if more += f[outcome] - seen[outcome]; f[outcome] < seen[outcome] {
+		if unseen += f[outcome] - seen[outcome]; f[outcome] < seen[outcome] {
 			t.Errorf("%s: %d are counted, clients saw %d", outcome, f[outcome], seen[outcome])
 		}
 	}
-	if more > left {
-		t.Errorf("%v are counted, clients saw %v and %d left", f, seen, left)
+	if unseen > disconnected {
+		t.Errorf("%v are counted, clients saw %v, and %d disconnected", f, seen, disconnected)
 	}
-	if f["node.pending"] != 0 || left == 0 || seen["completed"] == 0 || seen["rejected"] == 0 {
-		t.Errorf("%v; clients saw %v, and %d left", f, seen, left)
+	if f["node.pending"] != 0 || disconnected == 0 || seen["completed"] == 0 || seen["rejected"] == 0 {
+		t.Errorf("%v; clients saw %v, and %d disconnected", f, seen, disconnected)
 	}
 }
--- a/internal/front/http1/door_test.go
+++ b/internal/front/http1/admission_test.go
@@ -12,25 +12,26 @@
 	"time"
 )
 
-// shut is a door that turns all away that it is asked about.
-type shut struct {
-	is    atomic.Bool
+// refuseAll is an Admission that refuses all requests while it is on.
+type refuseAll struct {
+	on    atomic.Bool
 	asked atomic.Int32
 }
 
-func (d *shut) Active() bool { return d.is.Load() }
-func (d *shut) Refuse(string) (bool, time.Duration) {
+func (d *refuseAll) Active() bool { return d.on.Load() }
+func (d *refuseAll) Refuse(string) (bool, time.Duration) {
 	d.asked.Add(1)
 	return true, 1500 * time.Millisecond
 }
 
-// Who is turned away at the door has one whole answer, and his connection stays for the
-// next request, which is served once the door is open. What is not plain is let in.
-func TestDoor(t *testing.T) {
+// A refused request gets one complete answer, and its connection stays open for the
+// next request, which is served once admission allows it. Requests that are not plain
+// are admitted.
+func TestAdmission(t *testing.T) {
 	const plain = "GET /tile/1?user=k HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Deadline: 900m\r\n\r\n"
-	door := &shut{}
+	admission := &refuseAll{}
 	addr := listenEndpoint(t, echo(func(*http.Request) {}))
-	c, err := net.Dial("tcp", startWith(t, Config{Admission: door}, nil, addr).Addr().String())
+	c, err := net.Dial("tcp", startWith(t, Config{Admission: admission}, nil, addr).Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,35 +53,36 @@
 		return resp.StatusCode, resp.Header.Get("Retry-After"), string(body)
 	}
 	if status, _, _ := ask(fmt.Sprintf(plain, "a")); status != 200 {
-		t.Errorf("%d at an open door", status)
+		t.Errorf("status %d without refusals", status)
 	}
-	door.is.Store(true)
+	admission.on.Store(true)
 	for i := range 50 {
 		text := fmt.Sprintf(plain, fmt.Sprint("b", i))
-		if i%2 == 1 { // a body that came with its head goes with it
+		if i%2 == 1 { // a body that arrived with its head is consumed with it
 			text = "POST /report HTTP/1.1\r\nHost: x\r\nReq-Id: b\r\nReq-Deadline: 900m\r\nIdempotency-Key: k\r\nContent-Length: 5\r\n\r\nhello"
 		}
-		if status, after, body := ask(text); status != 503 || after != "1.500" || body != overloaded {
-			t.Fatalf("request %d at a shut door: %d, %q, %q", i, status, after, body)
+		if status, after, body := ask(text); status != 503 || after != "1.500" || body != overloadedText {
+			t.Fatalf("request %d is to be refused: %d, %q, %q", i, status, after, body)
 		}
 	}
-	if n := door.asked.Load(); n != 50 {
-		t.Errorf("the door was asked %d times", n)
+	if n := admission.asked.Load(); n != 50 {
+		t.Errorf("admission was asked %d times", n)
 	}
 	if status, _, _ := ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-		t.Errorf("whether it is ready is answered %d", status)
+		t.Errorf("the readiness check is answered %d", status)
 	}
-	door.is.Store(false)
+	admission.on.Store(false)
 	if status, _, _ := ask(fmt.Sprintf(plain, "c")); status != 200 {
-		t.Errorf("%d at a door that is open again", status)
+		t.Errorf("status %d after refusals have ended", status)
 	}
-	if n := door.asked.Load(); n != 50 {
-		t.Errorf("an open door was asked: %d", n)
+	if n := admission.asked.Load(); n != 50 {
+		t.Errorf("admission was asked without refusals: %d", n)
 	}
 }
 
-// What the usual way answers with a fault, or can't be dropped whole, is not judged.
-func TestDoorLeavesToTheUsualWay(t *testing.T) {
+// Requests that regular processing answers with an error, or that can't be discarded
+// completely, are not decided on.
+func TestAdmissionSkipsIrregularRequests(t *testing.T) {
 	const fields = "Host: x\r\nReq-Id: a\r\nReq-Deadline: 900m\r\n"
 	for name, text := range map[string]string{
 		"no id":              "GET /tile HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -94,9 +96,9 @@
 		"its end":            "GET /tile HTTP/1.1\r\n" + fields + "Connection: close\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			door := &shut{}
-			door.is.Store(true)
-			c, err := net.Dial("tcp", startWith(t, Config{Admission: door}, nil).Addr().String())
+			admission := &refuseAll{}
+			admission.on.Store(true)
+			c, err := net.Dial("tcp", startWith(t, Config{Admission: admission}, nil).Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -104,8 +106,8 @@
 			c.SetDeadline(time.Now().Add(20 * time.Second))
 			io.WriteString(c, text)
 			first, _ := bufio.NewReader(c).ReadString('\n')
-			if door.asked.Load() > 0 || !strings.HasPrefix(first, "HTTP/1.") {
-				t.Errorf("asked %d times; answered %q", door.asked.Load(), first)
+			if admission.asked.Load() > 0 || !strings.HasPrefix(first, "HTTP/1.") {
+				t.Errorf("asked %d times; answered %q", admission.asked.Load(), first)
 			}
 		})
 	}
--- a/internal/front/http1/conns.go
+++ b/internal/front/http1/conns.go
@@ -16,55 +16,55 @@
 	"spokegw/internal/stall"
 )
 
-// clientConn is one of the application's connections. Its Read hands a request
-// to the server in two parts, a head that was checked whole and a body of the
-// length told there, and never a byte of the next request along with them. So
-// where a request ends is known here, and what stands behind it is noticed.
+// clientConn is a client's connection. Its Read hands a request to the server in two
+// parts, a head that has been checked and a body of the length declared there, and
+// never a byte of the next request with them. So it knows where a request ends, and
+// detects what follows it.
 type clientConn struct {
 	*net.TCPConn
 	table *connTable
 
-	// Of Read alone; the server makes one call at a time.
-	head    []byte                 // of a head that has not come whole
-	pooled  *[framing.MaxHead]byte // that head stands in; nil: in a slice of its own
-	handed  bool                   // head came along from the reader of plain requests
-	ready   []byte                 // read, and still to be handed out
-	left    int64                  // of the body after ready
-	through bool                   // what follows is passed as it comes: chunked, or malformed
-
-	serving atomic.Bool // a request was handed out and its answer has not begun
-	extra   atomic.Bool // something came behind that request
-	whole   atomic.Bool // that request's body came in chunks and has been read to its end
-
-	due     atomic.Int64 // as front.Now, when reading is to end; 0: it is not
-	moved   atomic.Int64 // as front.Now, when bytes last went either way
-	begun   atomic.Int64 // when the latest request's first byte came, or the connection
-	heard   atomic.Bool  // something was read from it
-	resting atomic.Bool  // it has had an answer and nothing came since
-	busy    bool         // a request has been taken and is not answered in full
-
-	mu     sync.Mutex // of ending, and of what it goes by: heard, resting and spoken; of asked; and of where serving and extra meet
-	ending bool       // a read that waits is called off: the connection is to end
-	spoken bool       // something came since the latest answer began
-
-	asked    bool // its first request has come whole, or all of it that could
-	answered bool // its first request has been
-	evicted  bool // set under mu and the table's, read under either
+	// Used only by Read; the server makes one call at a time.
+	head        []byte                 // the part of the head received so far
+	headBuffer  *[framing.MaxHead]byte // the pooled buffer that holds head; nil: head has its own slice
+	preread     bool                   // head was passed on by the reader of plain requests
+	ready       []byte                 // received, but not yet returned by Read
+	bodyLeft    int64                  // length of the body after ready
+	passthrough bool                   // what follows is returned as received: the body is chunked, or the head malformed
+
+	serving     atomic.Bool // a request has been returned and its answer has not begun
+	extraData   atomic.Bool // data followed that request
+	chunkedRead atomic.Bool // that request's chunked body has been read to its end
+
+	deadline    atomic.Int64 // read deadline as front.Now; 0: none
+	lastActive  atomic.Int64 // as front.Now, when bytes were last transferred in either direction
+	started     atomic.Int64 // as front.Now, when the latest request's first byte arrived, or the connection was accepted
+	receivedAny atomic.Bool  // something has been read from the connection
+	idle        atomic.Bool  // an answer has been sent and nothing has arrived since
+	busy        bool         // a request has been taken and not been fully answered
+
+	mu            sync.Mutex // guards closing and what it depends on (receivedAny, idle, receivedSince); requestRead; and updates of serving together with extraData
+	closing       bool       // a blocked read is cancelled, because the connection is to be closed
+	receivedSince bool       // something has arrived since the latest answer began
+
+	requestRead bool // the first request has been read completely, or as far as it can be
+	answered    bool // the first request has been answered
+	evicted     bool // written with mu and the table's mutex held, read with either
 }
 
-var errHeadTooLong = errors.New("the head is too long")
+var errHeadTooLong = errors.New("the request head is too long")
 
 func (c *clientConn) Read(b []byte) (int, error) {
 	for len(c.ready) == 0 {
-		if c.through || c.left > 0 {
-			if !c.through {
-				b = b[:min(int64(len(b)), c.left)]
+		if c.passthrough || c.bodyLeft > 0 {
+			if !c.passthrough {
+				b = b[:min(int64(len(b)), c.bodyLeft)]
 			}
 			n, err := c.receive(b)
-			if c.left -= int64(n); n > 0 && !c.through && c.left == 0 {
-				c.setAsked(true)
+			if c.bodyLeft -= int64(n); n > 0 && !c.passthrough && c.bodyLeft == 0 {
+				c.setRequestRead(true)
 			}
-			if n > 0 && c.whole.Load() && c.cameTooSoon() {
+			if n > 0 && c.chunkedRead.Load() && c.markEarlyData() {
 				return 0, c.awaitClose()
 			}
 			return n, err
@@ -75,154 +75,154 @@
 	}
 	n := copy(b, c.ready)
 	if c.ready = c.ready[n:]; len(c.ready) == 0 {
-		c.ready = nil // a connection that rests holds no buffer
+		c.ready = nil // idle connections hold no buffer
 	}
 	return n, nil
 }
 
 // receive reads from the socket.
 func (c *clientConn) receive(b []byte) (int, error) {
-	return c.received(func() (int, error) { return c.TCPConn.Read(b) })
+	return c.readRetrying(func() (int, error) { return c.TCPConn.Read(b) })
 }
 
-// received reads, and once more what waits on the connection where reading ended since
-// the process slept, or as a connection without a request was to end: closed over one that
-// waits it would be reset.
-func (c *clientConn) received(read func() (int, error)) (int, error) {
+// readRetrying reads. If the read deadline has expired, it reads once more what is
+// already waiting, in two cases: the process was stalled, or the connection has no
+// request and was about to be closed. Closing a connection with unread data would reset
+// it.
+func (c *clientConn) readRetrying(read func() (int, error)) (int, error) {
 	n, err := read()
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && (c.stalled() || c.awaitsRequest() && c.readable()) {
-		n, err = c.readWaiting(read)
+		n, err = c.readPending(read)
 	}
 	if n > 0 {
-		c.came()
+		c.markReceived()
 	}
 	return n, err
 }
 
-// awaitsRequest reports whether nothing of a request has come since the connection was opened or had
-// its latest answer.
-func (c *clientConn) awaitsRequest() bool { return c.resting.Load() || !c.heard.Load() }
+// awaitsRequest reports whether no part of a request has arrived since the connection
+// was accepted or its latest answer was sent.
+func (c *clientConn) awaitsRequest() bool { return c.idle.Load() || !c.receivedAny.Load() }
 
-// came notes that something has been read: the connection does not end now, if
-// it was to.
-func (c *clientConn) came() {
+// markReceived records that something has been read. It cancels a pending close.
+func (c *clientConn) markReceived() {
 	now := int64(front.Now())
 	c.mu.Lock()
-	c.spoken = true
-	if c.ending {
-		c.ending = false
-		c.setDue(c.due.Load())
+	c.receivedSince = true
+	if c.closing {
+		c.closing = false
+		c.applyReadDeadline(c.deadline.Load())
 	}
-	if c.heard.Swap(true); c.resting.Swap(false) || len(c.head) == 0 && c.left == 0 && !c.through {
-		c.begun.Store(now)
+	if c.receivedAny.Swap(true); c.idle.Swap(false) || len(c.head) == 0 && c.bodyLeft == 0 && !c.passthrough {
+		c.started.Store(now)
 	}
 	c.mu.Unlock()
-	c.moved.Store(now)
+	c.lastActive.Store(now)
 }
 
-// endResting ends the connection if it rests and nothing has moved on it since, or
-// if it never said anything since it was opened, no later than silent. Its reader is
-// called off and closes it: closed from here, a request that has just been read would
-// run and have no answer. One that waits unread is left; one that comes now is not
-// read, and its client's to send again.
-func (c *clientConn) endResting(since, silent time.Duration) {
+// closeIfIdle closes the connection if it is idle and has transferred nothing since
+// idleSince, or if nothing has ever been received on it and it was accepted no later
+// than silentSince. It cancels the blocked read, and the reader then closes the
+// connection: closing it here could lose the answer to a request that has just been
+// read and would still run. A connection with unread data is left open. A request that
+// arrives now is not read, and its client may safely retry it.
+func (c *clientConn) closeIfIdle(idleSince, silentSince time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.heard.Load() {
-		since = silent
-	} else if !c.resting.Load() {
+	if !c.receivedAny.Load() {
+		idleSince = silentSince
+	} else if !c.idle.Load() {
 		return
 	}
-	if c.moved.Load() <= int64(since) && !c.ending && c.mayClose(permit.Close{UnreadData: c.readable()}) {
-		c.ending = true
-		c.TCPConn.SetReadDeadline(longAgo)
+	if c.lastActive.Load() <= int64(idleSince) && !c.closing && c.mayClose(permit.Close{UnreadData: c.readable()}) {
+		c.closing = true
+		c.TCPConn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// mayClose reports whether the connection may be closed by this side.
+// mayClose reports whether this side may close the connection.
 func (c *clientConn) mayClose(facts permit.Close) bool { return facts.Check() == permit.Allowed }
 
-// callOff ends a read that waits.
-func (c *clientConn) callOff() {
+// cancelRead ends a blocked read.
+func (c *clientConn) cancelRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
-	c.TCPConn.SetReadDeadline(longAgo)
+	c.closing = true
+	c.TCPConn.SetReadDeadline(pastDeadline)
 }
 
-// dropHead gives back the buffer that the head stands in.
-func (c *clientConn) dropHead() {
-	if c.pooled != nil {
-		headBuffers.Put(c.pooled)
-		c.pooled = nil
+// releaseHead returns the buffer that holds the head.
+func (c *clientConn) releaseHead() {
+	if c.headBuffer != nil {
+		headBuffers.Put(c.headBuffer)
+		c.headBuffer = nil
 	}
 	c.head = nil
 }
 
-// longAgo calls a read off.
-var longAgo = front.At(-time.Hour)
+// pastDeadline is a read deadline that cancels a read.
+var pastDeadline = front.At(-time.Hour)
 
-// setDue has reading end at a time, as front.Now; 0: it does not.
-func (c *clientConn) setDue(due int64) error {
-	if due == 0 {
+// applyReadDeadline sets the socket's read deadline, as front.Now; 0: none.
+func (c *clientConn) applyReadDeadline(deadline int64) error {
+	if deadline == 0 {
 		return c.TCPConn.SetReadDeadline(time.Time{})
 	}
-	return c.TCPConn.SetReadDeadline(front.At(time.Duration(due)))
+	return c.TCPConn.SetReadDeadline(front.At(time.Duration(deadline)))
 }
 
-// readAfterStall is the time that reading what came during a stall may take.
-const readAfterStall = 50 * time.Millisecond
+// stallReadTimeout limits reading what arrived during a process stall.
+const stallReadTimeout = 50 * time.Millisecond
 
-// stalled reports whether the process was stalled at the time at which reading
-// was due to end while something came, which is to be read: a timer that went
-// off in the meantime would have the server close the connection on a request
-// that had come in time. A client that sends slowly gains nothing by it, as the
-// timer goes off when it should while the process runs. It could do harm on a
-// machine that is always short of processors, where a slow sender would have
-// that time more each time.
+// stalled reports whether the process was stalled when the read deadline expired, and
+// data arrived meanwhile that is still to be read: an expired timer would otherwise
+// make the server close the connection although its request arrived in time. A slow
+// sender gains nothing by this, because the timer fires on time while the process runs.
+// The exception is a machine with a permanent shortage of CPU, where a slow sender gets
+// that extra time again and again.
 func (c *clientConn) stalled() bool {
-	due := time.Duration(c.due.Load()) // net/http calls off a read by a time long ago
-	return due > 0 && stall.Detected(front.Now()-due) && c.readable()
+	deadline := time.Duration(c.deadline.Load()) // net/http cancels a read with a deadline long ago
+	return deadline > 0 && stall.Detected(front.Now()-deadline) && c.readable()
 }
 
-// readWaiting reads what waits on the connection, however long the process takes
-// to get there: by a time, even a later one, the read could end again before it
-// has looked. What follows is due soon.
-func (c *clientConn) readWaiting(read func() (int, error)) (int, error) {
+// readPending reads what is waiting on the connection, however long the process takes
+// to get there: with any deadline, even a later one, the read could time out before it
+// tries the socket. A short deadline then applies to further data.
+func (c *clientConn) readPending(read func() (int, error)) (int, error) {
 	if err := c.TCPConn.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
 	}
 	n, err := read()
-	c.SetReadDeadline(front.At(front.Now() + readAfterStall))
+	c.SetReadDeadline(front.At(front.Now() + stallReadTimeout))
 	return n, err
 }
 
-// SetReadDeadline sets when reading is due to end.
+// SetReadDeadline sets the read deadline.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	due := int64(0)
+	deadline := int64(0)
 	if !t.IsZero() {
-		due = int64(front.Until(t))
+		deadline = int64(front.Offset(t))
 	}
-	c.due.Store(due)
+	c.deadline.Store(deadline)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
-		return nil // it stays called off
+	if c.closing {
+		return nil // it stays cancelled
 	}
-	return c.setDue(due)
+	return c.applyReadDeadline(deadline)
 }
 
-// unreadable stands for a head that was refused: the server answers it with 400
-// and closes, and is spared the reading of 8 KB of noise.
-const unreadable = "unreadable\r\n\r\n"
+// malformedHead replaces a head that was refused, so that the server answers 400 and
+// closes without parsing 8 KB of garbage.
+const malformedHead = "unreadable\r\n\r\n"
 
-// readHead reads some of the next request's head, and all of it into ready once
-// it is whole.
+// readHead reads some of the next request's head, and moves it to ready once it is
+// complete.
 func (c *clientConn) readHead() error {
 	var err error
 	end := 0
-	if c.table.pipelining || c.handed {
-		end = framing.End(c.head) // it may have come with the one before
+	if c.table.pipelining || c.preread {
+		end = framing.End(c.head) // it may have arrived with the previous request
 	}
 	if end == 0 && len(c.head) < framing.MaxHead {
 		var buf [2 << 10]byte
@@ -230,7 +230,7 @@
 		if n, err = c.receive(buf[:]); n == 0 {
 			return err
 		}
-		if c.cameTooSoon() {
+		if c.markEarlyData() {
 			return c.awaitClose()
 		}
 		c.head = append(c.head, buf[:n]...)
@@ -239,60 +239,60 @@
 	if end == 0 && len(c.head) < framing.MaxHead {
 		return err
 	}
-	if c.table.door != nil && err == nil && !c.handed {
-		if refused, err := c.turnAway(end); refused {
+	if c.table.admission != nil && err == nil && !c.preread {
+		if refused, err := c.tryRefuse(end); refused {
 			return err
 		}
 	}
-	c.handed = false
+	c.preread = false
 	var h framing.Head
-	var wrong error
+	var fault error
 	if end == 0 {
-		wrong = errHeadTooLong
+		fault = errHeadTooLong
 	} else {
-		h, wrong = framing.Check(c.head[:end])
+		h, fault = framing.Check(c.head[:end])
 	}
 	c.ready, c.head = c.head, nil
-	c.through = wrong != nil || h.Chunked
-	if wrong != nil {
-		c.ready = []byte(unreadable)
+	c.passthrough = fault != nil || h.Chunked
+	if fault != nil {
+		c.ready = []byte(malformedHead)
 	}
-	c.extra.Store(false)
-	c.whole.Store(false)
-	c.follows(c.serving.Swap(true)) // not answered yet, and here is the next
-	if c.setAsked(wrong != nil); c.through {
+	c.extraData.Store(false)
+	c.chunkedRead.Store(false)
+	c.markExtra(c.serving.Swap(true)) // the previous request is not answered yet
+	if c.setRequestRead(fault != nil); c.passthrough {
 		return err
 	}
-	c.left = max(h.Length, 0)
+	c.bodyLeft = max(h.Length, 0)
 	body := int64(len(c.ready) - end)
-	if body > c.left { // what is behind the request is not handed out
-		c.follows(true)
-		c.head = append(c.head, c.ready[end+int(c.left):]...)
-		c.ready = c.ready[:end+int(c.left)]
-		body = c.left
+	if body > c.bodyLeft { // data after the request is not returned
+		c.markExtra(true)
+		c.head = append(c.head, c.ready[end+int(c.bodyLeft):]...)
+		c.ready = c.ready[:end+int(c.bodyLeft)]
+		body = c.bodyLeft
 	}
-	c.left -= body
-	c.setAsked(c.left == 0)
+	c.bodyLeft -= body
+	c.setRequestRead(c.bodyLeft == 0)
 	return err
 }
 
-// setAsked notes whether the first request has come whole.
-func (c *clientConn) setAsked(whole bool) {
+// setRequestRead records whether the first request has been read completely.
+func (c *clientConn) setRequestRead(whole bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = whole
+	c.requestRead = whole
 }
 
-// follows notes that something came behind the request being served, if it did:
-// unless clients may send ahead, it has no business there.
-func (c *clientConn) follows(did bool) {
-	if did && !c.table.pipelining {
-		c.extra.Store(true)
+// markExtra records whether data followed the request being served. Unless pipelining
+// is allowed, nothing may follow it.
+func (c *clientConn) markExtra(extra bool) {
+	if extra && !c.table.pipelining {
+		c.extraData.Store(true)
 	}
 }
 
-// chunkedBody is a body in chunks. Its connection learns from it where the request ends,
-// as what is read there is passed on as it comes.
+// chunkedBody is a chunked body. It tells its connection where the request ends,
+// because chunked data is returned as received.
 type chunkedBody struct {
 	io.Reader
 	conn *clientConn
@@ -301,89 +301,90 @@
 func (b chunkedBody) Read(to []byte) (int, error) {
 	n, err := b.Reader.Read(to)
 	if err == io.EOF {
-		b.conn.whole.Store(true)
+		b.conn.chunkedRead.Store(true)
 	}
 	return n, err
 }
 
-// cameTooSoon notes that something was read, and reports whether it came behind a request
-// whose answer has not begun. The connection then ends with that answer.
-func (c *clientConn) cameTooSoon() bool {
+// markEarlyData records that something was read, and reports whether it follows a
+// request whose answer has not begun. The connection then closes after that answer.
+func (c *clientConn) markEarlyData() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	tooSoon := c.serving.Load() && !c.table.pipelining
-	if tooSoon {
-		c.extra.Store(true)
+	early := c.serving.Load() && !c.table.pipelining
+	if early {
+		c.extraData.Store(true)
 	}
-	return tooSoon
+	return early
 }
 
-var errSentTooMuch = errors.New("more was sent behind a request than is read")
+var errTooMuchData = errors.New("too much data follows a request")
 
-// awaitClose reads on, behind what came too soon, and drops it: the connection ends with
-// the answer, and that its client closes it before that is seen only by reading. It returns
-// why reading ended: io.EOF and errors of the connection tell that the client has left,
-// os.ErrDeadlineExceeded that the answer is over.
+// awaitClose continues to read after data that came too early, and discards it: the
+// connection closes after the answer, and only reading shows that the client closes it
+// before that. It returns why reading ended: io.EOF and connection errors mean that the
+// client has disconnected, os.ErrDeadlineExceeded that the answer is complete.
 func (c *clientConn) awaitClose() error {
 	buf := headBuffers.Get().(*[framing.MaxHead]byte)
 	defer headBuffers.Put(buf)
-	for dropped := 0; dropped < lingerBytes; {
+	for dropped := 0; dropped < maxLingerBytes; {
 		n, err := c.TCPConn.Read(buf[:])
 		if err != nil {
 			return err
 		}
 		dropped += n
 	}
-	return errSentTooMuch
+	return errTooMuchData
 }
 
-// Disconnected reports whether the client has closed the connection, or it is broken, and nothing
-// waits to be read on it.
+// Disconnected reports whether the client has closed the connection, or the connection
+// is broken, with nothing left to read.
 func (c *clientConn) Disconnected() bool {
 	_, closed := peek.Peek(c.TCPConn)
 	return closed
 }
 
-// crowded reports whether anything has come behind the request being served:
-// its sender sends one request at a time, so what is there belongs to that one
-// and its end is not where it says, or it is a request that was to be hidden.
-// Where clients may send ahead it can't be told from the next request.
-func (c *clientConn) crowded() bool {
-	return c.extra.Load() || !c.table.pipelining && c.readable()
+// hasExtra reports whether anything follows the request being served. A client without
+// pipelining sends one request at a time, so such data either belongs to that request,
+// whose end is then not where it states, or is a smuggled request. With pipelining it
+// can't be told from the next request.
+func (c *clientConn) hasExtra() bool {
+	return c.extraData.Load() || !c.table.pipelining && c.readable()
 }
 
-// answering marks that the answer begins: what comes from now on may be the
-// next request. It reports whether the connection is to end with this answer:
-// because something came too soon, or to make room.
-func (c *clientConn) answering() (last bool) {
+// beginAnswer marks the start of the answer: what arrives from now on may be the next
+// request. It reports whether the connection closes after this answer, because
+// something arrived too early or to free capacity.
+func (c *clientConn) beginAnswer() (last bool) {
 	c.mu.Lock()
 	c.serving.Store(false)
-	last = c.extra.Load()
+	last = c.extraData.Load()
 	c.mu.Unlock()
-	return last || c.table.packed(c)
+	return last || c.table.mustClose(c)
 }
 
-// readable reports whether something waits to be read from the socket.
+// readable reports whether data waits to be read from the socket.
 func (c *clientConn) readable() bool {
 	n, _ := peek.Peek(c.TCPConn)
 	return n > 0
 }
 
-// linger bounds how long, and for how many bytes, a connection that closes with
-// something unread is read on: closing it at once would reset it, and a reset
-// may overtake the answer.
+// A connection that is closed with unread data is read for up to lingerTimeout and
+// maxLingerBytes: closing it at once would reset it, and the reset may overtake the
+// answer.
 const (
-	linger      = 200 * time.Millisecond
-	lingerBytes = 1 << 20
+	lingerTimeout  = 200 * time.Millisecond
+	maxLingerBytes = 1 << 20
 )
 
-// Close closes the connection. What came behind the request is read first, whether it was
-// seen or not: closed over it, what the system holds of the answer would go with a reset.
+// Close closes the connection. It first reads data that follows the request, whether or
+// not it was noticed before: closing over unread data resets the connection, which
+// discards what the system still holds of the answer.
 func (c *clientConn) Close() error {
-	if c.extra.Load() || c.readable() {
+	if c.extraData.Load() || c.readable() {
 		c.CloseWrite()
-		c.TCPConn.SetReadDeadline(time.Now().Add(linger))
-		io.CopyN(io.Discard, c.TCPConn, lingerBytes)
+		c.TCPConn.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.CopyN(io.Discard, c.TCPConn, maxLingerBytes)
 	}
 	return c.TCPConn.Close()
 }
@@ -391,14 +392,14 @@
 func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
 	if n > 0 {
-		c.moved.Store(int64(front.Now()))
+		c.lastActive.Store(int64(front.Now()))
 	}
 	return n, err
 }
 
-// take marks that a request has come whole. It reports false if the
-// connection was closed to make room before that.
-func (c *clientConn) take() bool {
+// claim records that a request has been read completely. It reports false if the
+// connection was evicted before that.
+func (c *clientConn) claim() bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	c.busy = !c.evicted
--- a/internal/front/http1/conntable.go
+++ b/internal/front/http1/conntable.go
@@ -12,109 +12,110 @@
 	"spokegw/internal/permit"
 )
 
-// connTable holds the application's connections, to at most limit of them. In
-// a crowd those make room that are worth least to the application.
+// connTable holds the clients' connections, at most limit of them. Under connection
+// pressure it closes those that are least valuable to the clients.
 type connTable struct {
 	limit int
 
-	// pipelining tells that clients may send a request before the one ahead of it
-	// has been answered (RFC 9112 section 9.3.2).
+	// pipelining allows clients to send a request before the previous one has been
+	// answered (RFC 9112 section 9.3.2).
 	pipelining bool
-	door       Admission // nil: all are read
-	// crowd is how many connections may have had an answer and stay before the
-	// others are asked to leave with their first one.
-	crowd int
-
-	mu    sync.Mutex
-	rest  time.Duration // mayRest
-	first time.Duration // firstPatience
-	conns map[*clientConn]struct{}
-	leave bool // every answer ends its connection: another process takes the next
-	kept  int  // of conns, those that have had an answer
-	full  bool // logged
-}
-
-func newConnTable(limit, crowd int) *connTable {
-	return &connTable{limit: limit, crowd: crowd, rest: mayRest, first: firstPatience, conns: map[*clientConn]struct{}{}}
-}
-
-// packed reports whether c is one too many to be kept. The application may hold
-// only so many connections, and those that were opened for one request and then
-// kept for good take the place of those that would carry the next. Who has
-// asked twice uses his connection and keeps it. It could do harm where a new
-// connection costs the application much: it gets no more kept ones in a crowd.
-func (t *connTable) packed(c *clientConn) bool {
+	admission  Admission // nil: no request is refused
+	// busyThreshold is how many answered connections may stay open before others are
+	// closed with their first answer.
+	busyThreshold int
+
+	mu            sync.Mutex
+	minIdle       time.Duration // minIdle
+	firstTimeout  time.Duration // firstRequestTimeout
+	conns         map[*clientConn]struct{}
+	draining      bool // every answer closes its connection: another process takes the next request
+	answeredConns int  // number of conns that have had an answer
+	limitLogged   bool // the warning has been logged
+}
+
+func newConnTable(limit, busyThreshold int) *connTable {
+	return &connTable{limit: limit, busyThreshold: busyThreshold, minIdle: minIdle, firstTimeout: firstRequestTimeout, conns: map[*clientConn]struct{}{}}
+}
+
+// mustClose reports whether c exceeds the number of connections that may be kept. That
+// number is limited, and connections that were opened for one request and then kept
+// would take the place of those that carry further requests. A client that sends a
+// second request uses its connection and keeps it. The rule hurts clients for which a
+// new connection is expensive: while there are too many connections, they get no
+// persistent ones.
+func (t *connTable) mustClose(c *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.leave || !c.answered && t.kept >= t.crowd
+	return t.draining || !c.answered && t.answeredConns >= t.busyThreshold
 }
 
-// resize sets the bounds. What is over them makes room where it may.
-func (t *connTable) resize(limit, crowd int) {
+// resize sets the limits. Connections beyond them are evicted where allowed.
+func (t *connTable) resize(limit, busyThreshold int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limit, t.crowd = limit, crowd
+	t.limit, t.busyThreshold = limit, busyThreshold
 	for len(t.conns) > t.limit && t.evict() {
 	}
 }
 
-// setLeave sets whether clients are asked to leave with their next answer.
-func (t *connTable) setLeave(leave bool) {
+// setDraining sets whether connections close with their next answer.
+func (t *connTable) setDraining(draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leave = leave
+	t.draining = draining
 }
 
-// endRested ends the connections on which nothing has moved for so long and that
-// have no request open: they rest, or never said anything, for firstPatience at
-// least.
-func (t *connTable) endRested(rested time.Duration) {
+// closeIdle closes the connections that have transferred nothing for idleFor and have
+// no request open: those that are idle, and those that have sent nothing yet, for at
+// least firstRequestTimeout.
+func (t *connTable) closeIdle(idleFor time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := front.Now()
 	for c := range t.conns {
 		if c.mayClose(permit.Close{AnswerPending: c.busy}) {
-			c.endResting(now-rested, now-max(rested, t.first))
+			c.closeIfIdle(now-idleFor, now-max(idleFor, t.firstTimeout))
 		}
 	}
 }
 
-// thin closes, in a crowd, the connections that have rested for as long as they
-// may.
-func (t *connTable) thin() {
+// closeExcessIdle closes connections that have been idle for longer than minIdle, while
+// there are too many.
+func (t *connTable) closeExcessIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	long, over := front.Now()-t.rest, t.kept-t.crowd
+	idleBefore, excess := front.Now()-t.minIdle, t.answeredConns-t.busyThreshold
 	for c := range t.conns {
-		if over < 0 {
+		if excess < 0 {
 			return
 		}
-		if c.mayClose(permit.Close{AnswerPending: c.busy}) && c.resting.Load() && c.moved.Load() < int64(long) {
-			c.endResting(long, long)
-			over--
+		if c.mayClose(permit.Close{AnswerPending: c.busy}) && c.idle.Load() && c.lastActive.Load() < int64(idleBefore) {
+			c.closeIfIdle(idleBefore, idleBefore)
+			excess--
 		}
 	}
 }
 
 func (t *connTable) remove(c *clientConn) {
 	if _, ok := t.conns[c]; ok && c.answered {
-		t.kept--
+		t.answeredConns--
 	}
 	delete(t.conns, c)
 }
 
-// add takes a new connection into the table; nil if there is no room for it.
+// add adds a new connection to the table; nil if there is no capacity for it.
 func (t *connTable) add(nc *net.TCPConn) *clientConn {
 	c := &clientConn{TCPConn: nc, table: t}
 	now := int64(front.Now())
-	c.moved.Store(now)
-	c.begun.Store(now)
+	c.lastActive.Store(now)
+	c.started.Store(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.conns) >= t.limit {
-		if !t.full {
-			t.full = true
-			slog.Warn("the application holds as many connections as there is room for; the idle ones are closed", "limit", t.limit)
+		if !t.limitLogged {
+			t.limitLogged = true
+			slog.Warn("connection limit reached; closing idle client connections", "limit", t.limit)
 		}
 		if !t.evict() {
 			return nil
@@ -124,46 +125,45 @@
 	return c
 }
 
-// mayRest is how long a connection may rest at least, unless there is no other
-// way to make room.
-const mayRest = 2 * time.Second
+// minIdle is how long a connection may at least be idle, unless only closing it frees
+// capacity.
+const minIdle = 2 * time.Second
 
-// firstPatience is how long a connection that says nothing yet is left alone by a
-// stop: whoever has just opened it has a request on its way, which a client does
-// not send again by itself, as it would on one that it had used before (RFC 9110
-// section 9.2.2, RFC 9112 section 9.3.1). It could do harm where the processor is so
-// short that a first request takes longer; a crowd that stays silent holds up the
-// end by as much, and no more.
-const firstPatience = 500 * time.Millisecond
+// firstRequestTimeout is how long a shutdown spares a connection that has sent nothing
+// yet: a client that has just connected has a request on its way, and does not retry it
+// by itself as it would on a connection used before (RFC 9110 section 9.2.2, RFC 9112
+// section 9.3.1). It is too short where a shortage of CPU delays first requests for
+// longer. Many silent connections delay the shutdown by this time, and no more.
+const firstRequestTimeout = 500 * time.Millisecond
 
-// evict closes the connection that is worth least: first those that never said
-// anything, then those that have rested long, then those that have begun their
-// first request and not ended it, and at last those that rest; of equals the
-// one unmoved for longest. A crowd that is silent, or slow, so closes itself and
-// not the connections of those who use theirs.
+// evict closes the least valuable connection: first those that have sent nothing, then
+// those idle for long, then those that have begun their first request and not completed
+// it, and finally other idle ones; among equals the one without transfers for longest.
+// So too many silent or slow connections displace each other, and not connections in
+// use.
 //
-// Requests that have come whole are safe, whether or not they have been taken,
-// and so is what a later request of a connection has said so far: once it has
-// been read, closing loses it. What waits unread is left alone too. With nothing
-// else there it reports false.
+// Complete requests are safe, whether or not they have been taken, and so is a later
+// request of a connection that has arrived partly: once read, closing would lose it.
+// Connections with unread data are spared, too. If no other connection is left, evict
+// reports false.
 func (t *connTable) evict() bool {
-	long := int64(front.Now() - t.rest)
-	var worst *clientConn // locked
-	least := 0
+	idleBefore := int64(front.Now() - t.minIdle)
+	var worst *clientConn // its mutex is held
+	lowest := 0
 	for c := range t.conns {
 		if !c.mu.TryLock() {
-			continue // something is being read from it
+			continue // it is being read
 		}
-		worth, may := c.worth(long)
-		if !may || worst != nil && (worth > least || worth == least && c.moved.Load() >= worst.moved.Load()) ||
-			!c.mayClose(permit.Close{UnreadData: c.readable()}) { // its request is here and only has not been looked at
+		rank, may := c.evictionRank(idleBefore)
+		if !may || worst != nil && (rank > lowest || rank == lowest && c.lastActive.Load() >= worst.lastActive.Load()) ||
+			!c.mayClose(permit.Close{UnreadData: c.readable()}) { // its request has arrived and has not been read yet
 			c.mu.Unlock()
 			continue
 		}
 		if worst != nil {
 			worst.mu.Unlock()
 		}
-		worst, least = c, worth
+		worst, lowest = c, rank
 	}
 	if worst == nil {
 		return false
@@ -171,29 +171,30 @@
 	worst.evicted = true
 	worst.mu.Unlock()
 	t.remove(worst)
-	worst.TCPConn.Close() // which waits for its reader
+	worst.TCPConn.Close() // blocks until its reader has returned
 	return true
 }
 
-// worth is what the connection is worth to its client, and whether it may be closed to
-// make room; long is when those that have rested long last moved. Its mu is held, and the table's.
-func (c *clientConn) worth(long int64) (worth int, may bool) {
-	switch resting := c.resting.Load(); {
+// evictionRank is the value of the connection to its client, and whether it may be
+// evicted; idleBefore is the latest last activity of a connection that counts as idle
+// for long. The caller holds its mutex and the table's.
+func (c *clientConn) evictionRank(idleBefore int64) (rank int, may bool) {
+	switch idle := c.idle.Load(); {
 	case !c.mayClose(permit.Close{AnswerPending: c.busy}):
 		return 0, false
-	case !c.heard.Load():
+	case !c.receivedAny.Load():
 		return 0, true
-	case resting && c.moved.Load() < long:
+	case idle && c.lastActive.Load() < idleBefore:
 		return 1, true
-	case resting:
+	case idle:
 		return 3, true
 	}
-	return 2, !c.answered && c.mayClose(permit.Close{AnswerPending: c.asked})
+	return 2, !c.answered && c.mayClose(permit.Close{AnswerPending: c.requestRead})
 }
 
-// state follows the server's connections: idle ones have had their answer
-// written, closed ones are gone.
-func (t *connTable) state(nc net.Conn, state http.ConnState) {
+// stateChanged follows the states of net/http's connections: the answer of an idle one
+// has been written, a closed one is removed.
+func (t *connTable) stateChanged(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*clientConn)
 	if !ok {
 		return
@@ -202,48 +203,48 @@
 	defer t.mu.Unlock()
 	switch state {
 	case http.StateIdle:
-		t.hasAnswer(c)
-		c.resting.Store(len(c.head) == 0 && len(c.ready) == 0 && !c.serving.Load()) // the server reads nothing now
+		t.markAnsweredLocked(c)
+		c.idle.Store(len(c.head) == 0 && len(c.ready) == 0 && !c.serving.Load()) // the server reads nothing now
 	case http.StateClosed, http.StateHijacked:
 		t.remove(c)
 		if len(t.conns) < t.limit/2 {
-			t.full = false
+			t.limitLogged = false
 		}
 	}
 }
 
-// answered notes that a connection has had the answer to its request.
-func (t *connTable) answered(c *clientConn) {
+// markAnswered records that a connection's request has been answered.
+func (t *connTable) markAnswered(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.hasAnswer(c)
+	t.markAnsweredLocked(c)
 }
 
-func (t *connTable) hasAnswer(c *clientConn) {
+func (t *connTable) markAnsweredLocked(c *clientConn) {
 	if _, ok := t.conns[c]; ok && !c.answered {
-		t.kept++
+		t.answeredConns++
 		c.answered = true
 	}
 	c.busy = false
 }
 
-// count counts the connections: all, those with a request taken, and of those
-// the ones on which something moved since.
-func (t *connTable) count(since time.Duration) (all, busy, moving int) {
+// count counts the connections: all, those with a request taken, and of those the ones
+// with transfers since a time.
+func (t *connTable) count(since time.Duration) (total, busy, active int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.conns {
 		if c.busy {
 			busy++
-			if c.moved.Load() >= int64(since) {
-				moving++
+			if c.lastActive.Load() >= int64(since) {
+				active++
 			}
 		}
 	}
-	return len(t.conns), busy, moving
+	return len(t.conns), busy, active
 }
 
-// connKey is the key of a request's clientConn in its context.
+// connKey is the context key of a request's clientConn.
 type connKey struct{}
 
 func withConn(ctx context.Context, nc net.Conn) context.Context {
--- a/internal/front/http1/handler.go
+++ b/internal/front/http1/handler.go
@@ -1,6 +1,6 @@
-// Package http1 is the HTTP/1.1 side towards clients: it checks how their
-// messages are framed, holds their connections within bounds, and translates
-// between them and the core. It decides nothing about a request.
+// Package http1 is the HTTP/1.1 front end: it checks the framing of clients' messages,
+// limits their connections, and translates between them and the core. It makes no
+// decisions about requests.
 package http1
 
 import (
@@ -14,38 +14,38 @@
 	"spokegw/internal/target"
 )
 
-const requestPatience = front.RequestTimeout
+const requestTimeout = front.RequestTimeout
 
-// mostDropped is the longest body of a request that was refused which is read and
-// dropped so that its connection can be kept.
-const mostDropped = 64 << 10
+// maxDiscard is the longest body, in bytes, of a refused request that is read and
+// discarded so that its connection can be kept.
+const maxDiscard = 64 << 10
 
 // handler hands requests to the core and writes its answers.
 type handler struct {
 	core    *core.Core
-	altSvc  atomic.Pointer[string] // of Alt-Svc (RFC 7838); nil or "": none
-	drained atomic.Bool            // an operator wants no more requests here
+	altSvc  atomic.Pointer[string] // value of Alt-Svc (RFC 7838); nil or "": none
+	drained atomic.Bool            // an operator has drained this sidecar
 }
 
-// ServeHTTP reads a request to its end, has the core answer it, and writes the
-// one answer. What is malformed is answered here and not sent on, and its
-// connection closed: where the next request would begin on it is in doubt.
-func (in *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP reads a request to its end, has the core answer it, and writes the answer.
+// A malformed request is answered here and not forwarded, and its connection is closed,
+// because it is uncertain where the next request would begin.
+func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := r.Context().Value(connKey{}).(*clientConn)
 	if r.URL.Path == "/health/ready" && r.Header.Get("Req-Id") == "" && r.ContentLength == 0 {
 		a := &core.Answer{Status: http.StatusOK, Header: http.Header{}}
-		if in.drained.Load() {
+		if h.drained.Load() {
 			a = &core.Answer{Status: http.StatusServiceUnavailable, Reason: "drained by an operator"}
 		}
-		in.write(w, r, conn, a)
+		h.write(w, r, conn, a)
 		return
 	}
-	x, refused := in.core.Open(&core.Head{
+	x, refused := h.core.Open(&core.Head{
 		Method: r.Method, Target: target.OriginForm(r.RequestURI), Host: r.Host, Header: r.Header, Length: r.ContentLength, Client: conn,
 	})
 	rc := http.NewResponseController(w)
 	if refused != nil {
-		in.refuse(w, r, rc, conn, refused)
+		h.refuse(w, r, rc, conn, refused)
 		return
 	}
 	body := io.Reader(r.Body)
@@ -53,50 +53,50 @@
 		body = chunkedBody{r.Body, conn}
 	}
 	if r.ContentLength != 0 {
-		body = front.NewPacedBody(body, rc, time.Duration(conn.begun.Load()))
+		body = front.NewPacedBody(body, rc, time.Duration(conn.started.Load()))
 	}
-	held, more, err := front.ReadBody(body, r.ContentLength, x.ReserveBody)
+	buffered, more, err := front.ReadBody(body, r.ContentLength, x.ReserveBody)
 	switch {
 	case err != nil:
 		a := front.IncompleteBody(err)
 		x.Drop(a)
-		in.write(w, r, conn, a)
+		h.write(w, r, conn, a)
 		return
 	case more:
-		in.upload(w, r, rc, conn, x, held, body)
+		h.upload(w, r, rc, conn, x, buffered, body)
 		return
 	}
 	if r.ContentLength != 0 {
-		rc.SetReadDeadline(time.Time{}) // else it would end the watch for a client that leaves
+		rc.SetReadDeadline(time.Time{}) // otherwise it would end the watch for a client that disconnects
 	}
 	switch {
-	case conn.crowded():
+	case conn.hasExtra():
 		x.Drop(nil)
-		in.write(w, r, conn, followsTooSoon())
+		h.write(w, r, conn, earlyDataAnswer())
 		return
-	case conn.Disconnected(), !conn.take():
+	case conn.Disconnected(), !conn.claim():
 		x.Drop(nil)
 		panic(http.ErrAbortHandler)
 	}
-	a, err := x.Do(r.Context(), held)
+	a, err := x.Do(r.Context(), buffered)
 	if err != nil {
-		panic(http.ErrAbortHandler) // nobody is there to read an answer
+		panic(http.ErrAbortHandler) // the client has disconnected
 	}
-	in.write(w, r, conn, &a)
+	h.write(w, r, conn, &a)
 }
 
-// upload has a request answered whose body is passed on as it comes. Unless it
-// came whole its connection ends with the answer: where the next request would
-// begin on it is not known.
-func (in *handler) upload(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn, x *core.Exchange, held []byte, body io.Reader) {
-	if !conn.take() {
+// upload has the core answer a request whose body is streamed. Unless the body is
+// complete, the connection closes after the answer, because it is unknown where the
+// next request would begin.
+func (h *handler) upload(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn, x *core.Exchange, buffered []byte, body io.Reader) {
+	if !conn.claim() {
 		x.Drop(nil)
 		panic(http.ErrAbortHandler)
 	}
-	u := front.NewUpload(body, r.ContentLength, int64(len(held)), rc, conn.crowded)
+	u := front.NewUpload(body, r.ContentLength, int64(len(buffered)), rc, conn.hasExtra)
 	ctx, cancel := u.Context(r.Context())
 	defer cancel()
-	a, err := x.DoStream(ctx, held, u)
+	a, err := x.DoStream(ctx, buffered, u)
 	switch fault := u.Close(); {
 	case err != nil:
 		panic(http.ErrAbortHandler)
@@ -108,49 +108,47 @@
 		rc.SetReadDeadline(time.Time{})
 	}
 	if a.Malformed {
-		rc.EnableFullDuplex() // else the server reads what is left of the body before it lets the answer out
-		conn.extra.Store(true)
+		rc.EnableFullDuplex() // otherwise the server reads the remaining body before it sends the answer
+		conn.extraData.Store(true)
 	}
-	in.write(w, r, conn, &a)
+	h.write(w, r, conn, &a)
 }
 
-// refuse answers a request of which the head was enough. The answer goes out at
-// once; the body that is still to come is then read and dropped, so that the
-// connection can be kept. A body that does not come in time, or is too long,
-// ends the connection.
-func (in *handler) refuse(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn, a *core.Answer) {
-	if r.ContentLength < 0 || r.ContentLength > mostDropped || r.Header.Get("Expect") != "" {
+// refuse answers a request whose head was sufficient for that. The answer is sent at
+// once; the remaining body is then read and discarded, so that the connection can be
+// kept. A body that is too long, or does not arrive in time, closes the connection.
+func (h *handler) refuse(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn, a *core.Answer) {
+	if r.ContentLength < 0 || r.ContentLength > maxDiscard || r.Header.Get("Expect") != "" {
 		a.Malformed = true
 	}
 	if a.Malformed || r.ContentLength == 0 {
-		in.write(w, r, conn, a)
+		h.write(w, r, conn, a)
 		return
 	}
-	rc.EnableFullDuplex() // else the server reads the body before it lets the answer out
-	in.write(w, r, conn, a)
+	rc.EnableFullDuplex() // otherwise the server reads the body before it sends the answer
+	h.write(w, r, conn, a)
 	rc.Flush()
-	body := front.NewPacedBody(r.Body, rc, time.Duration(conn.begun.Load()))
+	body := front.NewPacedBody(r.Body, rc, time.Duration(conn.started.Load()))
 	if n, err := io.Copy(io.Discard, body); err != nil || n != r.ContentLength {
-		panic(http.ErrAbortHandler) // the server would take the rest for a request
+		panic(http.ErrAbortHandler) // the server would parse the remaining body as a request
 	}
 	rc.SetReadDeadline(time.Time{})
 }
 
-// write writes an answer. After one to what was malformed the connection is
-// closed: without that net/http reads on in what is left of the body, for as
-// long as its sender likes.
-func (in *handler) write(w http.ResponseWriter, r *http.Request, conn *clientConn, a *core.Answer) {
-	// Where a body in chunks ended is not known here, and so not what follows.
-	if a.Malformed || conn.answering() || len(r.TransferEncoding) > 0 {
+// write writes an answer. It closes the connection after a malformed request: otherwise
+// net/http reads the remaining body for as long as its sender likes.
+func (h *handler) write(w http.ResponseWriter, r *http.Request, conn *clientConn, a *core.Answer) {
+	// The end of a chunked body is not known here, and so not what follows it.
+	if a.Malformed || conn.beginAnswer() || len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
-	if v := in.altSvc.Load(); v != nil && *v != "" {
+	if v := h.altSvc.Load(); v != nil && *v != "" {
 		w.Header().Set("Alt-Svc", *v)
 	}
 	defer func() {
 		if p := recover(); p != nil {
 			if !r.ProtoAtLeast(1, 1) {
-				conn.SetLinger(0) // the end of the connection would be that of the answer
+				conn.SetLinger(0) // a regular close would mark the end of the answer
 			}
 			panic(p)
 		}
--- a/internal/front/http1/http1_test.go
+++ b/internal/front/http1/http1_test.go
@@ -26,11 +26,11 @@
 	"spokegw/policy"
 )
 
-// patience bounds waits for what should come at once, or within a second or two
-// by a time limit of the sidecar's own.
+// patience is the timeout for what should happen at once, or within a second or two
+// because of one of the sidecar's own timeouts.
 const patience = 20 * time.Second
 
-// endpoint listens as one would and answers each connection by hand.
+// listenEndpoint listens as an endpoint, and has serve answer each connection.
 func listenEndpoint(t testing.TB, serve func(c net.Conn, r *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 	return l.Addr().String()
 }
 
-// echo answers every request with its id, and tells seen of each.
+// echo answers every request with its ID, and passes it to seen.
 func echo(seen func(r *http.Request)) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -70,14 +70,14 @@
 	}
 }
 
-// start runs a server over a service of these endpoints, with change applied to
-// what the service is made of.
+// start runs a server for a service of these endpoints, with change applied to the
+// service's configuration.
 func start(t *testing.T, change func(c *core.ServiceConfig), endpoints ...string) *Server {
 	t.Helper()
 	return startWith(t, Config{}, change, endpoints...)
 }
 
-// startWith is start with settings of the server's own.
+// startWith is start with a server configuration.
 func startWith(t testing.TB, config Config, change func(c *core.ServiceConfig), endpoints ...string) *Server {
 	t.Helper()
 	s := listening(t, config, change, endpoints...)
@@ -85,7 +85,7 @@
 	return s
 }
 
-// serve has a server take requests until the function that it returns has stopped it.
+// serve runs a server until the returned function has stopped it.
 func serve(s *Server) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -96,10 +96,10 @@
 	})
 }
 
-// listening is a server whose address is open and that takes nothing yet.
+// listening is a server that listens and does not serve yet.
 func listening(t testing.TB, config Config, change func(c *core.ServiceConfig), endpoints ...string) *Server {
 	t.Helper()
-	const limit, crowd = 140, 40
+	const limit, busyThreshold = 140, 40
 	c := core.ServiceConfig{
 		Kinds: []string{"std"}, Limits: []core.FrontLimits{{Bodies: budget.New(12<<20).Join(1, nil)}}, Seed: 1,
 		Pool:    upstream.NewPool(upstream.Resources{Slots: budget.New(94).Join(1, nil), StreamBytes: budget.New(8<<20).Join(1, nil)}, time.Second, 10*time.Second),
@@ -133,7 +133,7 @@
 	}
 	config.Listen, config.MaxWait = "127.0.0.1:0", 8*time.Second
 	if config.Limit == 0 {
-		config.Limit, config.BusyThreshold = limit, crowd
+		config.Limit, config.BusyThreshold = limit, busyThreshold
 	}
 	s, err := Listen(config, core.New(table))
 	if err != nil {
@@ -163,7 +163,7 @@
 	return fmt.Sprintf("%sReq-Id: %s\r\nContent-Length: %d\r\n\r\n%s", reportHead, id, len(body), body)
 }
 
-// read reads an answer; status 0 where the connection was closed instead.
+// read reads an answer; status 0 if the connection was closed instead.
 func read(t *testing.T, c net.Conn) (status int, body string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -174,14 +174,14 @@
 		}
 	}
 	if e, ok := err.(net.Error); ok && e.Timeout() {
-		t.Fatal("neither an answer nor a close")
+		t.Fatal("got neither an answer nor a close")
 	}
 	return 0, ""
 }
 
-// What can't be a request of the application's gets an error or a close, and
-// soon, whether or not its sender goes on; none of it goes to an endpoint. The
-// usual clients are served all the while.
+// Whatever is not a valid request gets an error or a close in time, whether or not its
+// sender continues to send; none of it reaches an endpoint. Regular clients are served
+// meanwhile.
 func TestBadClients(t *testing.T) {
 	var reached atomic.Pointer[string]
 	addr := listenEndpoint(t, echo(func(r *http.Request) {
@@ -236,7 +236,7 @@
 			if status, _ := read(t, c); status != 0 && status < 400 {
 				t.Errorf("status %d", status)
 			}
-			if took := time.Since(begun); took > 2*requestPatience {
+			if took := time.Since(begun); took > 2*requestTimeout {
 				t.Errorf("took %v", took)
 			}
 		})
@@ -259,14 +259,14 @@
 	})
 	t.Cleanup(func() {
 		if id := reached.Load(); id != nil {
-			t.Errorf("request %q was sent on", *id)
+			t.Errorf("request %q was forwarded", *id)
 		}
 	})
 }
 
-// What was matched is what is sent on, byte for byte, and a field that spells a
-// known one with _ goes no further.
-func TestSentOnAsMatched(t *testing.T) {
+// The target that was matched is forwarded byte for byte, and a field whose name is a
+// known one spelled with _ is dropped.
+func TestForwardedAsMatched(t *testing.T) {
 	type seen struct {
 		target string
 		names  http.Header
@@ -282,19 +282,19 @@
 	}
 	got := <-requests
 	if got.target != target {
-		t.Errorf("%q was sent on, %q was matched", got.target, target)
+		t.Errorf("%q was forwarded, %q was matched", got.target, target)
 	}
 	for name := range got.names {
 		if strings.Contains(name, "_") && !strings.EqualFold(name, "My_Own") {
-			t.Errorf("%s was sent on", name)
+			t.Errorf("%s was forwarded", name)
 		}
 	}
 	if got.names.Get("My_Own") != "yes" {
-		t.Error("a field that spells no known one was dropped")
+		t.Error("a field that resembles no known one was dropped")
 	}
 }
 
-// An id that is in use is not sent on a second time; its owner is served.
+// A request with an ID in use is not forwarded; the ID's first user is served.
 func TestIDInUse(t *testing.T) {
 	begun, release := make(chan string, 10), make(chan struct{})
 	addr := listenEndpoint(t, echo(func(r *http.Request) {
@@ -302,32 +302,32 @@
 		<-release
 	}))
 	s := start(t, nil, addr)
-	owner := dial(t, s)
-	io.WriteString(owner, tile("same"))
+	first := dial(t, s)
+	io.WriteString(first, tile("same"))
 	<-begun
-	for range 2 { // while it is open, and once it has been answered
-		thief := dial(t, s)
-		io.WriteString(thief, tile("same"))
-		if status, _ := read(t, thief); status != http.StatusConflict {
-			t.Errorf("the id's second user is answered %d", status)
+	for range 2 { // while the first request is open, and after it has been answered
+		second := dial(t, s)
+		io.WriteString(second, tile("same"))
+		if status, _ := read(t, second); status != http.StatusConflict {
+			t.Errorf("the second request with the ID is answered %d", status)
 		}
 		select {
 		case <-release:
 		default:
 			close(release)
-			if status, body := read(t, owner); status != 200 || body != "same" {
-				t.Errorf("its owner is answered %d %q", status, body)
+			if status, body := read(t, first); status != 200 || body != "same" {
+				t.Errorf("the first request with the ID is answered %d %q", status, body)
 			}
 		}
 	}
 	if len(begun) > 0 {
-		t.Error("the id went out twice")
+		t.Error("the ID was forwarded twice")
 	}
 }
 
-// A crowd of connections that say nothing, or never end what they say, takes
-// neither the descriptors nor the connections of those who use theirs.
-func TestSilentCrowd(t *testing.T) {
+// Many connections that send nothing, or never complete a request, exhaust neither the
+// descriptors nor displace connections in use.
+func TestManySilentConnections(t *testing.T) {
 	s := start(t, nil, listenEndpoint(t, echo(func(*http.Request) {})))
 	c := dial(t, s)
 	io.WriteString(c, tile("first"))
@@ -342,19 +342,19 @@
 	}
 	io.WriteString(c, tile("second"))
 	if status, _ := read(t, c); status != 200 {
-		t.Errorf("a connection in use is answered %d in the crowd", status)
+		t.Errorf("a connection in use is answered %d among many silent ones", status)
 	}
-	late := dial(t, s)
-	io.WriteString(late, tile("third"))
-	if status, _ := read(t, late); status != 200 {
-		t.Errorf("a new connection is answered %d in the crowd", status)
+	newcomer := dial(t, s)
+	io.WriteString(newcomer, tile("third"))
+	if status, _ := read(t, newcomer); status != 200 {
+		t.Errorf("a new connection is answered %d among many silent ones", status)
 	}
 	if all, _, _ := s.conns.count(0); all > s.conns.limit {
-		t.Errorf("%d connections are held, the limit is %d", all, s.conns.limit)
+		t.Errorf("%d connections are open, the limit is %d", all, s.conns.limit)
 	}
 }
 
-// A request with its body in chunks is as good as any other.
+// A request with a chunked body is served as any other.
 func TestChunkedRequest(t *testing.T) {
 	var body atomic.Pointer[[]byte]
 	addr := listenEndpoint(t, func(c net.Conn, br *bufio.Reader) {
@@ -373,7 +373,7 @@
 	}
 }
 
-// A refusal is given at once and tells when to come back.
+// A refusal is sent at once and states when to retry.
 func TestRefusal(t *testing.T) {
 	c := dial(t, start(t, nil)) // no endpoint is known
 	io.WriteString(c, tile("r"))
@@ -387,19 +387,19 @@
 	}
 }
 
-// A request whose endpoint says nothing gets a second copy, on another endpoint
-// and well before its time is up, and is answered once.
+// A request whose endpoint does not answer gets a hedged attempt on another endpoint,
+// well before its deadline, and is answered once.
 func TestSilentEndpoint(t *testing.T) {
 	var n atomic.Int32
-	gone := make(chan struct{})
+	cancelled := make(chan struct{})
 	serve := func(c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
 		if n.Add(1) == 1 {
-			br.ReadByte() // the attempt is given up once the other has answered
-			close(gone)
+			br.ReadByte() // the attempt is cancelled once the other one has been answered
+			close(cancelled)
 			return
 		}
 		id := r.Header.Get("Req-Id")
@@ -416,16 +416,16 @@
 		t.Errorf("status %d, body %q after %v", status, body, time.Since(begun))
 	}
 	select {
-	case <-gone:
+	case <-cancelled:
 	case <-time.After(patience):
-		t.Error("the first attempt is still out")
+		t.Error("the first attempt is still in flight")
 	}
 }
 
-// Connections that ask once and stay do not use up those that the application
-// may hold: past a number the answer to a first request ends its connection,
-// and those that have rested long are closed. One that asks again is kept.
-func TestCrowdThatStays(t *testing.T) {
+// Connections that stay open after one request do not exhaust the connection limit:
+// above a threshold, the answer to a first request closes its connection, and
+// connections idle for long are closed. A connection with further requests is kept.
+func TestManyIdleConnections(t *testing.T) {
 	s := start(t, nil, listenEndpoint(t, echo(func(*http.Request) {})))
 	ask := func(c net.Conn, id string) (closes bool) {
 		t.Helper()
@@ -436,51 +436,51 @@
 		}
 		return resp.Close
 	}
-	usual := dial(t, s)
-	ask(usual, "usual")
+	active := dial(t, s)
+	ask(active, "usual")
 	ended := 0
 	for i := range s.conns.limit {
 		if ask(dial(t, s), fmt.Sprint("once-", i)) {
 			ended++
 		}
-		if ask(usual, fmt.Sprint("again-", i)) {
-			t.Fatal("a connection in use is closed in the crowd")
+		if ask(active, fmt.Sprint("again-", i)) {
+			t.Fatal("a connection in use is closed among many idle ones")
 		}
 	}
-	if kept := s.conns.limit - ended; kept > s.conns.crowd {
-		t.Errorf("%d connections that asked once are kept, want %d at most", kept, s.conns.crowd)
+	if kept := s.conns.limit - ended; kept > s.conns.busyThreshold {
+		t.Errorf("%d connections with a single request are kept, want %d at most", kept, s.conns.busyThreshold)
 	}
 	s.conns.mu.Lock()
-	s.conns.rest = 0 // they all have rested long
+	s.conns.minIdle = 0 // all count as idle for long
 	s.conns.mu.Unlock()
-	s.conns.thin()
-	for until := time.Now().Add(patience); ; { // each is closed by who reads it
+	s.conns.closeExcessIdle()
+	for until := time.Now().Add(patience); ; { // each is closed by its reader
 		s.conns.mu.Lock()
-		kept, crowd := s.conns.kept, s.conns.crowd
+		kept, crowd := s.conns.answeredConns, s.conns.busyThreshold
 		s.conns.mu.Unlock()
 		if kept < crowd {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("%d connections are left of the crowd, want less than %d", kept, crowd)
+			t.Fatalf("%d idle connections are left, want less than %d", kept, crowd)
 		}
 		runtime.Gosched()
 	}
 }
 
-// A connection that was opened just before a stop has its first request answered,
-// though that comes when the server has begun to close what rests.
+// A connection that was opened just before a stop has its first request answered, even
+// if the request arrives when the server has begun to close idle connections.
 func TestFirstRequestAcrossStop(t *testing.T) {
-	at := listenEndpoint(t, echo(func(*http.Request) {}))
+	addr := listenEndpoint(t, echo(func(*http.Request) {}))
 	asked := make(chan struct{})
 	t.Run("stop", func(inner *testing.T) { // its end stops the server
-		s := start(inner, nil, at)
+		s := start(inner, nil, addr)
 		s.conns.mu.Lock()
-		s.conns.first = patience
+		s.conns.firstTimeout = patience
 		s.conns.mu.Unlock()
-		fresh, rests := dial(t, s), dial(t, s)
-		br := bufio.NewReader(rests)
-		io.WriteString(rests, tile("rests")) // accepted after the other one
+		fresh, idle := dial(t, s), dial(t, s)
+		br := bufio.NewReader(idle)
+		io.WriteString(idle, tile("rests")) // accepted after the other one
 		if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 200 {
 			inner.Fatal(resp, err)
 		} else if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -488,7 +488,7 @@
 		}
 		go func() {
 			defer close(asked)
-			br.ReadByte() // it ends as the server closes what rests
+			br.ReadByte() // returns when the server closes idle connections
 			io.WriteString(fresh, tile("first"))
 			if status, _ := read(t, fresh); status != 200 {
 				t.Errorf("the first request of a new connection: status %d", status)
@@ -498,18 +498,18 @@
 	<-asked
 }
 
-// A stop closes the connections that rest. A request that crosses that is either
-// not taken, and its client's to send again, or answered: one that ran without an
-// answer would run twice.
-func TestStopAnswersWhatItTook(t *testing.T) {
+// A stop closes idle connections. A request that crosses the close is either not taken,
+// so that its client retries it, or answered: if it ran without an answer, it would run
+// twice.
+func TestStopAnswersTakenRequests(t *testing.T) {
 	const rounds, clients = 12, 16
 	var seen sync.Map
-	at := listenEndpoint(t, echo(func(r *http.Request) { seen.Store(r.Header.Get("Req-Id"), true) }))
+	addr := listenEndpoint(t, echo(func(r *http.Request) { seen.Store(r.Header.Get("Req-Id"), true) }))
 	for round := range rounds {
 		var asking sync.WaitGroup
 		begun := make(chan struct{}, 2*clients)
 		t.Run(fmt.Sprint(round), func(inner *testing.T) { // its end stops the server
-			s := start(inner, nil, at)
+			s := start(inner, nil, addr)
 			for i := range clients {
 				c := dial(t, s)
 				asking.Go(func() {
@@ -525,7 +525,7 @@
 						}
 						if status != 200 {
 							if _, ran := seen.Load(id); ran {
-								t.Errorf("%s ran and has no answer", id)
+								t.Errorf("%s ran and got no answer", id)
 							}
 							return
 						}
@@ -540,28 +540,28 @@
 	}
 }
 
-// stopClient is a client of a server that stops: it sends on its connection for as long as
-// that stays open, and where that ended without an answer once more on a new one, as a
-// client may that had used it before.
+// stopClient is a client of a server that stops: it sends on its connection for as long
+// as that is open, and if the connection closed without an answer, it retries once on a
+// new one, as a client may on a connection used before.
 type stopClient struct {
-	at   string
-	keep bool // its connection; else each request has a new one
-	c    net.Conn
+	addr string
+	keep bool // keep the connection; otherwise each request uses a new one
+	conn net.Conn
 }
 
-var errStopped = errors.New("nobody listens any more")
+var errStopped = errors.New("the server refuses connections")
 
-// ask sends a request, and returns the status of its answer.
+// ask sends a request and returns the status of its answer.
 func (k *stopClient) ask(id string) (status int, err error) {
 	for {
-		fresh := k.c == nil
+		fresh := k.conn == nil
 		if fresh {
-			if k.c, err = net.Dial("tcp", k.at); errors.Is(err, syscall.ECONNREFUSED) {
+			if k.conn, err = net.Dial("tcp", k.addr); errors.Is(err, syscall.ECONNREFUSED) {
 				return 0, errStopped
 			} else if err != nil {
 				return 0, err
 			}
-			k.c.SetDeadline(time.Now().Add(patience))
+			k.conn.SetDeadline(time.Now().Add(patience))
 		}
 		resp, err := k.try(id)
 		if err == nil {
@@ -577,10 +577,10 @@
 }
 
 func (k *stopClient) try(id string) (*http.Response, error) {
-	if _, err := io.WriteString(k.c, tile(id)); err != nil {
+	if _, err := io.WriteString(k.conn, tile(id)); err != nil {
 		return nil, err
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(k.c), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(k.conn), nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
@@ -588,25 +588,25 @@
 }
 
 func (k *stopClient) close() {
-	if k.c != nil {
-		k.c.Close()
-		k.c = nil
+	if k.conn != nil {
+		k.conn.Close()
+		k.conn = nil
 	}
 }
 
-// A server that stops under clients that send on every connection that stays open, and
-// others that open a new one for each request, loses none: each has its answer, until
-// nobody listens any more.
+// A server that stops loses no request of clients that send on every connection that
+// stays open, and of others that open a connection for each request: each is answered
+// until the address refuses connections.
 func TestStopUnderClients(t *testing.T) {
 	const rounds, clients, each = 4, 24, 20
-	at := listenEndpoint(t, echo(func(*http.Request) {}))
+	addr := listenEndpoint(t, echo(func(*http.Request) {}))
 	for round := range rounds {
 		var asking sync.WaitGroup
 		begun := make(chan struct{}, clients)
 		t.Run(fmt.Sprint(round), func(inner *testing.T) { // its end stops the server
-			s := start(inner, nil, at)
+			s := start(inner, nil, addr)
 			for i := range clients {
-				k := &stopClient{at: s.Addr().String(), keep: i%2 == 0}
+				k := &stopClient{addr: s.Addr().String(), keep: i%2 == 0}
 				asking.Go(func() {
 					defer k.close()
 					for n := 0; ; n++ {
--- a/internal/front/http1/idle_test.go
+++ b/internal/front/http1/idle_test.go
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-// BenchmarkIdle tells what a connection takes that rests after a request. Its clients are
-// bare sockets, which take nothing of the process's own memory.
+// BenchmarkIdle measures the memory of a connection that is idle after a request. Its
+// clients are bare sockets, which use no memory of the process itself.
 func BenchmarkIdle(b *testing.B) {
-	const connections = 4000 // each takes two descriptors here
+	const connections = 4000 // each uses two descriptors here
 	s := startWith(b, Config{Limit: 2 * connections, BusyThreshold: 2 * connections}, nil, listenEndpoint(b, echo(func(*http.Request) {})))
 	addr := s.Addr().(*net.TCPAddr)
 	to := &syscall.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}
 	buf := make([]byte, 4096)
 	var before, after runtime.MemStats
 	for b.Loop() {
-		var all []int
+		var fds []int
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range connections {
@@ -27,7 +27,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			all = append(all, fd)
+			fds = append(fds, fd)
 			if err := syscall.Connect(fd, to); err != nil {
 				b.Fatal(err)
 			}
@@ -44,7 +44,7 @@
 		heap, stacks := float64(after.HeapAlloc)-float64(before.HeapAlloc), float64(after.StackInuse)-float64(before.StackInuse)
 		b.ReportMetric(heap/connections, "heap-B/conn")
 		b.ReportMetric(stacks/connections, "stack-B/conn")
-		for _, fd := range all {
+		for _, fd := range fds {
 			syscall.Close(fd)
 		}
 	}
--- a/internal/front/http1/listener.go
+++ b/internal/front/http1/listener.go
@@ -12,16 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// listener accepts for as long as it is open: no error but its closing ends
-// the loop of the server. It can be paused: connections then wait in the
-// system's queue, for another process that listens by the same descriptor.
+// listener accepts until it is closed: no other error ends the server's accept loop.
+// While it is paused, connections wait in the accept queue for another process that
+// shares the descriptor.
 type listener struct {
 	*net.TCPListener
-	add    func(*net.TCPConn) *clientConn // to the table; nil: there is no room
-	shared atomic.Bool                    // another process has, or had, the same descriptor
+	add    func(*net.TCPConn) *clientConn // adds to the table; nil: there is no capacity
+	shared atomic.Bool                    // another process shares or has shared the descriptor
 
 	mu     sync.Mutex
-	paused chan struct{} // closed when it accepts again; nil: it does
+	paused chan struct{} // closed on resume; nil: not paused
 	closed bool
 }
 
@@ -30,7 +30,7 @@
 	defer l.mu.Unlock()
 	if l.paused == nil && !l.closed {
 		l.paused = make(chan struct{})
-		l.SetDeadline(longAgo) // ends an Accept that waits
+		l.SetDeadline(pastDeadline) // ends a blocked Accept
 	}
 }
 
@@ -44,7 +44,8 @@
 	}
 }
 
-// isPaused returns a channel that is closed when it is no longer; nil: it is not.
+// isPaused returns a channel that is closed on resume; nil if the listener is not
+// paused.
 func (l *listener) isPaused() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,38 +62,38 @@
 }
 
 const (
-	// emptyWithin bounds how long the system's queue is waited for at the end.
-	emptyWithin = 200 * time.Millisecond
-	// shakenWithin is how long handshakes that had begun may take to get there.
-	shakenWithin = 20 * time.Millisecond
+	// queueDrainTimeout limits the wait for an empty accept queue.
+	queueDrainTimeout = 200 * time.Millisecond
+	// handshakeTimeout is how long TCP handshakes that have begun may take to complete.
+	handshakeTimeout = 20 * time.Millisecond
 )
 
-// finish closes the listener with nobody in its queue. A client there has a connection,
-// and maybe a request on it, that no process has seen: closing resets it. So the door is
-// shut first, to what would begin a connection; handshakes that have begun come to their
-// end, and who stands in the queue is taken; then it is closed. Where the system can't
-// shut the door, what comes between the last look and the closing is reset still. It
-// could do harm to a handshake that takes longer than shakenWithin, over a path of that
-// length: it is reset as before.
-func (l *listener) finish() error {
-	begun := time.Now()
-	if !l.shared.Load() { // what is shut is shut for the other process too
-		l.shut()
+// closeGracefully closes the listener once its accept queue is empty. A client in the
+// queue has a connection, and possibly a request on it, that no process has seen;
+// closing the listener would reset it. So new handshakes are refused first; those under
+// way complete and queued connections are accepted; then the listener is closed. Where
+// the system does not support refusing handshakes, connections that arrive between the
+// last check and the close are still reset, and so is a handshake that takes longer
+// than handshakeTimeout because of a long network path.
+func (l *listener) closeGracefully() error {
+	start := time.Now()
+	if !l.shared.Load() { // this would refuse the other process's connections, too
+		l.refuseNew()
 	}
-	for took := time.Duration(0); took < shakenWithin || took < emptyWithin && l.queued(); took = time.Since(begun) {
-		time.Sleep(acceptPause / 5) // accept takes them
+	for elapsed := time.Duration(0); elapsed < handshakeTimeout || elapsed < queueDrainTimeout && l.queued(); elapsed = time.Since(start) {
+		time.Sleep(acceptPause / 5) // the accept loop takes them meanwhile
 	}
 	return l.Close()
 }
 
-// noInterface is the number of no network interface.
+// noInterface is not the number of any network interface.
 const noInterface = 1<<31 - 1
 
-// shut has new connections refused, as they are when the listener is closed, and those
-// that have begun go on: the listener is bound to an interface by which nothing comes
-// (socket(7), SO_BINDTODEVICE; Linux 5.0 by number). One that takes no such number goes on
-// as it was.
-func (l *listener) shut() {
+// refuseNew refuses new connections, as if the listener were closed, while handshakes
+// under way continue: it binds the listener to an interface that does not exist
+// (socket(7), SO_BINDTODEVICE; Linux 5.0 for binding by number). On systems without
+// that it has no effect.
+func (l *listener) refuseNew() {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return
@@ -101,21 +102,21 @@
 }
 
 // queued reports whether a connection waits to be accepted.
-func (l *listener) queued() (some bool) {
+func (l *listener) queued() (waiting bool) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
 	}
 	raw.Control(func(fd uintptr) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(look, 0)
-		some = err == nil && n > 0 && look[0].Revents&unix.POLLIN != 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(fds, 0)
+		waiting = err == nil && n > 0 && fds[0].Revents&unix.POLLIN != 0
 	})
-	return some
+	return waiting
 }
 
-// acceptPause is how long accepting rests after an error: most tell of a want
-// of descriptors that passes.
+// acceptPause is the pause after an accept error, which usually is a transient lack of
+// file descriptors.
 const acceptPause = 5 * time.Millisecond
 
 func (l *listener) accept() (*clientConn, error) {
@@ -134,18 +135,19 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		if c := l.place(nc); c != nil {
+		if c := l.waitForCapacity(nc); c != nil {
 			return c, nil
 		}
 	}
 }
 
-// place waits for room in the table: all that are there have a request under way, which
-// ends within its time, and a client that was shut unread would have no answer at all. Who
-// comes behind waits in the system's queue. It returns nil where the listener is closed
-// before there is room. It could do harm where clients have somewhere else to go and would
-// rather be shut at once.
-func (l *listener) place(nc *net.TCPConn) *clientConn {
+// waitForCapacity waits for capacity in the table: if it is full, all its connections
+// have a request under way, which ends within its deadline, and closing the new
+// connection unread would leave its client without any answer. Clients behind it wait
+// in the accept queue. It returns nil if the listener is closed before there is
+// capacity. Clients that have another server to go to would be better off with an
+// immediate close.
+func (l *listener) waitForCapacity(nc *net.TCPConn) *clientConn {
 	for {
 		if c := l.add(nc); c != nil {
 			return c
--- a/internal/front/http1/listener_test.go
+++ b/internal/front/http1/listener_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// open opens a listener, and greets whoever it accepts once greet is called.
+// open opens a listener, which accepts and greets clients once greet is called.
 func open(t *testing.T) (l *listener, greet func()) {
 	t.Helper()
 	tcp, err := listen("127.0.0.1:0")
@@ -39,7 +39,7 @@
 	}
 }
 
-// greeted opens a connection, asks, and reads the greeting.
+// greeted opens a connection and reads the greeting.
 func greeted(addr string) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -48,13 +48,13 @@
 	defer c.Close()
 	text, err := io.ReadAll(c)
 	if err == nil && string(text) != "hello" {
-		err = fmt.Errorf("%q in place of a greeting", text)
+		err = fmt.Errorf("read %q instead of the greeting", text)
 	}
 	return err
 }
 
-// Clients stand in the system's queue as the listener is to be closed: each is taken.
-func TestFinishEmptiesQueue(t *testing.T) {
+// Clients in the accept queue when the listener is to be closed are all accepted.
+func TestCloseEmptiesAcceptQueue(t *testing.T) {
 	l, greet := open(t)
 	const waiting = 50
 	var clients sync.WaitGroup
@@ -71,21 +71,21 @@
 		})
 	}
 	greet()
-	if err := l.finish(); err != nil {
+	if err := l.closeGracefully(); err != nil {
 		t.Error(err)
 	}
 	clients.Wait()
 }
 
-// Clients go on connecting while listeners are closed, one after the other. Each is
-// greeted or refused: nobody has a connection that is reset.
-func TestFinishUnderClients(t *testing.T) {
-	var met, refused atomic.Int64
+// Clients continue to connect while several listeners are closed in turn. Each is
+// greeted or refused: no connection is reset.
+func TestCloseUnderLoad(t *testing.T) {
+	var greetedCount, refused atomic.Int64
 	for range 20 {
 		l, greet := open(t)
 		greet()
 		enough := make(chan struct{})
-		least := met.Load() + 200
+		target := greetedCount.Load() + 200
 		var clients sync.WaitGroup
 		for range 16 {
 			clients.Go(func() {
@@ -99,33 +99,34 @@
 						t.Error(err)
 						return
 					}
-					if met.Add(1) == least {
+					if greetedCount.Add(1) == target {
 						close(enough)
 					}
 				}
 			})
 		}
 		<-enough
-		if err := l.finish(); err != nil {
+		if err := l.closeGracefully(); err != nil {
 			t.Error(err)
 		}
 		clients.Wait()
 	}
-	t.Logf("%d greeted, %d refused", met.Load(), refused.Load())
+	t.Logf("%d greeted, %d refused", greetedCount.Load(), refused.Load())
 }
 
-// A connection is accepted as the server stops, and gets to the table of connections only
-// when the listener has been closed and nothing else is left: its request is answered.
-func TestAcceptedAsTheServerStops(t *testing.T) {
+// A connection is accepted when the server stops, and is added to the connection table
+// only after the listener has been closed and no other connection is left: its request
+// is answered.
+func TestAcceptDuringStop(t *testing.T) {
 	const longer = 100 * time.Millisecond // than a stop takes when nothing is left
 	for name, yielded := range map[string]bool{"nobody takes over": false, "another process has taken over": true} {
 		t.Run(name, func(t *testing.T) {
 			s := listening(t, Config{}, nil, listenEndpoint(t, echo(func(*http.Request) {})))
-			accepted, goOn := make(chan struct{}), make(chan struct{})
+			accepted, proceed := make(chan struct{}), make(chan struct{})
 			add := s.listener.add
 			s.listener.add = func(nc *net.TCPConn) *clientConn {
 				close(accepted)
-				<-goOn
+				<-proceed
 				return add(nc)
 			}
 			ctx, stop := context.WithCancel(context.Background())
@@ -143,18 +144,18 @@
 				closed = s.listener.closed
 				s.listener.mu.Unlock()
 			}
-			over := false
+			ended := false
 			select {
 			case <-served:
-				over = true
-				t.Error("the server has ended, and a connection that it accepted is in nobody's hands")
+				ended = true
+				t.Error("the server has ended although a connection that it accepted is not served")
 			case <-time.After(longer):
 			}
-			close(goOn)
+			close(proceed)
 			if status, _ := read(t, c); status != 200 {
 				t.Errorf("status %d", status)
 			}
-			if !over {
+			if !ended {
 				if err := <-served; err != nil {
 					t.Error(err)
 				}
@@ -163,10 +164,10 @@
 	}
 }
 
-// A server that another process has taken over from is told to stop, and that process has just
-// ended: who stands in the queue then is answered.
-func TestStopAsTheSuccessorEnds(t *testing.T) {
-	const clients, closes = 10, 20 * time.Millisecond // closes: in which it would close the listener
+// A server whose successor has taken over is told to stop, and the successor has just
+// ended: clients in the accept queue are answered.
+func TestStopWhenSuccessorEnds(t *testing.T) {
+	const clients, closes = 10, 20 * time.Millisecond // closes: the time within which it would close the listener
 	s := listening(t, Config{}, nil, listenEndpoint(t, echo(func(*http.Request) {})))
 	s.listener.shared.Store(true)
 	s.StopAccepting()
--- a/internal/front/http1/pipelining_test.go
+++ b/internal/front/http1/pipelining_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Requests that are sent ahead are answered in their order, however they are cut;
-// what can't be read among them ends the connection in its turn.
+// Pipelined requests are answered in order, however they are split; an invalid one
+// closes the connection after the answers to those before it.
 func TestPipelining(t *testing.T) {
 	var text string
 	var want []string
@@ -24,7 +24,7 @@
 	}
 	for name, c := range map[string]struct {
 		text string
-		want []string // ids; "" for an error, which ends the connection
+		want []string // IDs; "" for an error, which closes the connection
 	}{
 		"good":              {text, want},
 		"noise behind":      {tile("n1") + tile("n2") + "noise\r\n\r\n", []string{"n1", "n2", ""}},
@@ -51,7 +51,7 @@
 				for i, id := range c.want {
 					resp, err := http.ReadResponse(br, nil)
 					if err != nil && id == "" {
-						return // a close will do
+						return // closing without an answer is allowed
 					}
 					if err != nil {
 						t.Fatalf("answer %d: %v", i, err)
@@ -59,7 +59,7 @@
 					body, err := io.ReadAll(resp.Body)
 					if id == "" {
 						if resp.StatusCode < 400 {
-							t.Errorf("answer %d: status %d, an error is expected", i, resp.StatusCode)
+							t.Errorf("answer %d: status %d, want an error", i, resp.StatusCode)
 						}
 						return
 					}
--- a/internal/front/http1/plain.go
+++ b/internal/front/http1/plain.go
@@ -20,53 +20,54 @@
 	"spokegw/internal/peek"
 )
 
-// mostPlain is the longest body, in bytes, that is read here. Longer ones may have to be
-// passed on as they come.
-const mostPlain = 32 << 10
+// maxPlainBody is the longest body, in bytes, that is read here. Longer ones may have
+// to be streamed.
+const maxPlainBody = 32 << 10
 
-// headBuffers are what heads are read into. A connection has one from when something
-// waits to be read until its request has been taken.
+// headBuffers are the buffers that heads are read into. A connection has one from when
+// it becomes readable until its request has been taken.
 var headBuffers = sync.Pool{New: func() any { return new([framing.MaxHead]byte) }}
 
-// plain serves the plain requests of one connection. Its reader goes on reading while a
-// request is served, by a goroutine of the request's own: what shows then is that the
-// client has left, or that something follows too soon. Requests that are not plain go to
-// net/http's server, with their connection, for good: it knows the rest of the protocol.
+// plain serves the plain requests of one connection. Its reader continues to read while
+// a request is served on a goroutine of its own: this shows that the client has
+// disconnected, or that data follows too early. A connection with a request that is not
+// plain is handed over for good to net/http's server, which implements the rest of the
+// protocol.
 type plain struct {
 	*clientConn
-	server  *Server
-	raw     syscall.RawConn
-	look    func(fd uintptr) bool // read, made once
-	age     func(fd uintptr)      // that of what came last, made once, which is noted in
-	waited  time.Duration
-	n       int            // what read has read, and
-	err     error          // why it could not
-	full    bool           // it filled the buffer: there may be more
-	done    chan bool      // of the request that is served: whether its connection is kept
-	serves  bool           // there is one, as the reader knows
-	waiting job            // a request that is handed to a worker once nothing is left to be read; its x is nil where there is none
-	taken   *core.Exchange // neither dropped nor handed to a worker yet; nil: none is
+	server     *Server
+	raw        syscall.RawConn
+	readFunc   func(fd uintptr) bool // tryRead, as a value made once
+	ageFunc    func(fd uintptr)      // sets unreadAge to the age of the latest data; made once
+	unreadAge  time.Duration
+	readLen    int            // bytes that tryRead has read
+	readErr    error          // the error of tryRead
+	bufferFull bool           // the read filled the buffer: there may be more
+	done       chan bool      // receives, when a request has been served, whether its connection is kept
+	inFlight   bool           // a request is being served, as the reader knows
+	queued     job            // a request to be handed to a worker once nothing is left to read; its x is nil if there is none
+	unstarted  *core.Exchange // taken, but neither dropped nor handed to a worker; nil: none
 
 	// Guarded by clientConn.mu.
-	left bool           // the client has left
-	open *core.Exchange // the request that is served; nil: there is none
-	long core.Stream    // the answer that is being passed on; nil: it is no long one
+	disconnected bool           // the client has disconnected
+	active       *core.Exchange // the request being served; nil: none
+	longAnswer   core.Stream    // the streamed answer being written; nil: none
 }
 
 // serve serves a connection until it ends or has been handed over.
 func (s *Server) serve(c *clientConn) {
 	p := &plain{clientConn: c, server: s, done: make(chan bool, 1)}
-	p.look = p.read
-	p.age = func(fd uintptr) { p.waited = peek.SinceData(fd) }
+	p.readFunc = p.tryRead
+	p.ageFunc = func(fd uintptr) { p.unreadAge = peek.SinceData(fd) }
 	handed := false
 	defer func() {
-		if p.taken != nil { // after a panic
-			p.drop(nil)
+		if p.unstarted != nil { // after a panic
+			p.dropUnstarted(nil)
 		}
 		if !handed {
-			p.dropHead()
+			p.releaseHead()
 			c.Close()
-			c.table.state(c, http.StateClosed)
+			c.table.stateChanged(c, http.StateClosed)
 		}
 	}()
 	defer logPanic()
@@ -74,14 +75,14 @@
 	if p.raw, err = c.SyscallConn(); err != nil {
 		return
 	}
-	c.SetReadDeadline(front.At(time.Duration(c.begun.Load()) + requestPatience))
+	c.SetReadDeadline(front.At(time.Duration(c.started.Load()) + requestTimeout))
 	for {
 		end, err := p.nextHead()
 		if err != nil {
 			return
 		}
-		if c.table.door != nil {
-			switch refused, err := c.turnAway(end); {
+		if c.table.admission != nil {
+			switch refused, err := c.tryRefuse(end); {
 			case err != nil:
 				return
 			case refused:
@@ -92,35 +93,35 @@
 		if end > 0 && !c.table.pipelining {
 			req, ok = framing.ReadRequest(c.head[:end])
 		}
-		if !ok || req.Length > mostPlain || req.Header["Req-Id"] == nil {
+		if !ok || req.Length > maxPlainBody || req.Header["Req-Id"] == nil {
 			handed = p.handOver()
 			return
 		}
-		if !p.take(&req, end) {
+		if !p.serveRequest(&req, end) {
 			return
 		}
 	}
 }
 
-// nextHead reads until a whole head stands in c.head, and returns its length; 0: none can
-// come of what stands there. It ends with an error if the connection does.
+// nextHead reads until a complete head is in p.head, and returns its length; 0 if what
+// is there can't become one. It returns an error if the connection ends.
 func (p *plain) nextHead() (end int, err error) {
 	for {
 		if end = framing.End(p.head); end > 0 || len(p.head) == framing.MaxHead {
 			return end, nil
 		}
-		err := p.fill()
-		if p.waiting.x != nil && !p.begin(err) {
+		err := p.readMore()
+		if p.queued.x != nil && !p.startQueued(err) {
 			return 0, io.EOF
 		}
-		if p.serves {
-			if err == nil && p.extra.Load() {
+		if p.inFlight {
+			if err == nil && p.extraData.Load() {
 				err = p.awaitClose()
 			}
 			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-				p.leave()
+				p.clientDisconnected()
 			}
-			p.serves = false
+			p.inFlight = false
 			if kept := <-p.done; !kept {
 				return 0, io.EOF
 			}
@@ -129,27 +130,27 @@
 			return 0, err
 		}
 		if framing.End(p.head) == 0 {
-			p.SetReadDeadline(front.At(time.Duration(p.begun.Load()) + requestPatience))
+			p.SetReadDeadline(front.At(time.Duration(p.started.Load()) + requestTimeout))
 		}
 	}
 }
 
-// begin sees to a request that was not handed to a worker, since reading on, which comes
-// first, did not find the connection empty. It reports false where the request is not
-// served: its client has closed the connection by now, and what was begun for it would
-// begin later than that, or has sent more before it was answered.
-func (p *plain) begin(err error) bool {
-	j := p.waiting
-	p.waiting = job{}
+// startQueued handles a request that was not handed to a worker because the read that
+// comes first did not find the connection empty. It reports false if the request is not
+// served: the client has closed the connection already, so that serving it would begin
+// after the disconnect, or has sent more data before the answer.
+func (p *plain) startQueued(err error) bool {
+	j := p.queued
+	p.queued = job{}
 	if errors.Is(err, os.ErrDeadlineExceeded) { // nothing was read
 		p.start(j)
 		return true
 	}
-	p.serves = false
-	p.opens(nil)
-	p.drop(nil)
+	p.inFlight = false
+	p.setActive(nil)
+	p.dropUnstarted(nil)
 	if err == nil {
-		p.write(followsTooSoon(), true)
+		p.write(earlyDataAnswer(), true)
 	}
 	return false
 }
@@ -157,27 +158,29 @@
 // start hands a request to a worker.
 func (p *plain) start(j job) {
 	p.server.workers.serve(j)
-	p.taken = nil
+	p.unstarted = nil
 }
 
-// drop ends a request that was taken and not begun.
-func (p *plain) drop(a *core.Answer) {
-	x := p.taken
-	p.taken = nil
+// dropUnstarted ends a request that was taken and not started.
+func (p *plain) dropUnstarted(a *core.Answer) {
+	x := p.unstarted
+	p.unstarted = nil
 	x.Drop(a)
 }
 
-// followsTooSoon answers a request behind which something came before it was answered.
-func followsTooSoon() *core.Answer {
+// earlyDataAnswer is the answer to a request that was followed by data before it was
+// answered.
+func earlyDataAnswer() *core.Answer {
 	return &core.Answer{Status: http.StatusBadRequest, Reason: "something follows before the request was answered", Malformed: true}
 }
 
-// leave tells whoever serves the request that its client has left.
-func (p *plain) leave() {
+// clientDisconnected notifies whoever serves the request that its client has
+// disconnected.
+func (p *plain) clientDisconnected() {
 	p.mu.Lock()
-	x := p.open
-	if p.left = true; p.long != nil {
-		p.long.Abort()
+	x := p.active
+	if p.disconnected = true; p.longAnswer != nil {
+		p.longAnswer.Abort()
 	}
 	p.mu.Unlock()
 	if x != nil {
@@ -185,28 +188,29 @@
 	}
 }
 
-// opens notes the request that is served; a connection that rests holds none.
-func (p *plain) opens(x *core.Exchange) {
+// setActive records the request being served; idle connections have none.
+func (p *plain) setActive(x *core.Exchange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open = x
+	p.active = x
 }
 
-// passing notes the answer that is being passed on, which ends if the client leaves.
-func (p *plain) passing(long core.Stream) {
+// setLongAnswer records the streamed answer being written, which is aborted if the
+// client disconnects.
+func (p *plain) setLongAnswer(long core.Stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.long = long; long != nil && p.left {
+	if p.longAnswer = long; long != nil && p.disconnected {
 		long.Abort()
 	}
 }
 
-// fill reads what there is behind c.head, once there is something.
-func (p *plain) fill() error {
-	n, err := p.received(p.receiveHead)
+// readMore reads what follows p.head, waiting until there is something.
+func (p *plain) readMore() error {
+	n, err := p.readRetrying(p.receiveHead)
 	if n > 0 {
-		p.cameTooSoon()
-		p.full = len(p.head)+n == cap(p.head)
+		p.markEarlyData()
+		p.bufferFull = len(p.head)+n == cap(p.head)
 		p.head = p.head[:len(p.head)+n]
 		return nil
 	}
@@ -216,47 +220,48 @@
 	return err
 }
 
-// receiveHead waits until the socket has something and reads it behind c.head.
+// receiveHead waits until the socket is readable, and reads after p.head.
 func (p *plain) receiveHead() (int, error) {
-	p.n, p.err = 0, nil
-	if err := p.raw.Read(p.look); err != nil {
+	p.readLen, p.readErr = 0, nil
+	if err := p.raw.Read(p.readFunc); err != nil {
 		return 0, err
 	}
-	return p.n, p.err
+	return p.readLen, p.readErr
 }
 
-// read reads what waits on the socket; it reports false if that is nothing. A connection
-// that waits holds no buffer. A request that is ready is handed on only then: whether its
-// client has left meanwhile is known without another look.
-func (p *plain) read(fd uintptr) bool {
-	if p.pooled == nil {
-		p.pooled = headBuffers.Get().(*[framing.MaxHead]byte)
-		p.head = p.pooled[:0]
+// tryRead reads what waits on the socket; it reports false if that is nothing. A
+// waiting connection holds no buffer. Only then a queued request is handed to a worker:
+// so it is known, without another system call, whether its client has disconnected
+// meanwhile.
+func (p *plain) tryRead(fd uintptr) bool {
+	if p.headBuffer == nil {
+		p.headBuffer = headBuffers.Get().(*[framing.MaxHead]byte)
+		p.head = p.headBuffer[:0]
 	}
 	for {
-		p.n, p.err = p.readNow(fd)
-		if p.err != syscall.EINTR {
+		p.readLen, p.readErr = p.readNonblocking(fd)
+		if p.readErr != syscall.EINTR {
 			break
 		}
 	}
-	p.n = max(p.n, 0)
-	if p.err != syscall.EAGAIN {
+	p.readLen = max(p.readLen, 0)
+	if p.readErr != syscall.EAGAIN {
 		return true
 	}
 	if len(p.head) == 0 {
-		p.dropHead()
+		p.releaseHead()
 	}
-	if p.waiting.x != nil {
-		j := p.waiting
-		p.waiting = job{}
+	if p.queued.x != nil {
+		j := p.queued
+		p.queued = job{}
 		p.start(j)
 	}
 	return false
 }
 
-// readNow reads without waiting. That something was read is noted along with it: in
-// between, the connection would be taken for one that is silent or rests.
-func (p *plain) readNow(fd uintptr) (int, error) {
+// readNonblocking reads without waiting. It records in the same critical section that
+// something was read: in between, the connection would look silent or idle.
+func (p *plain) readNonblocking(fd uintptr) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.evicted {
@@ -264,77 +269,78 @@
 	}
 	n, err := syscall.Read(int(fd), p.head[len(p.head):cap(p.head)])
 	if n > 0 {
-		p.spoken = true
-		p.heard.Store(true)
-		p.resting.Store(false)
-		p.asked = framing.End(p.head[:len(p.head)+n]) > 0
+		p.receivedSince = true
+		p.receivedAny.Store(true)
+		p.idle.Store(false)
+		p.requestRead = framing.End(p.head[:len(p.head)+n]) > 0
 	}
 	return n, err
 }
 
-// handOver gives the connection to net/http's server with what has been read of it.
+// handOver passes the connection, with what has been read from it, to net/http's
+// server.
 func (p *plain) handOver() bool {
 	head := slices.Clone(p.head)
-	p.dropHead()
-	p.head, p.handed = head, true
+	p.releaseHead()
+	p.head, p.preread = head, true
 	p.SetReadDeadline(time.Time{})
-	return p.server.rest.hand(p.clientConn)
+	return p.server.fallback.offer(p.clientConn)
 }
 
-// take has a request answered, of which the head ends at end in c.head. It reports
-// whether the connection is kept, for as long as nothing else becomes of it.
-func (p *plain) take(req *framing.Request, end int) (kept bool) {
-	p.extra.Store(false)
+// serveRequest has a request answered whose head ends at end in p.head. It reports
+// whether the connection is kept, unless something else ends it.
+func (p *plain) serveRequest(req *framing.Request, end int) (kept bool) {
+	p.extraData.Store(false)
 	p.serving.Store(true)
 	length := max(req.Length, 0)
-	one := &struct { // together, as they last
+	request := &struct { // allocated together, because they have the same lifetime
 		head core.Head
 		body plainBody
-	}{body: plainBody{p: p, left: length, here: p.head[end:min(len(p.head), end+int(length))]}}
-	body := &one.body
-	p.follows(len(p.head) > end+int(length))
-	one.head = core.Head{Method: req.Method, Target: req.Target, Host: req.Host, Header: req.Header, Length: length, Client: p.clientConn}
-	x, refused := p.server.core.Open(&one.head)
+	}{body: plainBody{p: p, remaining: length, buffered: p.head[end:min(len(p.head), end+int(length))]}}
+	body := &request.body
+	p.markExtra(len(p.head) > end+int(length))
+	request.head = core.Head{Method: req.Method, Target: req.Target, Host: req.Host, Header: req.Header, Length: length, Client: p.clientConn}
+	x, refused := p.server.core.Open(&request.head)
 	if refused != nil {
 		return p.refuse(refused, body, req.Close)
 	}
-	p.taken = x
-	if length > int64(len(body.here)) {
-		p.setAsked(false)
+	p.unstarted = x
+	if length > int64(len(body.buffered)) {
+		p.setRequestRead(false)
 	}
-	held, err := body.whole(x)
+	data, err := body.readAll(x)
 	if err != nil {
 		a := front.IncompleteBody(err)
-		p.drop(a)
+		p.dropUnstarted(a)
 		return p.refuse(a, body, true)
 	}
-	x.SetReceived(p.unread())
-	if p.extra.Load() || p.full && p.readable() {
-		p.drop(nil)
-		return p.write(followsTooSoon(), true)
+	x.SetReceived(p.unreadTime())
+	if p.extraData.Load() || p.bufferFull && p.readable() {
+		p.dropUnstarted(nil)
+		return p.write(earlyDataAnswer(), true)
 	}
-	if !p.clientConn.take() {
-		p.drop(nil)
+	if !p.clientConn.claim() {
+		p.dropUnstarted(nil)
 		return false
 	}
-	p.dropHead()
-	if p.due.Load() != 0 {
+	p.releaseHead()
+	if p.deadline.Load() != 0 {
 		p.SetReadDeadline(time.Time{})
 	}
-	p.serves = true
-	p.opens(x)
-	p.waiting = job{p, x, held, req.Close}
+	p.inFlight = true
+	p.setActive(x)
+	p.queued = job{p, x, data, req.Close}
 	return true
 }
 
-// serveOne has a request answered that has come whole, writes the answer, and tells the
-// connection's reader whether that goes on.
-func (p *plain) serveOne(x *core.Exchange, held []byte, last bool) {
+// answer has a complete request answered, writes the answer, and notifies the
+// connection's reader whether the connection is kept.
+func (p *plain) answer(x *core.Exchange, body []byte, last bool) {
 	kept := false
 	defer func() {
-		p.opens(nil)
+		p.setActive(nil)
 		if !kept {
-			p.callOff()
+			p.cancelRead()
 		}
 		p.done <- kept
 	}()
@@ -345,38 +351,40 @@
 		}
 	}()
 	defer logPanic()
-	a, err := x.Do(context.Background(), held)
+	a, err := x.Do(context.Background(), body)
 	ended = err != nil
 	if ended {
-		return // nobody is there to read an answer
+		return // the client has disconnected
 	}
 	kept = p.write(&a, last)
 	ended = true
 	if kept {
-		p.rests()
+		p.markIdle()
 	}
 }
 
-// logPanic has a panic end its connection alone.
+// logPanic makes a panic end only its own connection.
 func logPanic() {
 	if r := recover(); r != nil {
 		slog.Error("panic", "in", "http1", "panic", r, "stack", string(debug.Stack()))
 	}
 }
 
-// unread is how long what came last has waited to be read: the process may have stood still.
-func (p *plain) unread() time.Duration {
-	if p.raw.Control(p.age) != nil {
+// unreadTime is how long the latest data has waited to be read: the process may have
+// stalled.
+func (p *plain) unreadTime() time.Duration {
+	if p.raw.Control(p.ageFunc) != nil {
 		return 0
 	}
-	return p.waited
+	return p.unreadAge
 }
 
-// refuse answers a request whose body may still be to come. The answer goes out at once;
-// what is to come is then read and dropped, so that the connection can be kept.
+// refuse answers a request whose body may not have arrived completely. The answer is
+// sent at once; the remaining body is then read and discarded, so that the connection
+// can be kept.
 func (p *plain) refuse(a *core.Answer, b *plainBody, last bool) (kept bool) {
-	if (a.Malformed || last) && b.left > int64(len(b.here)) {
-		p.extra.Store(true) // its end waits for the answer to be read
+	if (a.Malformed || last) && b.remaining > int64(len(b.buffered)) {
+		p.extraData.Store(true) // closing then waits for the client to read the answer
 	}
 	if !p.write(a, last) {
 		return false
@@ -384,89 +392,90 @@
 	if _, err := io.Copy(io.Discard, b.paced()); err != nil {
 		return false
 	}
-	p.dropHead()
+	p.releaseHead()
 	p.mu.Lock()
-	p.spoken = false // that was this request still
+	p.receivedSince = false // that was still part of this request
 	p.mu.Unlock()
-	p.rests()
+	p.markIdle()
 	return true
 }
 
-// rests notes that the connection's request has been answered: reading it ends when it
-// has rested for long enough, unless the next request is here by now.
-func (p *plain) rests() {
-	p.table.answered(p.clientConn)
+// markIdle records that the connection's request has been answered, and sets the idle
+// timeout, unless the next request has already begun to arrive.
+func (p *plain) markIdle() {
+	p.table.markAnswered(p.clientConn)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.spoken {
+	if p.receivedSince {
 		return
 	}
-	p.resting.Store(true)
-	due := int64(front.Now() + restPatience)
-	p.due.Store(due)
-	if !p.ending {
-		p.setDue(due)
+	p.idle.Store(true)
+	deadline := int64(front.Now() + idleTimeout)
+	p.deadline.Store(deadline)
+	if !p.closing {
+		p.applyReadDeadline(deadline)
 	}
 }
 
-// plainBody is a body of a length that is told, of which a part came with the head.
+// plainBody is a body of declared length, of which a part may have arrived with the
+// head.
 type plainBody struct {
-	p    *plain
-	here []byte
-	left int64 // to be read, here included
+	p         *plain
+	buffered  []byte
+	remaining int64 // to be read, including buffered
 }
 
 func (b *plainBody) Read(to []byte) (n int, err error) {
 	switch {
-	case b.left == 0:
+	case b.remaining == 0:
 		return 0, io.EOF
-	case len(b.here) > 0:
-		n = copy(to, b.here)
-		b.here = b.here[n:]
+	case len(b.buffered) > 0:
+		n = copy(to, b.buffered)
+		b.buffered = b.buffered[n:]
 	default:
-		n, err = b.p.receive(to[:min(int64(len(to)), b.left)])
-		b.p.full = true // what is behind it has not been looked at
+		n, err = b.p.receive(to[:min(int64(len(to)), b.remaining)])
+		b.p.bufferFull = true // it is unknown whether more follows
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
 	}
-	if b.left -= int64(n); b.left == 0 {
-		b.p.setAsked(true)
+	if b.remaining -= int64(n); b.remaining == 0 {
+		b.p.setRequestRead(true)
 	}
 	return n, err
 }
 
-// paced is the body as it has to keep coming.
+// paced is the body with a minimum transfer rate.
 func (b *plainBody) paced() io.Reader {
-	if b.left == int64(len(b.here)) {
+	if b.remaining == int64(len(b.buffered)) {
 		return b
 	}
-	return front.NewPacedBody(b, b.p, time.Duration(b.p.begun.Load()))
+	return front.NewPacedBody(b, b.p, time.Duration(b.p.started.Load()))
 }
 
-// whole reads a body within the core's room for it.
-func (b *plainBody) whole(x *core.Exchange) ([]byte, error) {
-	if b.left == 0 {
+// readAll reads a body within the memory that the core grants for it.
+func (b *plainBody) readAll(x *core.Exchange) ([]byte, error) {
+	if b.remaining == 0 {
 		return nil, nil
 	}
-	text, _, err := front.ReadBody(b.paced(), b.left, x.ReserveBody)
+	text, _, err := front.ReadBody(b.paced(), b.remaining, x.ReserveBody)
 	return text, err
 }
 
-// rest hands connections to net/http's server.
-type rest struct {
+// fallbackListener hands connections to net/http's server.
+type fallbackListener struct {
 	addr   net.Addr
 	conns  chan *clientConn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newRest(addr net.Addr) *rest {
-	return &rest{addr: addr, conns: make(chan *clientConn), closed: make(chan struct{})}
+func newFallbackListener(addr net.Addr) *fallbackListener {
+	return &fallbackListener{addr: addr, conns: make(chan *clientConn), closed: make(chan struct{})}
 }
 
-// hand reports false if the server takes no more.
-func (r *rest) hand(c *clientConn) bool {
+// offer reports false if the server accepts no more.
+func (r *fallbackListener) offer(c *clientConn) bool {
 	select {
 	case r.conns <- c:
 		return true
@@ -475,7 +484,7 @@
 	}
 }
 
-func (r *rest) Accept() (net.Conn, error) {
+func (r *fallbackListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-r.conns:
 		return c, nil
@@ -484,9 +493,9 @@
 	}
 }
 
-func (r *rest) Close() error {
+func (r *fallbackListener) Close() error {
 	r.once.Do(func() { close(r.closed) })
 	return nil
 }
 
-func (r *rest) Addr() net.Addr { return r.addr }
+func (r *fallbackListener) Addr() net.Addr { return r.addr }
--- a/internal/front/http1/plain_test.go
+++ b/internal/front/http1/plain_test.go
@@ -21,7 +21,7 @@
 	"spokegw/internal/front"
 )
 
-// A request may come in pieces, split anywhere, and is served all the same.
+// A request that arrives in two pieces, split anywhere, is served.
 func TestSplitAnywhere(t *testing.T) {
 	s := start(t, nil, listenEndpoint(t, echo(func(*http.Request) {})))
 	c := dial(t, s)
@@ -48,7 +48,7 @@
 	}
 }
 
-// listenSilent is an endpoint that answers nothing; it tells of each request, and of the end
+// listenSilent is an endpoint that never answers; it reports each request, and the end
 // of its connection.
 func listenSilent(t *testing.T) (addr string, begun, ended chan bool) {
 	begun, ended = make(chan bool), make(chan bool)
@@ -61,8 +61,8 @@
 	}), begun, ended
 }
 
-// A client that leaves while its request is out has it called off.
-func TestClientLeaves(t *testing.T) {
+// A request is cancelled when its client disconnects while it is in flight.
+func TestClientDisconnects(t *testing.T) {
 	addr, begun, ended := listenSilent(t)
 	s := start(t, nil, addr)
 	c := dial(t, s)
@@ -71,14 +71,14 @@
 	left := time.Now()
 	c.Close()
 	<-ended
-	if took := time.Since(left); took > requestPatience { // its deadline would do it after 7 s
+	if took := time.Since(left); took > requestTimeout { // its deadline would cancel it after 7 s
 		t.Errorf("called off after %v", took)
 	}
 }
 
-// A client that has sent more behind its request and leaves then has it called off as any
-// other, both where the request is plain and where it is read by net/http's server.
-func TestClientLeavesBehindMore(t *testing.T) {
+// A request is also cancelled when its client has sent more data behind it and then
+// disconnects, both where the request is plain and where net/http's server reads it.
+func TestClientDisconnectsAfterExtraData(t *testing.T) {
 	expects := strings.Replace(report("leaves", ""), "Content-Length: 0", "Expect: 100-continue\r\nContent-Length: 0", 1)
 	chunks := reportHead + "Req-Id: leaves\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for name, text := range map[string]string{"plain": tile("leaves"), "not plain": expects, "in chunks": chunks} {
@@ -89,29 +89,29 @@
 			io.WriteString(c, text)
 			<-begun
 			io.WriteString(c, tile("hidden")+tile("too"))
-			for conn := held(s); !conn.extra.Load(); {
-				conn.readable() // until the first of it has been read
+			for conn := onlyConn(s); !conn.extraData.Load(); {
+				conn.readable() // until the first of the data has been read
 			}
 			left := time.Now()
 			c.Close()
 			<-ended
-			if took := time.Since(left); took > requestPatience { // its deadline would do it after 7 s
+			if took := time.Since(left); took > requestTimeout { // its deadline would cancel it after 7 s
 				t.Errorf("called off after %v", took)
 			}
 		})
 	}
 }
 
-// A panic between taking a request and handing it on ends its connection, and what the
-// request held is given back.
-func TestPanicBeforeHandedOn(t *testing.T) {
+// A panic between taking a request and dispatching it closes its connection, and the
+// request's reservations are released.
+func TestPanicBeforeDispatch(t *testing.T) {
 	const all = 1 << 20
 	bodies := budget.New(all).Join(1, nil)
 	addr, _, _ := listenSilent(t)
 	s := start(t, func(c *core.ServiceConfig) { c.Limits = []core.FrontLimits{{Bodies: bodies}} }, addr)
 	closed := make(chan job)
 	close(closed)
-	s.workers.idle = append(s.workers.idle, closed) // a job sent there panics
+	s.workers.idle = append(s.workers.idle, closed) // sending a job there panics
 	c := dial(t, s)
 	if _, err := io.WriteString(c, report("panics", "12345")); err != nil {
 		t.Fatal(err)
@@ -120,12 +120,12 @@
 		t.Errorf("status %d", status)
 	}
 	if !bodies.TryAcquire(all) {
-		t.Error("room is still held")
+		t.Error("memory is still reserved")
 	}
 }
 
-// A client that has closed its connection by the time its request is read is gone: nothing
-// is sent on for it, however long the request has waited to be read.
+// If a client has closed its connection before its request is read, the request is not
+// forwarded, however long it has waited to be read.
 func TestClosedBeforeRead(t *testing.T) {
 	for name, text := range map[string]func(id string) string{
 		"plain":     tile,
@@ -150,24 +150,24 @@
 			}
 			stop := serve(s)
 			if status, body := read(t, stays); status != 200 || body != "stays" {
-				t.Errorf("who stays is answered %d %q", status, body)
+				t.Errorf("the client that stays is answered %d %q", status, body)
 			}
 			stays.Close()
 			stop()
 			close(seen)
 			for id := range seen {
 				if id != "stays" {
-					t.Errorf("%s was sent on", id)
+					t.Errorf("%s was forwarded", id)
 				}
 			}
 		})
 	}
 }
 
-// What comes as an answer is written that ends its connection does not take the answer
-// along: a close over bytes that nobody has read resets the connection, and what of the
-// answer the system still holds is dropped.
-func TestAnswerBeforeAClose(t *testing.T) {
+// Data that arrives while the last answer of a connection is written does not destroy
+// that answer: closing with unread data resets the connection and drops what the system
+// still holds of the answer.
+func TestAnswerSurvivesClose(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -188,7 +188,7 @@
 	}
 	nc.(*net.TCPConn).SetWriteBuffer(1 << 20)
 	c := newConnTable(1, 1).add(nc.(*net.TCPConn))
-	answer := bytes.Repeat([]byte("answer"), 20<<10) // more than the client's system holds
+	answer := bytes.Repeat([]byte("answer"), 20<<10) // more than the client's system buffers
 	if _, err := c.Write(answer); err != nil {
 		t.Fatal(err)
 	}
@@ -200,7 +200,7 @@
 	go func() { closed <- c.Close() }()
 	client.SetDeadline(time.Now().Add(patience))
 	if got, err := io.ReadAll(client); err != nil || !bytes.Equal(got, answer) {
-		t.Errorf("%d bytes of an answer of %d came, and then %v", len(got), len(answer), err)
+		t.Errorf("%d bytes of an answer of %d arrived, error %v", len(got), len(answer), err)
 	}
 	client.Close()
 	if err := <-closed; err != nil {
@@ -208,21 +208,22 @@
 	}
 }
 
-// A request that is there as its connection is to end, since it has rested or been silent for
-// long enough or is called off, is read: closing over it would reset the connection.
-func TestRequestAsARestEnds(t *testing.T) {
+// A request that is waiting when its connection is about to be closed, because it has
+// been idle or silent for too long or its read is cancelled, is read: closing would
+// reset the connection.
+func TestRequestAtIdleTimeout(t *testing.T) {
 	timesOut := func(c *clientConn) { c.SetReadDeadline(front.At(front.Now() - time.Millisecond)) }
-	for _, of := range []struct {
+	for _, test := range []struct {
 		name  string
-		heard bool // it has had an answer; else this is its first request
+		heard bool // the connection has had an answer; otherwise this is its first request
 		end   func(*clientConn)
 	}{
-		{"it has rested", true, timesOut},
-		{"it rests and is called off", true, (*clientConn).callOff},
-		{"it has been silent", false, timesOut},
-		{"it is silent and is called off", false, (*clientConn).callOff},
+		{"idle timeout", true, timesOut},
+		{"idle, read cancelled", true, (*clientConn).cancelRead},
+		{"silent timeout", false, timesOut},
+		{"silent, read cancelled", false, (*clientConn).cancelRead},
 	} {
-		t.Run(of.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -239,67 +240,68 @@
 			}
 			defer nc.Close()
 			c := newConnTable(1, 1).add(nc.(*net.TCPConn))
-			c.heard.Store(of.heard)
-			c.resting.Store(of.heard)
+			c.receivedAny.Store(test.heard)
+			c.idle.Store(test.heard)
 			io.WriteString(client, tile("one"))
 			for !c.readable() {
 				runtime.Gosched()
 			}
-			of.end(c)
+			test.end(c)
 			buf := make([]byte, 4096)
 			n, err := c.receive(buf)
 			if string(buf[:n]) != tile("one") || err != nil {
 				t.Errorf("read %q, %v", buf[:n], err)
 			}
-			if c.ending {
-				t.Error("the connection is to end still")
+			if c.closing {
+				t.Error("the connection is still to be closed")
 			}
 			if n, err := c.receive(buf); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("nothing more waits: read %d bytes, %v", n, err)
+				t.Errorf("with no more data: read %d bytes, %v", n, err)
 			}
 		})
 	}
 }
 
-// heldDoor lets all in, once it is opened.
-type heldDoor struct {
+// blockingAdmission blocks until it is opened, and then admits all requests.
+type blockingAdmission struct {
 	asked  chan string
 	opened chan bool
 }
 
-func (d *heldDoor) Active() bool { return true }
+func (d *blockingAdmission) Active() bool { return true }
 
-func (d *heldDoor) Refuse(target string) (bool, time.Duration) {
+func (d *blockingAdmission) Refuse(target string) (bool, time.Duration) {
 	d.asked <- target
 	<-d.opened
 	return false, 0
 }
 
-// A first request that has been read whole and waits to be taken is not closed to make room,
-// and who comes while there is none is not shut unread.
+// A first request that has been read completely and waits to be taken is not evicted,
+// and a client that connects while there is no capacity is not closed unread.
 func TestReadRequestIsNotEvicted(t *testing.T) {
-	door := &heldDoor{asked: make(chan string, 2), opened: make(chan bool)}
-	s := startWith(t, Config{Limit: 1, BusyThreshold: 1, Admission: door}, nil, listenEndpoint(t, echo(func(*http.Request) {})))
+	admission := &blockingAdmission{asked: make(chan string, 2), opened: make(chan bool)}
+	s := startWith(t, Config{Limit: 1, BusyThreshold: 1, Admission: admission}, nil, listenEndpoint(t, echo(func(*http.Request) {})))
 	first := dial(t, s)
 	io.WriteString(first, tile("first"))
-	<-door.asked
+	<-admission.asked
 	second := dial(t, s)
 	io.WriteString(second, tile("second"))
-	for full := false; !full; runtime.Gosched() { // the second has asked for room
+	for full := false; !full; runtime.Gosched() { // the second connection has waited for capacity
 		s.conns.mu.Lock()
-		full = s.conns.full
+		full = s.conns.limitLogged
 		s.conns.mu.Unlock()
 	}
-	close(door.opened)
+	close(admission.opened)
 	for want, c := range map[string]net.Conn{"first": first, "second": second} {
 		if status, body := read(t, c); status != 200 || body != want {
-			t.Errorf("%d %q, and not %q", status, body, want)
+			t.Errorf("status %d, body %q, want %q", status, body, want)
 		}
 	}
 }
 
-// The rest of a first request waits unread as room is needed: its sender is not slow.
-func TestRestOfARequestWaitsAsRoomIsMade(t *testing.T) {
+// The remaining part of a first request waits unread when capacity is needed: its
+// sender is not slow, and its connection is not evicted.
+func TestNoEvictionWithUnreadData(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -316,19 +318,19 @@
 	}
 	defer nc.Close()
 	c := newConnTable(1, 1).add(nc.(*net.TCPConn))
-	c.heard.Store(true)
+	c.receivedAny.Store(true)
 	io.WriteString(client, "the rest")
 	for !c.readable() {
 		runtime.Gosched()
 	}
 	if c.table.evict() {
-		t.Error("it is closed over what waits")
+		t.Error("the connection was evicted with unread data")
 	}
 }
 
-// What follows a request that is being served ends the connection with its answer, and
-// goes nowhere.
-func TestFollowsTooSoon(t *testing.T) {
+// Data behind a request that is being served is not forwarded, and its connection
+// closes after the answer.
+func TestDataBeforeAnswer(t *testing.T) {
 	begun, release := make(chan string, 4), make(chan bool)
 	s := start(t, nil, listenEndpoint(t, echo(func(r *http.Request) {
 		begun <- r.Header.Get("Req-Id")
@@ -338,8 +340,8 @@
 	io.WriteString(c, tile("first"))
 	<-begun
 	io.WriteString(c, tile("hidden"))
-	conn := held(s)
-	for !conn.extra.Load() {
+	conn := onlyConn(s)
+	for !conn.extraData.Load() {
 		conn.readable()
 	}
 	close(release)
@@ -349,15 +351,15 @@
 		t.Fatal(err)
 	}
 	if text, err := io.ReadAll(r); a.StatusCode != 200 || !a.Close || err != nil || string(text) != "first" {
-		t.Errorf("%d, closes: %v, and then %q %v", a.StatusCode, a.Close, text, err)
+		t.Errorf("status %d, closes: %v, body %q, error %v", a.StatusCode, a.Close, text, err)
 	}
 	if len(begun) > 0 {
-		t.Errorf("%q was sent on", <-begun)
+		t.Errorf("%q was forwarded", <-begun)
 	}
 }
 
-// held is the one connection that a server holds.
-func held(s *Server) *clientConn {
+// onlyConn is the only connection of a server.
+func onlyConn(s *Server) *clientConn {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
 	for c := range s.conns.conns {
@@ -366,24 +368,24 @@
 	return nil
 }
 
-// A connection goes on when a request on it is not plain, and afterwards.
-func TestHandedOver(t *testing.T) {
+// A connection continues to work when a request on it is not plain, and after that.
+func TestHandOver(t *testing.T) {
 	s := start(t, nil, listenEndpoint(t, echo(func(*http.Request) {})))
 	c := dial(t, s)
 	chunks := strings.Replace(report("two", ""), "Content-Length: 0", "Transfer-Encoding: chunked", 1) + "1\r\nx\r\n0\r\n\r\n"
 	ready := "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
-	for _, of := range []struct{ text, want string }{{tile("one"), "one"}, {ready, ""}, {tile("three"), "three"}, {report("four", "1"), "four"}, {chunks, "two"}} {
-		io.WriteString(c, of.text)
-		if status, body := read(t, c); status != 200 || body != of.want {
-			t.Errorf("%q is answered %d %q", of.text, status, body)
+	for _, test := range []struct{ text, want string }{{tile("one"), "one"}, {ready, ""}, {tile("three"), "three"}, {report("four", "1"), "four"}, {chunks, "two"}} {
+		io.WriteString(c, test.text)
+		if status, body := read(t, c); status != 200 || body != test.want {
+			t.Errorf("%q is answered %d %q", test.text, status, body)
 		}
 	}
 }
 
-// What a request and its answer are made of is not another's: heads are read into buffers
-// that the next connection has as soon as a request has been taken, answers' bodies into
-// those that the next answer has when this one has been written.
-func TestBuffersAreOnesOwn(t *testing.T) {
+// Requests and answers do not share memory: a head is read into a buffer that the next
+// connection reuses as soon as the request has been taken, and an answer's body into
+// one that the next answer reuses once this one is written.
+func TestBuffersNotShared(t *testing.T) {
 	s := start(t, nil, listenEndpoint(t, func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -19,44 +19,46 @@
 )
 
 const (
-	// restPatience is how long a connection may rest between requests. Clients
-	// that ask once and keep theirs would fill the table otherwise.
-	restPatience = 5 * time.Second
-	// writePatience is for writing an answer to a client that does not read.
-	writePatience = 5 * time.Second
-	// acceptAfterStop is how long connections are still accepted after a stop
-	// was asked for: clients learn of it late.
+	// idleTimeout is how long a connection may be idle between requests. Otherwise
+	// clients that send one request and keep their connections would fill the table.
+	idleTimeout = 5 * time.Second
+	// writeTimeout limits writing an answer to a client that does not read.
+	writeTimeout = 5 * time.Second
+	// acceptAfterStop is how long connections are still accepted after a stop was
+	// requested: clients learn of it with a delay.
 	acceptAfterStop = 600 * time.Millisecond
-	// stillMoving is how long a stopping server waits for a long answer of
-	// which nothing moves.
-	stillMoving = 2 * time.Second
-	stopPoll    = 10 * time.Millisecond
-	// A process whose successor serves is killed no sooner than the longest
-	// deadline, of which so much counts, and 0.7 s after it was asked to stop.
-	longestWait = 3 * time.Second
-	yieldMargin = 350 * time.Millisecond
+	// stallTimeout is how long a stopping server waits for a streamed answer without
+	// transfers.
+	stallTimeout = 2 * time.Second
+	stopPoll     = 10 * time.Millisecond
+	// A process whose successor serves is killed no sooner than the longest deadline,
+	// of which at most maxDrainWait counts, and 0.7 s after it was asked to stop.
+	// handoverMargin is the part of those 0.7 s that passes before idle connections are
+	// closed.
+	maxDrainWait   = 3 * time.Second
+	handoverMargin = 350 * time.Millisecond
 )
 
-// Config is what a server is made of.
+// Config configures a server.
 type Config struct {
 	Listen   string
-	Listener *net.TCPListener // that another process has opened; nil: Listen is opened
-	Limit    int              // connections that clients may hold
-	// Pipelining lets clients send a request before the one ahead of it has been
-	// answered. What is behind a request then is taken for the next one.
+	Listener *net.TCPListener // opened by another process; nil: Listen is opened
+	Limit    int              // maximum number of client connections
+	// Pipelining allows clients to send a request before the previous one has been
+	// answered. Data after a request is then the next request.
 	Pipelining    bool
-	BusyThreshold int           // of those, how many may stay before others are asked to leave with their first answer
-	MaxWait       time.Duration // the longest that a client may ever wait for an answer
-	Admission     Admission     // nil: all are read
+	BusyThreshold int           // how many of those may stay open before others are closed with their first answer
+	MaxWait       time.Duration // the longest time that a client waits for an answer
+	Admission     Admission     // nil: no request is refused
 }
 
-// Server takes requests by HTTP/1.1.
+// Server serves requests over HTTP/1.1.
 type Server struct {
 	core     *core.Core
 	handler  *handler
 	listener *listener
-	server   *http.Server // of what is not plain
-	rest     *rest        // hands it connections
+	server   *http.Server      // for requests that are not plain
+	fallback *fallbackListener // passes connections to server
 	conns    *connTable
 	workers  workers
 }
@@ -64,19 +66,19 @@
 // Listen opens the server's address.
 func Listen(c Config, requests *core.Core) (*Server, error) {
 	s := &Server{core: requests, handler: &handler{core: requests}, conns: newConnTable(c.Limit, c.BusyThreshold)}
-	s.conns.pipelining, s.conns.door = c.Pipelining, c.Admission
+	s.conns.pipelining, s.conns.admission = c.Pipelining, c.Admission
 	s.server = &http.Server{
 		Handler:           s.handler,
-		ReadHeaderTimeout: requestPatience,
-		IdleTimeout:       restPatience,
-		WriteTimeout:      requestPatience + c.MaxWait + writePatience, // from the end of the head
+		ReadHeaderTimeout: requestTimeout,
+		IdleTimeout:       idleTimeout,
+		WriteTimeout:      requestTimeout + c.MaxWait + writeTimeout, // measured from the end of the head
 		MaxHeaderBytes:    framing.MaxHead,
 
-		DisableGeneralOptionsHandler: true, // it would answer a request that is none of ours with 200
+		DisableGeneralOptionsHandler: true, // it would answer an invalid request with 200
 
 		ConnContext: withConn,
-		ConnState:   s.conns.state,
-		ErrorLog:    log.New(panicsOnly{}, "", 0),
+		ConnState:   s.conns.stateChanged,
+		ErrorLog:    log.New(panicLogger{}, "", 0),
 	}
 	l := c.Listener
 	if l == nil {
@@ -87,12 +89,12 @@
 	}
 	s.listener = &listener{TCPListener: l, add: s.conns.add}
 	s.listener.shared.Store(c.Listener != nil)
-	s.rest = newRest(l.Addr())
+	s.fallback = newFallbackListener(l.Addr())
 	return s, nil
 }
 
-// listen opens an address so that another process of the same user may open it
-// too: in an upgrade the next one does, where it can't have this listener.
+// listen opens an address such that another process of the same user may open it, too:
+// during an upgrade the next process does, if it can't get this listener.
 func listen(addr string) (*net.TCPListener, error) {
 	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
@@ -110,60 +112,59 @@
 	return l.(*net.TCPListener), nil
 }
 
-// File is a copy of the listener's descriptor, for a process that takes this
-// one's place.
+// File is a copy of the listener's descriptor, for a process that takes over.
 func (s *Server) File() (*os.File, error) {
 	s.listener.shared.Store(true)
 	return s.listener.File()
 }
 
-// Resize sets how many connections clients may hold, and how many of those may
-// stay before others are asked to leave with their first answer.
-func (s *Server) Resize(limit, crowd int) { s.conns.resize(limit, crowd) }
+// Resize sets how many connections clients may have, and how many of those may stay
+// open before others are closed with their first answer.
+func (s *Server) Resize(limit, busyThreshold int) { s.conns.resize(limit, busyThreshold) }
 
-// SetDraining sets whether clients are asked to leave with their next answer, and
-// GET /health/ready is answered 503.
-func (s *Server) SetDraining(leave bool) {
-	s.handler.drained.Store(leave)
-	s.conns.setLeave(leave)
+// SetDraining sets whether connections close with their next answer, and GET
+// /health/ready is answered 503.
+func (s *Server) SetDraining(draining bool) {
+	s.handler.drained.Store(draining)
+	s.conns.setDraining(draining)
 }
 
-// SetAltSvc sets the value of Alt-Svc (RFC 7838) with each answer; "": none.
+// SetAltSvc sets the value of Alt-Svc (RFC 7838) in each answer; "": none.
 func (s *Server) SetAltSvc(value string) { s.handler.altSvc.Store(&value) }
 
-// StopAccepting leaves new connections to another process that has the same listener,
-// and asks clients to leave with their next answer.
+// StopAccepting leaves new connections to another process that shares the listener, and
+// closes existing ones with their next answer.
 func (s *Server) StopAccepting() {
 	s.listener.pause()
-	s.conns.setLeave(true)
+	s.conns.setDraining(true)
 }
 
-// ResumeAccepting takes new connections again: that process has ended.
+// ResumeAccepting accepts new connections again, when that process has ended.
 func (s *Server) ResumeAccepting() {
-	s.conns.setLeave(s.handler.drained.Load())
+	s.conns.setDraining(s.handler.drained.Load())
 	s.listener.resume()
 }
 
-// panicsOnly logs what the server says of panics. The rest is of single
-// requests and connections.
-type panicsOnly struct{}
+// panicLogger logs the panics that net/http's server reports. Its other messages
+// concern single requests and connections.
+type panicLogger struct{}
 
-func (panicsOnly) Write(text []byte) (int, error) {
+func (panicLogger) Write(text []byte) (int, error) {
 	if len(text) > 10 && string(text[:11]) == "http: panic" {
 		slog.Error(string(text))
 	}
 	return len(text), nil
 }
 
-// Addr is where the server listens.
+// Addr is the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve takes requests until ctx ends, then finishes what it has taken.
+// Serve serves requests until ctx ends, then completes those it has taken.
 func (s *Server) Serve(ctx context.Context) error {
 	served := make(chan error, 1)
-	go func() { served <- s.server.Serve(s.rest) }()
+	go func() { served <- s.server.Serve(s.fallback) }()
 	defer func() {
-		s.rest.Close()
+		s.fallback.Close()
 		s.workers.close()
 		<-served
 	}()
@@ -180,8 +181,8 @@
 	return nil
 }
 
-// accept serves connections until the listener is closed. When it ends, all that it has
-// accepted are in the table.
+// accept serves connections until the listener is closed. When it returns, all accepted
+// connections are in the table.
 func (s *Server) accept() error {
 	for {
 		c, err := s.listener.accept()
@@ -192,82 +193,82 @@
 	}
 }
 
-// Sweep closes, in a crowd, the connections that have rested for as long as
-// they may. It is to be called now and then.
+// Sweep closes, while there are too many connections, those that have been idle for
+// long enough. It has to be called periodically.
 func (s *Server) Sweep() {
-	s.conns.thin()
+	s.conns.closeExcessIdle()
 	if s.listener.isPaused() != nil {
-		s.conns.endRested(mayRest)
+		s.conns.closeIdle(minIdle)
 	}
 }
 
-// drain ends the server with nothing lost. Connections are still accepted for a
-// while; each is closed after the answer that is under way on it, idle ones at
-// once: a request that crosses that is sent again on a new one. Those that have
-// just been opened may say something first. Peers that have stalled do not hold it.
+// drain stops the server without losing requests. Connections are still accepted for a
+// while; each is closed after the answer under way on it, idle ones at once: a request
+// that crosses the close is retried on a new connection. Connections that have just
+// been opened may first send a request. Stalled peers do not delay the stop.
 func (s *Server) drain(accepting <-chan error) {
-	asked := time.Now()
-	if s.listener.isPaused() != nil && s.drainYielded(asked, accepting) {
+	stopTime := time.Now()
+	if s.listener.isPaused() != nil && s.drainToSuccessor(stopTime, accepting) {
 		return
 	}
 	slog.Info("stopping")
-	s.conns.setLeave(true)
-	s.conns.endRested(0)
+	s.conns.setDraining(true)
+	s.conns.closeIdle(0)
 	time.Sleep(acceptAfterStop)
-	s.listener.finish()
+	s.listener.closeGracefully()
 	<-accepting
 	for {
-		s.conns.endRested(0)
-		if s.finished(asked) {
+		s.conns.closeIdle(0)
+		if s.finished(stopTime) {
 			return
 		}
 		time.Sleep(stopPoll)
 	}
 }
 
-// takenWithin bounds how long a successor is waited for that leaves connections in the queue.
-// That it has ended is known sooner.
-const takenWithin = 500 * time.Millisecond
+// successorTimeout limits the wait for a successor that leaves connections in the
+// accept queue. The end of the successor is known sooner.
+const successorTimeout = 500 * time.Millisecond
 
-// drainYielded ends a server whose successor takes what is new; it reports false where that
-// one has ended, and what is new is this server's again. So the listener stays open up to the
-// end, and until its queue is empty: without another process its close resets who stands there.
-// There is time:
-// clients come to the successor by themselves as their connections end with an
-// answer, so those that rest are closed only when they have rested for as long
-// as they may, or the end is near.
-func (s *Server) drainYielded(asked time.Time, accepting <-chan error) (done bool) {
+// drainToSuccessor stops a server whose successor takes new connections. It reports
+// false if the successor has ended, so that new connections are this server's again.
+// For that reason the listener stays open to the end, and until its queue is empty:
+// closing it without another process would reset the queued connections. There is time
+// for this, because clients move to the successor as their connections close with an
+// answer; idle connections are closed only after minIdle, or when the time is almost
+// up.
+func (s *Server) drainToSuccessor(stopTime time.Time, accepting <-chan error) (done bool) {
 	slog.Info("stopping; another process has taken over")
-	patience := min(s.core.MaxDeadline(), longestWait) + yieldMargin
-	for empty := asked; done || s.listener.isPaused() != nil; time.Sleep(stopPoll) {
-		rested := mayRest
-		if time.Since(asked) > patience {
-			rested = 0
+	timeout := min(s.core.MaxDeadline(), maxDrainWait) + handoverMargin
+	for lastEmpty := stopTime; done || s.listener.isPaused() != nil; time.Sleep(stopPoll) {
+		idleFor := minIdle
+		if time.Since(stopTime) > timeout {
+			idleFor = 0
 		}
-		s.conns.endRested(rested)
+		s.conns.closeIdle(idleFor)
 		if !s.listener.queued() {
-			empty = time.Now()
-		} else if time.Since(empty) < takenWithin {
+			lastEmpty = time.Now()
+		} else if time.Since(lastEmpty) < successorTimeout {
 			continue
 		}
-		if !s.finished(asked) {
+		if !s.finished(stopTime) {
 			continue
 		}
 		if done {
 			return true
 		}
 		s.listener.Close()
-		<-accepting // which may have had one in its hands
+		<-accepting // it may be adding one
 		done = true
 	}
 	return false
 }
 
 // finished reports whether nothing is left that is worth waiting for.
-func (s *Server) finished(asked time.Time) bool {
-	all, _, moving := s.conns.count(front.Now() - stillMoving)
-	late := time.Since(asked) > acceptAfterStop+s.core.MaxDeadline()
-	if all > 0 && (!late || moving > 0) {
+func (s *Server) finished(stopTime time.Time) bool {
+	total, _, active := s.conns.count(front.Now() - stallTimeout)
+	overdue := time.Since(stopTime) > acceptAfterStop+s.core.MaxDeadline()
+	if total > 0 && (!overdue || active > 0) {
 		return false
 	}
 	return true
--- a/internal/front/http1/stream_test.go
+++ b/internal/front/http1/stream_test.go
@@ -18,7 +18,7 @@
 	"spokegw/internal/front"
 )
 
-// noise is a body that shows every byte that is lost, doubled or out of place.
+// noise is a body in which every lost, duplicated or misplaced byte shows.
 func noise(n int) []byte {
 	b := make([]byte, n)
 	r := rand.New(rand.NewPCG(1, uint64(n)))
@@ -31,7 +31,7 @@
 	return b
 }
 
-// inPieces writes b cut anywhere.
+// inPieces writes b in pieces of random length.
 func inPieces(w io.Writer, b []byte) error {
 	r := rand.New(rand.NewPCG(2, uint64(len(b))))
 	for len(b) > 0 {
@@ -55,7 +55,7 @@
 	return out.Bytes()
 }
 
-// Long answers come byte for byte, however they are framed and cut.
+// Long answers arrive byte for byte, whatever their framing and segmentation.
 func TestLongAnswers(t *testing.T) {
 	for _, size := range []int{64 << 10, 64<<10 + 1, 100_000, 3 << 20, 32 << 20} {
 		text := noise(size)
@@ -81,9 +81,9 @@
 	}
 }
 
-// A long answer that its endpoint breaks off, or spoils, ends visibly at the
-// client: never as a whole one.
-func TestLongAnswerBrokenOff(t *testing.T) {
+// A long answer that its endpoint truncates or corrupts never looks complete to the
+// client.
+func TestLongAnswerTruncated(t *testing.T) {
 	const size = 200_000
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
 	chunks := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -114,19 +114,19 @@
 				io.WriteString(c, strings.Replace(tile("broken"), "HTTP/1.1", proto, 1))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
-					return // a close with nothing: visible
+					return // closed without any answer, which is visible
 				}
 				if n, err := io.Copy(io.Discard, resp.Body); err == nil && resp.StatusCode == 200 {
-					t.Errorf("%d bytes came as a whole answer", n)
+					t.Errorf("%d bytes were accepted as a complete answer", n)
 				}
 			})
 		}
 	}
 }
 
-// An answer with more behind it than it told is whole, and what is behind is
-// nobody's.
-func TestLongAnswerWithMore(t *testing.T) {
+// An answer with data beyond its declared length is complete, and that data reaches no
+// client.
+func TestLongAnswerWithExtraData(t *testing.T) {
 	text := noise(100_000)
 	addr := listenEndpoint(t, func(c net.Conn, br *bufio.Reader) {
 		for range 2 {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Long bodies come byte for byte too, whether they are held or passed on.
+// Long bodies arrive byte for byte, whether they are buffered or streamed.
 func TestLongBodies(t *testing.T) {
 	for _, size := range []int{70_000, 1 << 20, 1<<20 + 1, 5 << 20, 32 << 20} {
 		text := noise(size)
@@ -175,16 +175,16 @@
 					t.Fatalf("status %d, %q", status, body)
 				}
 				if <-got != want {
-					t.Error("the endpoint got something else")
+					t.Error("the endpoint received a different body")
 				}
 			})
 		}
 	}
 }
 
-// A body that is passed on and breaks off never reaches an endpoint as a whole
-// one, and its client is told.
-func TestLongBodyBrokenOff(t *testing.T) {
+// A streamed body that is truncated never reaches an endpoint as complete, and its
+// client gets an error.
+func TestLongBodyTruncated(t *testing.T) {
 	const size = 3 << 20
 	for name, sent := range map[string]string{
 		"half":            fmt.Sprintf("%sReq-Id: half\r\nContent-Length: %d\r\n\r\n%s", reportHead, size, noise(size/2)),
@@ -209,16 +209,16 @@
 			}
 			select {
 			case <-whole:
-				t.Error("an endpoint took it for whole")
+				t.Error("an endpoint accepted it as complete")
 			default:
 			}
 		})
 	}
 }
 
-// An endpoint that answers before a long body has come turns it away: the client
-// is told at once, while it still sends.
-func TestLongBodyTurnedAway(t *testing.T) {
+// An endpoint that answers before a long body has arrived declines the request: the
+// client is answered at once, while it is still sending.
+func TestLongBodyDeclined(t *testing.T) {
 	addr := listenEndpoint(t, func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
 			io.WriteString(c, "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
@@ -232,12 +232,12 @@
 		t.Errorf("status %d", status)
 	}
 	if took := time.Since(begun); took > front.RequestTimeout/2 {
-		t.Errorf("it took %v: the sender was waited for", took)
+		t.Errorf("it took %v: the answer waited for the sender", took)
 	}
 }
 
-// Many long answers to clients that do not read hold little memory, and no more
-// than was set aside for them.
+// Many long answers to clients that do not read use little memory, within what is
+// reserved for them.
 func TestSlowReaders(t *testing.T) {
 	const clients, size = 60, 32 << 20
 	text := noise(1 << 20)
@@ -267,21 +267,21 @@
 				t.Errorf("client %d: %v, %v", i, resp, err)
 				return
 			}
-			io.ReadFull(resp.Body, make([]byte, 100_000)) // and then it reads no more
+			io.ReadFull(resp.Body, make([]byte, 100_000)) // and then it stops reading
 		})
 	}
 	begun.Wait()
 	runtime.GC()
 	runtime.ReadMemStats(&during)
 	each := (int64(during.HeapAlloc) - int64(before.HeapAlloc)) / clients
-	t.Logf("%d bytes of heap for each", each)
+	t.Logf("%d bytes of heap per answer", each)
 	if each > 200_000 {
-		t.Errorf("%d bytes of heap are held for each of %d answers", each, clients)
+		t.Errorf("%d bytes of heap are used for each of %d answers", each, clients)
 	}
 }
 
 // The forms of HTTP/1.1 that a client may choose.
-func TestForms(t *testing.T) {
+func TestRequestForms(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"absolute form":          {strings.Replace(tile("f1"), "/tile/1?user=k", "http://b.example/tile/1?user=k", 1), "GET /tile/1?user=k f1"},
 		"HEAD":                   {strings.Replace(tile("f2"), "GET ", "HEAD ", 1), ""},
@@ -307,23 +307,23 @@
 			})
 			conn := dial(t, start(t, nil, addr))
 			io.WriteString(conn, c.text)
-			of := &http.Request{Method: c.text[:strings.IndexByte(c.text, ' ')]}
-			resp, err := http.ReadResponse(bufio.NewReader(conn), of)
+			req := &http.Request{Method: c.text[:strings.IndexByte(c.text, ' ')]}
+			resp, err := http.ReadResponse(bufio.NewReader(conn), req)
 			if err != nil {
 				t.Fatal(err)
 			}
 			body, err := io.ReadAll(resp.Body)
 			if err != nil || resp.StatusCode != 200 || string(body) != c.want {
-				t.Errorf("status %d, body %q, %v; %q is expected", resp.StatusCode, body, err, c.want)
+				t.Errorf("status %d, body %q, %v; want %q", resp.StatusCode, body, err, c.want)
 			}
-			if of.Method == http.MethodHead && resp.ContentLength != 9 {
-				t.Errorf("a HEAD tells a length of %d", resp.ContentLength)
+			if req.Method == http.MethodHead && resp.ContentLength != 9 {
+				t.Errorf("the answer to HEAD states a length of %d", resp.ContentLength)
 			}
 		})
 	}
 }
 
-// A client that expects 100 is told to go on before it sends its body.
+// A client that expects 100 gets it before it sends its body.
 func TestExpectContinue(t *testing.T) {
 	addr := listenEndpoint(t, echo(func(*http.Request) {}))
 	c := dial(t, start(t, nil, addr))
--- a/internal/front/http1/workers.go
+++ b/internal/front/http1/workers.go
@@ -6,15 +6,15 @@
 	"spokegw/internal/core"
 )
 
-// mostIdle bounds the goroutines that wait for requests to serve.
-const mostIdle = 32
+// maxIdleWorkers limits the goroutines that wait for requests.
+const maxIdleWorkers = 32
 
-// workers serve requests, each on a goroutine of its own for as long as it lasts. One that
-// is done waits for the next, where not too many do: its stack has grown to what a request
-// needs by then, which for a new one is copied twice.
+// workers serve requests, each on one goroutine for as long as it lasts. A goroutine
+// that is done waits for the next request, unless too many do: its stack has grown to
+// what a request needs, which a new goroutine would copy twice.
 type workers struct {
 	mu     sync.Mutex
-	idle   []chan job // the latest used last
+	idle   []chan job // the last one was used last
 	closed bool
 }
 
@@ -22,11 +22,11 @@
 type job struct {
 	p    *plain
 	x    *core.Exchange
-	held []byte // its body
-	last bool   // its connection ends with it
+	body []byte // of the request
+	last bool   // the connection closes after it
 }
 
-// serve has a job done.
+// serve hands a job to a goroutine.
 func (w *workers) serve(j job) {
 	w.mu.Lock()
 	var c chan job
@@ -43,25 +43,25 @@
 
 func (w *workers) work(c chan job) {
 	for j := range c {
-		j.p.serveOne(j.x, j.held, j.last)
-		if !w.rest(c) {
+		j.p.answer(j.x, j.body, j.last)
+		if !w.park(c) {
 			return
 		}
 	}
 }
 
-// rest has a goroutine wait for more; it reports false where enough do.
-func (w *workers) rest(c chan job) bool {
+// park makes a goroutine wait for more; it reports false if enough do already.
+func (w *workers) park(c chan job) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closed || len(w.idle) >= mostIdle {
+	if w.closed || len(w.idle) >= maxIdleWorkers {
 		return false
 	}
 	w.idle = append(w.idle, c)
 	return true
 }
 
-// close ends those that wait, and the others once they are done.
+// close ends the waiting goroutines, and the others once they are done.
 func (w *workers) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/front/http1/write.go
+++ b/internal/front/http1/write.go
@@ -17,29 +17,29 @@
 // is written from where it is, in the same call.
 const inlineBody = 8 << 10
 
-// answerBuffers are what answers are written from.
+// answerBuffers are the buffers that answers are written from.
 var answerBuffers = sync.Pool{New: func() any {
 	b := make([]byte, 0, inlineBody+1<<10)
 	return &b
 }}
 
 // write writes an answer to a plain request, and frees it. It reports whether the
-// connection is kept after it.
+// connection is kept.
 func (p *plain) write(a *core.Answer, last bool) (kept bool) {
 	defer a.Free()
 	p.mu.Lock()
-	p.spoken = false // before answering: what comes from then on is the next request's
+	p.receivedSince = false // before the answer begins: what arrives from then on belongs to the next request
 	p.mu.Unlock()
-	last = p.answering() || last || a.Malformed
+	last = p.beginAnswer() || last || a.Malformed
 	buf := answerBuffers.Get().(*[]byte)
 	defer answerBuffers.Put(buf)
 	var body []byte
 	var chunked bool
 	*buf, body, chunked = appendHead((*buf)[:0], a, last, p.server.handler.altSvc.Load())
 	if s := a.Stream(); s != nil {
-		return p.stream(*buf, body, chunked, s) == nil && !last
+		return p.writeStream(*buf, body, chunked, s) == nil && !last
 	}
-	p.SetWriteDeadline(time.Now().Add(writePatience))
+	p.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var err error
 	if len(body) <= inlineBody {
 		*buf = append(*buf, body...)
@@ -47,20 +47,20 @@
 	} else {
 		parts := net.Buffers{*buf, body}
 		if _, err = parts.WriteTo(p.TCPConn); err == nil {
-			p.moved.Store(int64(front.Now()))
+			p.lastActive.Store(int64(front.Now()))
 		}
 	}
 	return err == nil && !last
 }
 
-// appendHead appends the head of an answer, and returns its body, and whether that goes in
-// chunks.
+// appendHead appends the head of an answer, and returns its body, and whether that is
+// sent chunked.
 func appendHead(b []byte, a *core.Answer, last bool, altSvc *string) (head, body []byte, chunked bool) {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.Status), 10)
 	b = append(append(append(b, ' '), http.StatusText(a.Status)...), "\r\n"...)
 	body = a.Body
-	dated := false
+	hasDate := false
 	if a.Header == nil {
 		b = append(b, "Content-Type: text/plain; charset=utf-8\r\nX-Content-Type-Options: nosniff\r\n"...)
 		reason := a.Reason
@@ -69,7 +69,7 @@
 		}
 		body = append(append(make([]byte, 0, len(reason)+1), reason...), '\n')
 	} else {
-		dated = a.Header["Date"] != nil
+		hasDate = a.Header["Date"] != nil
 		b = fields.Append(b, a.Header, nil)
 	}
 	if a.RetryAfter > 0 {
@@ -79,7 +79,7 @@
 	if altSvc != nil && *altSvc != "" {
 		b = appendField(b, "Alt-Svc", *altSvc)
 	}
-	if !dated { // whoever passes on what has no date says when it came (RFC 9110 section 6.6.1)
+	if !hasDate { // a forwarded answer without a date gets the time of its receipt (RFC 9110 section 6.6.1)
 		b = append(append(append(b, "Date: "...), date()...), "\r\n"...)
 	}
 	length := int64(len(body))
@@ -101,29 +101,31 @@
 	return append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 }
 
-// dated is a date as it is written, of one second.
-type dated struct {
+// cachedDate is a formatted date, valid for one second.
+type cachedDate struct {
 	second time.Duration // as front.Now
 	text   []byte
 }
 
-var lastDate atomic.Pointer[dated]
+var lastDate atomic.Pointer[cachedDate]
 
-// date is the time of day as answers tell it (RFC 9110 section 5.6.7), up to a second old.
+// date is the current time as in a Date field (RFC 9110 section 5.6.7), up to a second
+// old.
 func date() []byte {
 	second := front.Now().Truncate(time.Second)
 	if d := lastDate.Load(); d != nil && d.second == second {
 		return d.text
 	}
-	d := &dated{second, time.Now().UTC().AppendFormat(nil, http.TimeFormat)}
+	d := &cachedDate{second, time.Now().UTC().AppendFormat(nil, http.TimeFormat)}
 	lastDate.Store(d)
 	return d.text
 }
 
-// stream passes a long answer on as it comes, after the beginning of its body.
-func (p *plain) stream(head, body []byte, chunked bool, s core.Stream) error {
-	p.passing(s)
-	defer p.passing(nil)
+// writeStream forwards a streamed answer as it arrives, after the first part of its
+// body.
+func (p *plain) writeStream(head, body []byte, chunked bool, s core.Stream) error {
+	p.setLongAnswer(s)
+	defer p.setLongAnswer(nil)
 	err := front.CopyStream(body, s, func(piece []byte) error {
 		if len(piece) == 0 && len(head) == 0 {
 			return nil
@@ -134,17 +136,17 @@
 			parts = net.Buffers{size, piece, crlf}
 		}
 		head = head[:0]
-		p.SetWriteDeadline(time.Now().Add(writePatience))
+		p.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := parts.WriteTo(p.TCPConn)
 		if n > 0 {
-			p.moved.Store(int64(front.Now()))
+			p.lastActive.Store(int64(front.Now()))
 		}
 		return err
 	})
 	if err != nil || !chunked {
 		return err
 	}
-	p.SetWriteDeadline(time.Now().Add(writePatience))
+	p.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err = p.Write(lastChunk)
 	return err
 }
--- a/internal/front/http3/abuse_test.go
+++ b/internal/front/http3/abuse_test.go
@@ -31,7 +31,7 @@
 	return &tls.Config{RootCAs: roots, NextProtos: []string{http3.NextProtoH3}, ServerName: "127.0.0.1"}
 }
 
-// raw opens a connection that speaks QUIC, and HTTP/3 as far as a test does.
+// raw opens a QUIC connection on which a test writes HTTP/3 itself.
 func raw(t testing.TB, s *scene.Scene, ctx context.Context) *quic.Conn {
 	t.Helper()
 	c, err := quic.DialAddr(ctx, s.Sidecar.AddrHTTP3().String(), tlsOf(s), &quic.Config{MaxIdleTimeout: 25 * time.Second})
@@ -42,8 +42,8 @@
 	return c
 }
 
-// headers is a HEADERS frame (RFC 9114 section 7.2.2) of fields, as name and
-// value in turn.
+// headers is a HEADERS frame (RFC 9114 section 7.2.2) of fields, given as alternating
+// names and values.
 func headers(fields ...string) []byte {
 	var section strings.Builder
 	e := qpack.NewEncoder(&section)
@@ -63,9 +63,9 @@
 		"req-id", id, "req-kind", "status-report", "req-owner", "patrols", "req-deadline", "20000m", "idempotency-key", id}, more...)
 }
 
-// well checks that others are served: by HTTP/1.1, and on an HTTP/3 connection of
-// their own.
-func well(t *testing.T, ctx context.Context, s *scene.Scene, id string) {
+// checkOthersServed checks that other clients are served: over HTTP/1.1, and on an
+// HTTP/3 connection of their own.
+func checkOthersServed(t *testing.T, ctx context.Context, s *scene.Scene, id string) {
 	t.Helper()
 	c := client(t, s)
 	if status, _, err := ask(c, report(ctx, s.Sidecar.AddrHTTP3().String(), id, nil)); status != 200 {
@@ -87,9 +87,9 @@
 	}
 }
 
-// Handshakes that are begun and never go on, from one port or from many, take a
-// part of the connections and no more: addresses are then validated first, and
-// who answers to his own is served.
+// Handshakes that begin and never continue, from one port or from many, occupy a
+// limited part of the connections: addresses are then validated first, and a client
+// that answers is served.
 func TestHandshakeFlood(t *testing.T) {
 	for name, ports := range map[string]int{"one port": 1, "many ports": 60} {
 		t.Run(name, func(t *testing.T) {
@@ -113,19 +113,19 @@
 			for i := range 60 {
 				floods.Go(func() {
 					if c, err := transports[i%ports].Dial(flood, to, tlsOf(s), &quic.Config{HandshakeIdleTimeout: patience}); err == nil {
-						t.Error("a handshake is over that nobody answered to")
+						t.Error("a handshake has completed although the client received nothing")
 						c.CloseWithError(0, "")
 					}
 				})
 			}
-			// Each has sent its first datagram, of 1,200 bytes, and been answered.
+			// Each has sent its first datagram, of 1,200 bytes, and got an answer.
 			for r.Bytes(lab.ToServer) < 60*1200 || r.Bytes(lab.ToClient) < 8*1200 {
 				if err := r.AwaitQuiet(ctx, 20*time.Millisecond); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for i := range 10 {
-				well(t, ctx, s, fmt.Sprint("flood-", i))
+				checkOthersServed(t, ctx, s, fmt.Sprint("flood-", i))
 			}
 			end()
 			floods.Wait()
@@ -133,12 +133,12 @@
 	}
 }
 
-// A connection whose streams trickle, fields or bodies, takes no more than its
-// bounds: bodies have their time, and a connection on which no request comes
-// whole is closed. Others are served meanwhile.
+// A connection whose streams send fields or bodies very slowly does not exceed its
+// limits: bodies time out, and a connection on which no complete request arrives is
+// closed. Others are served meanwhile.
 func TestTrickle(t *testing.T) {
-	defer func(patience time.Duration) { *http3front.ConnPatience = patience }(*http3front.ConnPatience)
-	*http3front.ConnPatience = time.Second
+	defer func(patience time.Duration) { *http3front.MaxUnusedTime = patience }(*http3front.MaxUnusedTime)
+	*http3front.MaxUnusedTime = time.Second
 	const streams = 100
 	for name, body := range map[string]bool{"fields": false, "bodies": true} {
 		t.Run(name, func(t *testing.T) {
@@ -171,34 +171,34 @@
 						case <-tick.C:
 						}
 						if _, err := stream.Write([]byte{b}); err != nil {
-							return // the server has had enough of it
+							return // the server has stopped reading it
 						}
 					}
-					t.Error("a stream that trickles was read to its end")
+					t.Error("a slow stream was read to its end")
 				})
 			}
 			for i := range 5 {
-				well(t, ctx, s, fmt.Sprintf("beside-%s-%d", name, i))
+				checkOthersServed(t, ctx, s, fmt.Sprintf("beside-%s-%d", name, i))
 			}
 			trickles.Wait()
 			if body {
 				if c.Context().Err() != nil {
-					t.Error("the connection was closed for a body that trickles:", context.Cause(c.Context()))
+					t.Error("the connection was closed because of a slow body:", context.Cause(c.Context()))
 				}
 			} else if e := (*quic.ApplicationError)(nil); !errors.As(context.Cause(c.Context()), &e) || e.ErrorCode != quic.ApplicationErrorCode(http3.ErrCodeExcessiveLoad) {
 				t.Error("the connection ended with", context.Cause(c.Context()))
 			}
 			for i := range streams {
-				if got := n.of(fmt.Sprintf("%s-%d", name, i)); got > 0 {
-					t.Errorf("a request that never came whole has had %d attempts", got)
+				if got := n.attemptsOf(fmt.Sprintf("%s-%d", name, i)); got > 0 {
+					t.Errorf("an incomplete request has had %d attempts", got)
 				}
 			}
 		})
 	}
 }
 
-// Thousands of streams that are opened and reset before they have said anything
-// hold up nobody.
+// Thousands of streams that are opened and reset before they have sent a request delay
+// nobody.
 func TestStreamsReset(t *testing.T) {
 	s, _ := start(t, scene.Config{})
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -218,14 +218,14 @@
 		}
 	})
 	for i := range 20 {
-		well(t, ctx, s, fmt.Sprint("beside-resets-", i))
+		checkOthersServed(t, ctx, s, fmt.Sprint("beside-resets-", i))
 	}
 	resets.Wait()
 }
 
-// A request is cancelled in the instant in which its answer comes: its client
-// has the one or the other, the key one effect, and nothing is left behind.
-func TestCancelAndAnswer(t *testing.T) {
+// A request is cancelled at the moment its answer arrives: its client gets one or the
+// other, the key has one effect, and nothing is left behind.
+func TestCancelRacesAnswer(t *testing.T) {
 	const requests = 300
 	answer := make(chan struct{})
 	s, n := start(t, scene.Config{HTTP3More: "resets = 1000\n", Maps: []lab.EndpointConfig{{Workers: 8, Body: 30, Answer: func(http.ResponseWriter, *http.Request) bool {
@@ -237,16 +237,16 @@
 	defer cancel()
 	answered, cancelled := 0, 0
 	for i := range requests {
-		one, give := context.WithCancel(ctx)
+		one, cancelOne := context.WithCancel(ctx)
 		id := fmt.Sprint("instant-", i)
 		var leaving sync.WaitGroup
 		leaving.Go(func() {
 			<-n.arrived
 			answer <- struct{}{}
-			for range 30 * i { // from the first instant on to long after the answer
+			for range 30 * i { // from the first moment to long after the answer
 				runtime.Gosched()
 			}
-			give()
+			cancelOne()
 		})
 		status, body, err := ask(c, report(one, s.Sidecar.AddrHTTP3().String(), id, strings.NewReader("r")))
 		leaving.Wait()
@@ -258,13 +258,13 @@
 		default:
 			t.Errorf("request %d: status %d, %d bytes, error %v", i, status, len(body), err)
 		}
-		if got := n.of(id); got != 1 {
+		if got := n.attemptsOf(id); got != 1 {
 			t.Errorf("request %d has had %d effects", i, got)
 		}
 	}
 	t.Logf("%d answered, %d cancelled", answered, cancelled)
 	close(answer)
-	well(t, ctx, s, "after")
+	checkOthersServed(t, ctx, s, "after")
 }
 
 func isCancelled(err error) bool {
@@ -272,8 +272,8 @@
 	return errors.As(err, &e) && e.ErrorCode == http3.ErrCodeRequestCanceled
 }
 
-// An instance that takes the place of another with the same key resets its
-// connections, so that clients notice at once and ask again on a new one.
+// An instance that replaces another one and has the same key resets its connections, so
+// that clients notice at once and retry on a new one.
 func TestRestart(t *testing.T) {
 	before, n := start(t, scene.Config{})
 	after, m := start(t, scene.Config{Operator: before.HTTP3Section})
@@ -288,21 +288,21 @@
 	}
 	_, _, err := ask(c, report(ctx, r.Addr(), "meanwhile", nil))
 	if reset := (*quic.StatelessResetError)(nil); !errors.As(err, &reset) {
-		t.Errorf("on the old connection the request ends with %v", err)
+		t.Errorf("on the old connection the request fails with %v", err)
 	}
 	if status, _, err := ask(c, report(ctx, r.Addr(), "meanwhile", nil)); status != 200 {
-		t.Errorf("asked again, the request is answered %d, error %v", status, err)
+		t.Errorf("the retried request is answered %d, error %v", status, err)
 	}
-	if a, b := n.of("meanwhile"), m.of("meanwhile"); a != 0 || b != 1 {
-		t.Errorf("it has had %d effects at the old one and %d at the new", a, b)
+	if a, b := n.attemptsOf("meanwhile"), m.attemptsOf("meanwhile"); a != 0 || b != 1 {
+		t.Errorf("it has had %d effects at the old instance and %d at the new", a, b)
 	}
 }
 
-// A client that has been here before and sends its first request early, before
-// the handshake, is served once the handshake is over: nothing is taken early,
-// so nothing that someone recorded can be played again, here or to an instance
-// that took this one's place. A recorded flight is sent twice and again.
-func TestNothingEarly(t *testing.T) {
+// A returning client that sends its first request as early data, before the handshake,
+// is served once the handshake is complete: no early data is accepted, so nothing
+// recorded can be replayed, neither here nor to an instance that replaces this one. A
+// recorded flight is sent several times.
+func TestNoEarlyData(t *testing.T) {
 	s, n := start(t, scene.Config{})
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -344,9 +344,9 @@
 	for _, text := range recorded {
 		udp.Write(text)
 	}
-	well(t, ctx, s, "after") // by when what was played again has been read
+	checkOthersServed(t, ctx, s, "after") // by then the replayed datagrams have been read
 	for _, id := range []string{"first", "early"} {
-		if got := n.of(id); got != 1 {
+		if got := n.attemptsOf(id); got != 1 {
 			t.Errorf("%s has had %d effects", id, got)
 		}
 	}
--- a/internal/front/http3/conn.go
+++ b/internal/front/http3/conn.go
@@ -11,58 +11,58 @@
 	"spokegw/internal/front"
 )
 
-// conn is what is known of a client's connection beside what QUIC knows.
+// conn is the state of a client's connection beyond what QUIC keeps.
 type conn struct {
-	quic     *quic.Conn
-	requests atomic.Int64 // that the handler has
-	served   atomic.Int64 // as front.Now, when one was last answered, or the connection made
+	quic       *quic.Conn
+	requests   atomic.Int64 // in the handler
+	lastServed atomic.Int64 // as front.Now, when a request was last answered, or the connection was made
 
-	mu     sync.Mutex
-	resets bucket
+	mu           sync.Mutex
+	cancelBudget tokenBucket
 }
 
-func newConn(qc *quic.Conn, resets float64, now time.Time) *conn {
-	c := &conn{quic: qc, resets: bucket{rate: resets, left: resets, at: now}}
-	c.served.Store(int64(front.Now()))
+func newConn(qc *quic.Conn, cancelRate float64, now time.Time) *conn {
+	c := &conn{quic: qc, cancelBudget: tokenBucket{rate: cancelRate, tokens: cancelRate, updated: now}}
+	c.lastServed.Store(int64(front.Now()))
 	return c
 }
 
-// heldFor is how long the connection has been open with nothing to show for it.
-func (c *conn) heldFor() time.Duration {
+// unusedFor is how long the connection has been open without serving a request.
+func (c *conn) unusedFor() time.Duration {
 	if c.requests.Load() > 0 {
 		return 0
 	}
-	return front.Now() - time.Duration(c.served.Load())
+	return front.Now() - time.Duration(c.lastServed.Load())
 }
 
-// cancelled counts a request that its client gave up. It reports whether there
-// are more of those than may be: each costs an attempt on an endpoint, and the
-// limit on open streams does not hold them (CVE-2023-44487). It does harm to a
-// client that has reason to cancel much, such as a map that is being dragged:
-// its connection is closed and made again.
-func (c *conn) cancelled(now time.Time) (tooMany bool) {
+// countCancel counts a request that its client cancelled, and reports whether there are
+// too many of those: each costs an attempt on an endpoint, and the limit on open
+// streams does not cover them (CVE-2023-44487). This hurts clients with a reason to
+// cancel many requests, such as a map that is being dragged: their connection is
+// closed, and they open a new one.
+func (c *conn) countCancel(now time.Time) (tooMany bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.resets.take(now)
+	return !c.cancelBudget.take(now)
 }
 
-// bucket holds a second's worth of a rate.
-type bucket struct {
-	rate, left float64
-	at         time.Time
+// tokenBucket is a token bucket with a burst of one second of its rate.
+type tokenBucket struct {
+	rate, tokens float64
+	updated      time.Time
 }
 
-func (b *bucket) take(now time.Time) bool {
-	b.left = min(b.left+b.rate*now.Sub(b.at).Seconds(), b.rate)
-	b.at = now
-	if b.left < 1 {
+func (b *tokenBucket) take(now time.Time) bool {
+	b.tokens = min(b.tokens+b.rate*now.Sub(b.updated).Seconds(), b.rate)
+	b.updated = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, qc *quic.Conn) context.Context {
--- a/internal/front/http3/export_test.go
+++ b/internal/front/http3/export_test.go
@@ -1,8 +1,8 @@
 package http3
 
-// What tests change or look at.
+// Internals that tests change or inspect.
 var (
-	ConnPatience = &connPatience
-	SweepPeriod  = &sweepPeriod
-	NewRoutedIDs = newRoutedIDs
+	MaxUnusedTime = &maxUnusedTime
+	SweepPeriod   = &sweepPeriod
+	NewRoutedIDs  = newRoutedIDs
 )
--- a/internal/front/http3/fuzz_test.go
+++ b/internal/front/http3/fuzz_test.go
@@ -17,8 +17,7 @@
 	"spokegw/internal/lab/scene"
 )
 
-// status reads the status of an answer as it stands on a stream; "" where there
-// is none.
+// status reads the status of an answer from the bytes of a stream; "" if there is none.
 func status(text []byte) string {
 	r := quicvarint.NewReader(bytes.NewReader(text))
 	for {
@@ -47,9 +46,9 @@
 	}
 }
 
-// Whatever stands on a request stream, it has one end within its time: an answer
-// or an error, of the stream or of its connection. Nothing that is not a request
-// reaches an endpoint, nothing reaches one twice, and other clients are served.
+// Whatever is sent on a request stream, the stream ends in time, with an answer or an
+// error of the stream or its connection. Nothing that is not a request reaches an
+// endpoint, nothing reaches one twice, and other clients are served.
 func FuzzStream(f *testing.F) {
 	fields := func(more ...string) []byte { return headers(reportFields("fuzz", more...)...) }
 	whole := append(fields("content-length", "3"), frame(0, "abc")...)
@@ -75,23 +74,23 @@
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
 		conn := raw(t, s, ctx)
-		before := n.of("fuzz")
+		before := n.attemptsOf("fuzz")
 		ended := end(ctx, conn, text)
 		if ctx.Err() != nil {
-			t.Fatal("the stream has no end")
+			t.Fatal("the stream does not end")
 		}
-		if attempts := n.of("fuzz") - before; attempts > 1 || attempts == 1 && ended != "200" {
-			t.Errorf("%d attempts, and the end is %q", attempts, ended)
+		if attempts := n.attemptsOf("fuzz") - before; attempts > 1 || attempts == 1 && ended != "200" {
+			t.Errorf("%d attempts, and the stream ends with %q", attempts, ended)
 		}
 		id := fmt.Sprint("beside-", count.Add(1))
 		if status, _, err := ask(beside, report(ctx, s.Sidecar.AddrHTTP3().String(), id, nil)); status != 200 {
-			t.Errorf("a client beside is answered %d, error %v", status, err)
+			t.Errorf("another client is answered %d, error %v", status, err)
 		}
 	})
 }
 
-// end writes a text on a stream of its own and tells how the stream ends: by
-// the answer's status, or by an error.
+// end writes a text on a new stream and returns how the stream ends: the answer's
+// status, or an error.
 func end(ctx context.Context, conn *quic.Conn, text []byte) string {
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
@@ -109,7 +108,7 @@
 	return fmt.Sprint(err, readErr)
 }
 
-// A request that both clients can send has the same outcome by both protocols,
+// A request that both clients can send has the same outcome over both protocols,
 // whatever its method, target and fields.
 func FuzzAlike(f *testing.F) {
 	for _, r := range [][7]string{
@@ -158,7 +157,7 @@
 		switch {
 		case err1 == nil && err3 == nil && one != three:
 			t.Errorf("by HTTP/1.1 %s, by HTTP/3 %s", one, three)
-		case err1 == nil && err3 != nil && !strings.HasPrefix(one, "400"): // malformed, a matter of the stream
+		case err1 == nil && err3 != nil && !strings.HasPrefix(one, "400"): // malformed, which HTTP/3 reports as a stream error
 			t.Errorf("by HTTP/1.1 %s, by HTTP/3 %v", one, err3)
 		case err1 != nil && err3 == nil && !strings.HasPrefix(three, "400"):
 			t.Errorf("by HTTP/1.1 %v, by HTTP/3 %s", err1, three)
