--- a/internal/front/http3/handler.go
+++ b/internal/front/http3/handler.go
@@ -16,63 +16,63 @@
 // handler hands requests to the core and writes its answers.
 type handler struct{ server *Server }
 
-// ServeHTTP reads a request to its end, has the core answer it, and writes the
-// one answer. A stream that its client cancels is a client that left.
-func (in *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := in.server.conn(r)
+// ServeHTTP reads a request to its end, has the core answer it, and writes the answer.
+// A cancelled stream counts as a client that has disconnected.
+func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c := h.server.conn(r)
 	if c == nil {
-		panic(http.ErrAbortHandler) // the connection has gone
+		panic(http.ErrAbortHandler) // the connection has been closed
 	}
 	c.requests.Add(1)
 	defer func() {
-		c.served.Store(int64(front.Now()))
+		c.lastServed.Store(int64(front.Now()))
 		c.requests.Add(-1)
 	}()
 	rc := http.NewResponseController(w)
-	begun := front.Now()
-	rc.SetReadDeadline(front.At(begun + requestPatience))
+	start := front.Now()
+	rc.SetReadDeadline(front.At(start + requestTimeout))
 	length, err := bodyLength(r)
 	if err != nil {
-		in.notWhole(w, r, c, nil, err)
+		h.incompleteBody(w, r, c, nil, err)
 		return
 	}
 	if r.URL.Path == "/health/ready" && r.Header.Get("Req-Id") == "" && length == 0 {
 		front.Write(r.Context(), w, &core.Answer{Status: http.StatusOK, Header: http.Header{}})
 		return
 	}
-	x, refused := in.server.core.Open(&core.Head{
-		Front: in.server.config.Front, Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Length: length,
+	x, refused := h.server.core.Open(&core.Head{
+		Front: h.server.config.Front, Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Length: length,
 	})
 	if refused != nil {
 		front.Write(r.Context(), w, refused)
 		return
 	}
-	body := front.NewPacedBody(r.Body, rc, begun)
-	held, more, err := front.ReadBody(body, length, x.ReserveBody)
+	body := front.NewPacedBody(r.Body, rc, start)
+	buffered, more, err := front.ReadBody(body, length, x.ReserveBody)
 	switch {
 	case err != nil:
-		in.notWhole(w, r, c, x, err)
+		h.incompleteBody(w, r, c, x, err)
 		return
 	case more:
-		in.upload(w, r, rc, c, x, held, body)
+		h.upload(w, r, rc, c, x, buffered, body)
 		return
 	}
-	a, err := x.Do(r.Context(), held)
+	a, err := x.Do(r.Context(), buffered)
 	if err != nil {
-		in.left(c)
+		h.clientCancelled(c)
 	}
 	front.Write(r.Context(), w, &a)
 }
 
-// upload has a request answered whose body is passed on as it comes.
-func (in *handler) upload(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, c *conn, x *core.Exchange, held []byte, body io.Reader) {
-	u := front.NewUpload(body, r.ContentLength, int64(len(held)), rc, func() bool { return false })
+// upload has the core answer a request whose body is streamed.
+func (h *handler) upload(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, c *conn, x *core.Exchange, buffered []byte, body io.Reader) {
+	u := front.NewUpload(body, r.ContentLength, int64(len(buffered)), rc, func() bool { return false })
 	ctx, cancel := u.Context(r.Context())
 	defer cancel()
-	a, err := x.DoStream(ctx, held, u)
+	a, err := x.DoStream(ctx, buffered, u)
 	fault := u.Close()
 	if err != nil {
-		in.left(c)
+		h.clientCancelled(c)
 	}
 	if front.SenderFault(fault) {
 		a.Replace(front.IncompleteBody(fault))
@@ -80,7 +80,7 @@
 	front.Write(r.Context(), w, &a)
 }
 
-// conn is the connection that a request came by.
+// conn is the connection of a request.
 func (s *Server) conn(r *http.Request) *conn {
 	qc, _ := r.Context().Value(connKey{}).(*quic.Conn)
 	s.mu.Lock()
@@ -88,8 +88,8 @@
 	return s.conns[qc]
 }
 
-// bodyLength is the length of a request's body: HTTP/3 needs not tell that there
-// is none, the stream then ends behind the fields.
+// bodyLength is the length of a request's body: in HTTP/3 a request without a body need
+// not state that; its stream then ends after the fields.
 func bodyLength(r *http.Request) (int64, error) {
 	if r.ContentLength >= 0 || r.Method != http.MethodGet {
 		return r.ContentLength, nil
@@ -104,16 +104,16 @@
 	}
 }
 
-// notWhole answers a request whose body did not come whole. One whose length is
-// not the one told is malformed, a matter of the stream (RFC 9114 section
-// 4.1.2), and one that its client cancelled has nobody who waits.
-func (in *handler) notWhole(w http.ResponseWriter, r *http.Request, c *conn, x *core.Exchange, err error) {
+// incompleteBody answers a request whose body is incomplete. A body whose length is not
+// the declared one makes the request malformed, which is a stream error (RFC 9114
+// section 4.1.2). If the client cancelled the request, nobody waits for an answer.
+func (h *handler) incompleteBody(w http.ResponseWriter, r *http.Request, c *conn, x *core.Exchange, err error) {
 	a := front.IncompleteBody(err)
 	if x != nil {
 		x.Drop(a)
 	}
 	if streamError := (*http3.Error)(nil); errors.As(err, &streamError) {
-		in.left(c)
+		h.clientCancelled(c)
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		abort(w, http3.ErrCodeMessageError)
@@ -122,16 +122,16 @@
 	front.Write(r.Context(), w, a)
 }
 
-// left ends the handling of a request whose client has left, and the connection
-// of one who does so too often.
-func (in *handler) left(c *conn) {
-	if c.cancelled(time.Now()) {
+// clientCancelled ends the handling of a request that its client cancelled, and closes
+// the connection of a client that does so too often.
+func (h *handler) clientCancelled(c *conn) {
+	if c.countCancel(time.Now()) {
 		c.quic.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeExcessiveLoad), "too many requests were cancelled")
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// abort ends a stream, in both directions, with an error.
+// abort ends a stream in both directions with an error.
 func abort(w http.ResponseWriter, code http3.ErrCode) {
 	stream, err := w.(http3.HTTPStreamer).HTTPStream()
 	if err != nil {
--- a/internal/front/http3/http3_test.go
+++ b/internal/front/http3/http3_test.go
@@ -29,12 +29,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds what should come soon, over a path that loses much.
+// patience is the timeout for what should happen soon, over a path with heavy loss.
 const patience = 30 * time.Second
 
 const contracts = "[[service]]\nname = 'maps'\n[[team]]\nname = 'patrols'\nshare = 1\n[[team.allow]]\nservice = 'maps'\n"
 
-// seen counts the attempts of each id at endpoints.
+// seen counts the attempts of each request ID at endpoints.
 type seen struct {
 	mu       sync.Mutex
 	attempts map[string]int
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *seen) of(id string) int {
+func (s *seen) attemptsOf(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.attempts[id]
@@ -93,7 +93,7 @@
 	return r
 }
 
-// client makes a client of the scene that sends to addr.
+// client makes a client of the scene.
 func client(t testing.TB, s *scene.Scene) *http3.Transport {
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(s.Certificate)
@@ -105,7 +105,7 @@
 	return c
 }
 
-// report makes a request with a key.
+// report makes a request with an idempotency key.
 func report(ctx context.Context, addr, id string, body io.Reader) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, "POST", "https://"+addr+"/status-report?user=k", body)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return r
 }
 
-// ask sends a request and reads its answer; status 0 where there is none.
+// ask sends a request and reads its answer; status 0 if there is none.
 func ask(c *http3.Transport, r *http.Request) (status int, body string, err error) {
 	resp, err := c.RoundTrip(r)
 	if err != nil {
@@ -129,8 +129,8 @@
 	return resp.StatusCode, string(text), nil
 }
 
-// Whatever datagrams are lost, doubled, spoilt or late, each key has exactly one
-// effect, and its request one answer.
+// Whatever datagrams are lost, duplicated, corrupted or delayed, each key has exactly
+// one effect, and its request one answer.
 func TestEveryPath(t *testing.T) {
 	plans := map[string]lab.Plan{
 		"30% lost":             {Seed: 1, Drop: 0.3},
@@ -142,7 +142,7 @@
 	for n := 2; n <= 20; n++ {
 		plans[fmt.Sprintf("every %d. lost", n)] = lab.Plan{DropEvery: n}
 	}
-	s, n := start(t, scene.Config{HTTP3More: "handshake = '20s'\n"}) // on such paths it takes its time
+	s, n := start(t, scene.Config{HTTP3More: "handshake = '20s'\n"}) // it is slow on such paths
 	for name, plan := range plans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -155,28 +155,28 @@
 				if status != 200 || len(body) != 300 {
 					t.Errorf("request %d: status %d, %d bytes, error %v", i, status, len(body), err)
 				}
-				if got := n.of(id); got != 1 {
-					t.Errorf("key %d has %d effects", i, got)
+				if got := n.attemptsOf(id); got != 1 {
+					t.Errorf("key %d has had %d effects", i, got)
 				}
 			}
 		})
 	}
 }
 
-// A client that moves to another address, with its request half sent, its answer
-// half received, or twice at once, is answered at the new one.
-func TestMoves(t *testing.T) {
+// A client that migrates to another address once or twice, with its request half sent
+// or its answer half received, is answered at the new address.
+func TestMigration(t *testing.T) {
 	const long = 300000
 	s, n := start(t, scene.Config{Maps: []lab.EndpointConfig{{Workers: 8, Body: long}}})
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	// A client may not move before its handshake is confirmed (RFC 9000 section 9).
+	// A client may not migrate before its handshake is confirmed (RFC 9000 section 9).
 	settle := func(t *testing.T, c *http3.Transport, r *lab.Relay, id string) {
 		if status, _, err := ask(c, report(ctx, r.Addr(), "settle "+id, nil)); status != 200 {
 			t.Fatal(status, err)
 		}
 	}
-	move := func(t *testing.T, r *lab.Relay, times int) {
+	migrate := func(t *testing.T, r *lab.Relay, times int) {
 		for range times {
 			if err := r.Move(); err != nil {
 				t.Fatal(err)
@@ -190,18 +190,18 @@
 			body, rest := io.Pipe()
 			go func() {
 				io.WriteString(rest, strings.Repeat("a", 20000))
-				move(t, r, times)
+				migrate(t, r, times)
 				io.WriteString(rest, strings.Repeat("b", 20000))
 				rest.Close()
 			}()
 			id := "sent-" + name
-			if status, text, err := ask(c, report(ctx, r.Addr(), id, body)); status != 200 || len(text) != long || n.of(id) != 1 {
-				t.Errorf("status %d, %d bytes, error %v, %d effects", status, len(text), err, n.of(id))
+			if status, text, err := ask(c, report(ctx, r.Addr(), id, body)); status != 200 || len(text) != long || n.attemptsOf(id) != 1 {
+				t.Errorf("status %d, %d bytes, error %v, %d effects", status, len(text), err, n.attemptsOf(id))
 			}
 		})
 		t.Run("answer half received, "+name, func(t *testing.T) {
 			r, c := relay(t, s, lab.Plan{}), client(t, s)
-			c.QUICConfig.KeepAlivePeriod = time.Second // one that has acknowledged all sends nothing, and the server can't know where it is
+			c.QUICConfig.KeepAlivePeriod = time.Second // a client that has acknowledged everything sends nothing, and the server can't know its address
 			id := "received-" + name
 			settle(t, c, r, id)
 			resp, err := c.RoundTrip(report(ctx, r.Addr(), id, strings.NewReader("r")))
@@ -213,24 +213,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			move(t, r, times)
+			migrate(t, r, times)
 			rest, err := io.ReadAll(resp.Body)
-			if len(half)+len(rest) != long || err != nil || n.of(id) != 1 {
-				t.Errorf("%d and %d bytes, error %v, %d effects", len(half), len(rest), err, n.of(id))
+			if len(half)+len(rest) != long || err != nil || n.attemptsOf(id) != 1 {
+				t.Errorf("%d and %d bytes, error %v, %d effects", len(half), len(rest), err, n.attemptsOf(id))
 			}
 		})
 	}
 }
 
-// A client is moved without knowing while it waits, its request acknowledged and
-// nothing to send. What the server sends goes nowhere until the client pings,
-// which may be long after the answer was made; the connection is there for it.
-func TestMovedWhileWaiting(t *testing.T) {
+// A client's address changes without its knowledge while it waits, with its request
+// acknowledged and nothing to send. What the server sends is lost until the client
+// pings, which may be long after the answer was made; the connection must still exist
+// then.
+func TestMigrationWhileWaiting(t *testing.T) {
 	defer func(patience, period time.Duration) {
-		*http3front.ConnPatience, *http3front.SweepPeriod = patience, period
-	}(*http3front.ConnPatience, *http3front.SweepPeriod)
-	*http3front.ConnPatience, *http3front.SweepPeriod = 200*time.Millisecond, 20*time.Millisecond
-	t.Run("", func(t *testing.T) { // ends, with its scene, before they are put back
+		*http3front.MaxUnusedTime, *http3front.SweepPeriod = patience, period
+	}(*http3front.MaxUnusedTime, *http3front.SweepPeriod)
+	*http3front.MaxUnusedTime, *http3front.SweepPeriod = 200*time.Millisecond, 20*time.Millisecond
+	t.Run("", func(t *testing.T) { // ends, with its scene, before the values are restored
 		s, n := start(t, scene.Config{Maps: []lab.EndpointConfig{{Workers: 8, Body: 300}}})
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
@@ -250,7 +251,7 @@
 			answered <- err
 		}()
 		<-n.arrived
-		if err := r.AwaitQuiet(ctx, 150*time.Millisecond); err != nil { // all is acknowledged
+		if err := r.AwaitQuiet(ctx, 150*time.Millisecond); err != nil { // everything is acknowledged
 			t.Fatal(err)
 		}
 		if err := r.Move(); err != nil {
@@ -258,17 +259,17 @@
 		}
 		s.Maps[0].Speak()
 		if err := <-answered; err != nil {
-			t.Error("moved while it waited, the client has no answer:", err)
+			t.Error("after migration while it waited, the client got no answer:", err)
 		}
-		if e := n.of("waits"); e != 1 {
+		if e := n.attemptsOf("waits"); e != 1 {
 			t.Errorf("%d effects", e)
 		}
 	})
 }
 
-// With routing every connection ID that a client is given, from the first to
-// those for other paths, tells a balancer the instance; connections work as
-// without.
+// With routing, every connection ID that a client gets, from the first to those for
+// other paths, identifies the instance to a balancer; connections work as without
+// routing.
 func TestRouting(t *testing.T) {
 	key := filepath.Join(t.TempDir(), "routing.key")
 	const digits = "8f95f09245765f80256934e50c66207f"
@@ -294,7 +295,7 @@
 				}
 				id := text[1 : 1+ids.Len()]
 				if server, _, err := ids.Decode(id); err != nil || !bytes.Equal(server, config.Server) {
-					t.Errorf("connection ID %x is of server %x (%v)", id, server, err)
+					t.Errorf("connection ID %x decodes to server %x (%v)", id, server, err)
 				}
 				mu.Lock()
 				seen[string(id)] = true
@@ -322,8 +323,8 @@
 	}
 }
 
-// Nonces don't come twice under a key, and in plain are not counted, so that
-// nobody can tell the IDs of one connection.
+// With a key, nonces are not repeated; in plaintext they are not counted up, so that
+// the IDs of one connection can't be linked.
 func TestRoutedIDs(t *testing.T) {
 	key := filepath.Join(t.TempDir(), "routing.key")
 	if err := os.WriteFile(key, []byte("00112233445566778899aabbccddeeff"), 0o600); err != nil {
@@ -338,7 +339,7 @@
 		for range 2000 {
 			id, err := ids.GenerateConnectionID()
 			if err != nil || id.Len() != ids.ConnectionIDLen() || seen[id] {
-				t.Fatalf("%v after %d others (%v)", id, len(seen), err)
+				t.Fatalf("connection ID %v after %d others (%v)", id, len(seen), err)
 			}
 			seen[id] = true
 		}
@@ -351,9 +352,9 @@
 	}
 }
 
-// A client that opens requests and cancels them has its connection closed before
-// long, whatever the limit on open ones; others are served.
-func TestCancelledInSeries(t *testing.T) {
+// The connection of a client that keeps opening and cancelling requests is soon closed,
+// whatever the limit on open requests; others are served.
+func TestRepeatedCancellation(t *testing.T) {
 	const resets = 5
 	s, n := start(t, scene.Config{Maps: []lab.EndpointConfig{{Workers: 8, Body: 1, Answer: func(w http.ResponseWriter, r *http.Request) bool {
 		if r.Method != "POST" {
@@ -369,7 +370,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		go func() {
 			select {
-			case <-n.arrived: // it is at an endpoint
+			case <-n.arrived: // the request has reached an endpoint
 			case <-ctx.Done():
 			}
 			cancel()
@@ -382,7 +383,7 @@
 		}
 	}
 	if !closed {
-		t.Error("the connection is still there")
+		t.Error("the connection was not closed")
 	}
 	other := client(t, s)
 	r := report(context.Background(), addr, "other", nil)
@@ -394,8 +395,8 @@
 	}
 }
 
-// Past their number connections are refused; clients by HTTP/1.1 do not notice,
-// and one that ends makes room.
+// Connections above the limit are refused; HTTP/1.1 clients are not affected, and a
+// connection that closes makes room for another one.
 func TestConnectionLimit(t *testing.T) {
 	s, _ := start(t, scene.Config{HTTP3More: "connections = 2\n"})
 	addr := s.Sidecar.AddrHTTP3().String()
@@ -409,7 +410,7 @@
 	}
 	_, _, err := ask(clients[2], report(ctx, addr, "third", nil))
 	if refused := (*quic.TransportError)(nil); !errors.As(err, &refused) || refused.ErrorCode != quic.ConnectionRefused {
-		t.Errorf("the third connection ends with %v", err)
+		t.Errorf("the third connection fails with %v", err)
 	}
 	if resp, err := http.Get("http://" + s.Addr() + "/health/ready"); err != nil || resp.StatusCode != 200 {
 		t.Errorf("by HTTP/1.1: %v, %v", resp, err)
@@ -422,17 +423,17 @@
 	}
 	clients[0].Close()
 	status := 0
-	for i := 0; status != 200 && ctx.Err() == nil; i++ { // the server is told a moment later
+	for i := 0; status != 200 && ctx.Err() == nil; i++ { // the server learns of it a moment later
 		again := client(t, s)
 		status, _, _ = ask(again, report(ctx, addr, fmt.Sprint("again-", i), nil))
 	}
 	if status != 200 {
-		t.Error("a connection that ended made no room")
+		t.Error("after a connection closed, no other one was accepted")
 	}
 }
 
-// An address that has not been validated is sent no more than three times what
-// came from it (RFC 9000 section 8.1).
+// An address that has not been validated is sent at most three times what was received
+// from it (RFC 9000 section 8.1).
 func TestAmplification(t *testing.T) {
 	s, _ := start(t, scene.Config{})
 	r := relay(t, s, lab.Plan{Deaf: true})
@@ -449,8 +450,8 @@
 	}
 }
 
-// What breaks the rules on messages ends its stream alone, with
-// H3_MESSAGE_ERROR, and the next request on the connection is served.
+// A malformed message ends only its own stream, with H3_MESSAGE_ERROR, and the next
+// request on the connection is served.
 func TestMalformed(t *testing.T) {
 	s, n := start(t, scene.Config{})
 	c := client(t, s)
@@ -461,13 +462,13 @@
 		"shorter than its length": func(r *http.Request) { r.ContentLength = 10 },
 		"longer than its length":  func(r *http.Request) { r.ContentLength = 1 },
 	} {
-		// A body of unknown kind, so that the client believes the length it is told.
+		// A reader of unknown type, so that the client uses the length it is given.
 		r := report(ctx, addr, name, io.MultiReader(strings.NewReader("abc")))
 		change(r)
 		r.Header.Set("Content-Length", fmt.Sprint(r.ContentLength))
 		status, _, err := ask(c, r)
-		if status == 200 || n.of(name) > 0 {
-			t.Errorf("%s: status %d, error %v, %d attempts", name, status, err, n.of(name))
+		if status == 200 || n.attemptsOf(name) > 0 {
+			t.Errorf("%s: status %d, error %v, %d attempts", name, status, err, n.attemptsOf(name))
 		}
 		if status, _, err := ask(c, report(ctx, addr, "after "+name, nil)); status != 200 {
 			t.Errorf("after one %s: status %d, error %v", name, status, err)
@@ -475,8 +476,8 @@
 	}
 }
 
-// At a stop each request that was taken is answered, and one that was not has
-// never begun.
+// At a stop each request that was taken is answered, and one that was not has never
+// been started.
 func TestStopUnderLoad(t *testing.T) {
 	s, n := start(t, scene.Config{Maps: []lab.EndpointConfig{{Workers: 64, Body: 10, Work: 20 * time.Millisecond}}})
 	addr := s.Sidecar.AddrHTTP3().String()
@@ -501,8 +502,8 @@
 				if status == 200 {
 					continue
 				}
-				if n.of(id) > 0 {
-					t.Errorf("%s was begun and has no answer: status %d, error %v", id, status, err)
+				if n.attemptsOf(id) > 0 {
+					t.Errorf("%s was started and got no answer: status %d, error %v", id, status, err)
 				}
 				return
 			}
@@ -521,8 +522,8 @@
 	}
 }
 
-// A certificate that is replaced serves new connections after a reload; those
-// that are open go on.
+// A replaced certificate serves new connections after a reload; open connections
+// continue.
 func TestCertificateReload(t *testing.T) {
 	s, _ := start(t, scene.Config{})
 	addr := s.Sidecar.AddrHTTP3().String()
@@ -545,6 +546,6 @@
 		t.Errorf("under the new certificate: status %d, error %v", status, err)
 	}
 	if err := s.Reload(contracts + "[http3]\nlisten = '127.0.0.1:1'\ncertificate = 'a'\nkey = 'b'\n"); err == nil {
-		t.Error("another address was taken over")
+		t.Error("a changed listen address was accepted")
 	}
 }
--- a/internal/front/http3/routing.go
+++ b/internal/front/http3/routing.go
@@ -13,19 +13,19 @@
 	"spokegw/internal/quiclb"
 )
 
-// Routing is what connection IDs tell a balancer before many instances
+// Routing is what connection IDs tell a balancer that serves several instances
 // (draft-ietf-quic-load-balancers).
 type Routing struct {
 	Config byte   // rotation codepoint
-	Server string // this instance's ID, in hexadecimal digits
-	Nonce  int    // bytes
-	Key    string // a file with a key in hexadecimal digits; "": all is in plain
+	Server string // this instance's ID, in hexadecimal
+	Nonce  int    // length in bytes
+	Key    string // path of a file with a key in hexadecimal; "": plaintext
 }
 
 // routedIDs makes connection IDs that a balancer can route by.
 type routedIDs struct {
-	encoder *quiclb.Encoder
-	plain   bool
+	encoder   *quiclb.Encoder
+	plaintext bool
 
 	mu    sync.Mutex
 	nonce []byte // the latest
@@ -42,7 +42,7 @@
 			return nil, err
 		}
 	}
-	ids := &routedIDs{plain: c.Key == nil, nonce: make([]byte, r.Nonce)}
+	ids := &routedIDs{plaintext: c.Key == nil, nonce: make([]byte, r.Nonce)}
 	if ids.encoder, err = quiclb.New(c); err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 	return ids, nil
 }
 
-// readKey reads a key from a file. The error does not hold what is in it.
+// readKey reads a key from a file. The error does not contain the key.
 func readKey(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -63,13 +63,13 @@
 	return key, nil
 }
 
-// GenerateConnectionID makes the next connection ID. Under a key nonces are
-// counted up from a random one, so that none comes twice; in plain each is
-// random, so that nobody on the way can tell which IDs are of one connection.
+// GenerateConnectionID makes the next connection ID. With a key, nonces are counted up
+// from a random one, so that none repeats; in plaintext each is random, so that an
+// observer can't link the IDs of a connection.
 func (r *routedIDs) GenerateConnectionID() (quic.ConnectionID, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.plain {
+	if r.plaintext {
 		rand.Read(r.nonce)
 	} else {
 		for i := len(r.nonce) - 1; i >= 0; i-- {
--- a/internal/front/http3/server.go
+++ b/internal/front/http3/server.go
@@ -1,8 +1,7 @@
-// Package http3 is the HTTP/3 side towards clients (RFC 9114, over QUIC, RFC
-// 9000): it holds their connections and streams within bounds, and translates
-// between them and the core. It decides nothing about a request. What a message
-// must look like is checked by quic-go's http3; docs/design/http3.md says what
-// is relied on and what is added.
+// Package http3 is the HTTP/3 front end (RFC 9114, over QUIC, RFC 9000): it limits
+// clients' connections and streams, and translates between them and the core. It makes
+// no decisions about requests. quic-go's http3 checks that messages are well-formed;
+// docs/design/http3.md states what is relied on and what is added.
 package http3
 
 import (
@@ -25,25 +24,25 @@
 	"spokegw/internal/core"
 )
 
-// Config is what a server is made of. Its bounds are all positive.
+// Config configures a server. All limits are positive.
 type Config struct {
 	Listen           string // UDP address
-	Certificate, Key string // files, read at the start and by ReloadCertificate
-	Connections      int    // at once, those in the handshake included
-	Streams          int    // requests that may be open on a connection
-	StreamWindow     int64  // bytes that a client may send ahead on a stream
-	ConnectionWindow int64  // bytes that a client may send ahead on a connection
-	MaxHead          int    // bytes of a request's fields, with 32 more for each (RFC 9114 section 4.2.2)
+	Certificate, Key string // file paths, read at the start and by ReloadCertificate
+	Connections      int    // maximum number of connections, including those in the handshake
+	Streams          int    // maximum number of open requests per connection
+	StreamWindow     int64  // stream flow-control window in bytes
+	ConnectionWindow int64  // connection flow-control window in bytes
+	MaxHead          int    // bytes of a request's fields, plus 32 for each field (RFC 9114 section 4.2.2)
 	Handshake        time.Duration
 	Idle             time.Duration
-	MaxResetRate     float64  // requests a second that a client may cancel on a connection, sustained
-	MaxUnvalidated   int      // handshakes under way from which on addresses are validated first
-	Front            int      // its number at the core
+	MaxResetRate     float64  // requests per second that a client may cancel on a connection, sustained
+	MaxUnvalidated   int      // number of handshakes under way from which on addresses are validated first
+	Front            int      // the front end's number in the core
 	Routing          *Routing // nil: connection IDs are random
-	Secret           string   // with that of Key, what the keys of stateless resets and address tokens are derived from
+	Secret           string   // with the content of Key, the input from which the keys of stateless resets and address tokens are derived
 }
 
-// Server takes requests by HTTP/3.
+// Server serves requests over HTTP/3.
 type Server struct {
 	config    Config
 	core      *core.Core
@@ -53,38 +52,38 @@
 	server    *http3.Server
 	cert      atomic.Pointer[tls.Certificate]
 
-	patience, period time.Duration // of sweep
+	maxUnused, sweepPeriod time.Duration // of sweep
 
-	accepting     chan error   // takes the end of accepting
-	open, shaking atomic.Int64 // connections, and those of them in the handshake
-	connections   sync.WaitGroup
+	accepting         chan error   // receives the error that ends accept
+	open, handshaking atomic.Int64 // connections, and those of them in the handshake
+	connections       sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[*quic.Conn]*conn
 }
 
 const (
-	// requestPatience is for a request to come whole, from its fields on.
-	requestPatience = 2500 * time.Millisecond
-	// drainGrace is how long a stopping server waits for clients that have been
-	// told to leave to do so, once all they asked has been answered.
+	// requestTimeout limits the arrival of a complete request, from its fields on.
+	requestTimeout = 2500 * time.Millisecond
+	// drainGrace is how long a stopping server waits for clients to act on GOAWAY, once
+	// all their requests have been answered.
 	drainGrace = 500 * time.Millisecond
 	stopPoll   = 10 * time.Millisecond
-	udpBuffer  = 1 << 20 // bytes, asked of the system for datagrams that wait
+	udpBuffer  = 1 << 20 // receive buffer in bytes, requested from the system
 )
 
-// Variables for the tests; Listen takes them over.
+// Variables for the tests; Listen copies them.
 var (
-	// connPatience is how long a connection may be held open at least with no
-	// request served on it since the last one, or since it was made, while it is
-	// not silent: a client that trickles fields keeps a connection from idling.
-	connPatience = 10 * time.Second
-	sweepPeriod  = time.Second
+	// maxUnusedTime is how long a connection with traffic may stay open at least
+	// without serving a request, since the last one or since it was made: a client that
+	// sends fields very slowly keeps its connection from becoming idle.
+	maxUnusedTime = 10 * time.Second
+	sweepPeriod   = time.Second
 )
 
 // Listen opens the server's address.
 func Listen(c Config, requests *core.Core) (*Server, error) {
-	s := &Server{config: c, core: requests, conns: map[*quic.Conn]*conn{}, accepting: make(chan error, 1), patience: connPatience, period: sweepPeriod}
+	s := &Server{config: c, core: requests, conns: map[*quic.Conn]*conn{}, accepting: make(chan error, 1), maxUnused: maxUnusedTime, sweepPeriod: sweepPeriod}
 	if err := s.ReloadCertificate(); err != nil {
 		return nil, err
 	}
@@ -92,7 +91,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("http3: %w", err)
 	}
-	s.config.Secret += string(key) // a restart has it again, and nobody else does
+	s.config.Secret += string(key) // a restarted process has the same key, and nobody else has it
 	addr, err := net.ResolveUDPAddr("udp", c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("http3: %w", err)
@@ -100,7 +99,7 @@
 	if s.udp, err = net.ListenUDP("udp", addr); err != nil {
 		return nil, fmt.Errorf("http3: %w", err)
 	}
-	s.udp.SetReadBuffer(udpBuffer) // as much of it as the system gives
+	s.udp.SetReadBuffer(udpBuffer) // the system may grant less
 	if s.transport, err = s.newTransport(); err != nil {
 		s.udp.Close()
 		return nil, err
@@ -118,7 +117,7 @@
 	token := quic.TokenGeneratorKey(sha256.Sum256([]byte("spokegw address token\x00" + s.config.Secret)))
 	t := &quic.Transport{
 		Conn: s.udp, ConnectionIDLength: 8, StatelessResetKey: &reset, TokenGeneratorKey: &token, MaxTokenAge: time.Hour,
-		VerifySourceAddress: func(net.Addr) bool { return s.shaking.Load() >= int64(s.config.MaxUnvalidated) },
+		VerifySourceAddress: func(net.Addr) bool { return s.handshaking.Load() >= int64(s.config.MaxUnvalidated) },
 		ConnContext:         s.admit,
 	}
 	if s.config.Routing != nil {
@@ -144,13 +143,13 @@
 		HandshakeIdleTimeout: c.Handshake, MaxIdleTimeout: c.Idle,
 		InitialStreamReceiveWindow: uint64(c.StreamWindow), MaxStreamReceiveWindow: uint64(c.StreamWindow),
 		InitialConnectionReceiveWindow: uint64(c.ConnectionWindow), MaxConnectionReceiveWindow: uint64(c.ConnectionWindow),
-		MaxIncomingStreams: int64(c.Streams), MaxIncomingUniStreams: 3, // control and two of QPACK (RFC 9114 section 6.2)
+		MaxIncomingStreams: int64(c.Streams), MaxIncomingUniStreams: 3, // control and two QPACK streams (RFC 9114 section 6.2)
 		Allow0RTT: false,
 	}
 }
 
-// ReloadCertificate reads certificate and key again. Connections that are open
-// go on under the one they have. On an error nothing has changed.
+// ReloadCertificate rereads certificate and key. Open connections continue with the old
+// ones. On an error nothing changes.
 func (s *Server) ReloadCertificate() error {
 	cert, err := tls.LoadX509KeyPair(s.config.Certificate, s.config.Key)
 	if err != nil {
@@ -160,34 +159,35 @@
 	return nil
 }
 
-// Addr is where the server listens.
+// Addr is the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.udp.LocalAddr() }
 
-// Open is how many connections there are, those in the handshake included.
+// OpenConnections is the number of connections, including those in the handshake.
 func (s *Server) Open() int { return int(s.open.Load()) }
 
-var errCrowded = errors.New("there are as many connections as may be")
+var errTooManyConns = errors.New("connection limit reached")
 
 // admit counts a connection from its first datagram to its end.
 func (s *Server) admit(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
 	if s.open.Add(1) > int64(s.config.Connections) {
 		s.open.Add(-1)
-		return nil, errCrowded
+		return nil, errTooManyConns
 	}
-	s.shaking.Add(1)
-	var shaken sync.Once
-	done := func() { shaken.Do(func() { s.shaking.Add(-1) }) }
+	s.handshaking.Add(1)
+	var once sync.Once
+	done := func() { once.Do(func() { s.handshaking.Add(-1) }) }
 	context.AfterFunc(ctx, func() {
 		done()
 		s.open.Add(-1)
 	})
-	return context.WithValue(ctx, shakenKey{}, done), nil
+	return context.WithValue(ctx, handshakeDoneKey{}, done), nil
 }
 
-// shakenKey is the key of what is called when a connection's handshake is over.
-type shakenKey struct{}
+// handshakeDoneKey is the context key of the function to call when a connection's
+// handshake is complete.
+type handshakeDoneKey struct{}
 
-// Serve takes requests until ctx ends, then finishes what it has taken.
+// Serve serves requests until ctx ends, then completes those it has taken.
 func (s *Server) Serve(ctx context.Context) error {
 	sweeping, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -210,14 +210,14 @@
 		if err != nil {
 			return err
 		}
-		if done, ok := qc.Context().Value(shakenKey{}).(func()); ok {
+		if done, ok := qc.Context().Value(handshakeDoneKey{}).(func()); ok {
 			done()
 		}
 		s.add(qc)
 		s.connections.Go(func() {
 			defer s.remove(qc)
-			defer qc.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "") // one that comes while the server stops
-			s.server.ServeQUICConn(qc)                                                   // its errors are of the connection
+			defer qc.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "") // for one that is accepted while the server stops
+			s.server.ServeQUICConn(qc)                                                   // its errors concern only the connection
 		})
 	}
 }
@@ -234,21 +234,21 @@
 	delete(s.conns, qc)
 }
 
-// sweep closes connections that are held open for nothing. Whether an answer
-// has arrived is not known here: it may be on its way still, over a path that
-// loses much or to a client that has moved and whose new path is not validated.
-// So none is closed while a client may wait for one.
+// sweep closes connections that stay open unused. The server does not know whether an
+// answer has arrived: it may still be on its way, over a path with heavy loss, or to a
+// client that has migrated and whose new path is not validated. So no connection is
+// closed while its client may be waiting for an answer.
 func (s *Server) sweep(ctx context.Context) {
-	tick := time.NewTicker(s.period)
+	tick := time.NewTicker(s.sweepPeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			patience := max(s.patience, s.core.MaxDeadline()+requestPatience)
-			for _, c := range s.each() {
-				if c.heldFor() > patience {
+			timeout := max(s.maxUnused, s.core.MaxDeadline()+requestTimeout)
+			for _, c := range s.listConns() {
+				if c.unusedFor() > timeout {
 					c.quic.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeExcessiveLoad), "no request has come whole")
 				}
 			}
@@ -256,7 +256,7 @@
 	}
 }
 
-func (s *Server) each() []*conn {
+func (s *Server) listConns() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*conn, 0, len(s.conns))
@@ -266,17 +266,17 @@
 	return all
 }
 
-// drain ends the server with nothing lost: GOAWAY on every connection, what has
-// been taken is finished, what comes after is rejected unread
-// (H3_REQUEST_REJECTED) and the client's to send again, and connections are
-// closed once nothing is open on them.
+// drain stops the server without losing requests: it sends GOAWAY on every connection,
+// completes the requests that have been taken, rejects later ones unread
+// (H3_REQUEST_REJECTED) so that clients may safely retry them, and closes connections
+// once nothing is open on them.
 func (s *Server) drain() {
-	patience, cancel := context.WithTimeout(context.Background(), s.core.MaxDeadline()+requestPatience)
+	grace, cancel := context.WithTimeout(context.Background(), s.core.MaxDeadline()+requestTimeout)
 	defer cancel()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.server.Shutdown(patience)
+		s.server.Shutdown(grace)
 	}()
 	quiet := time.Time{}
 	for waiting := true; waiting; {
@@ -290,16 +290,16 @@
 				quiet = now
 			}
 			if !quiet.IsZero() && now.Sub(quiet) > drainGrace {
-				cancel() // clients that stay though they were told to leave
+				cancel() // clients that stay in spite of GOAWAY
 			}
 		}
 	}
 	s.close()
 }
 
-// busy counts the requests that are open.
+// busy counts the open requests.
 func (s *Server) busy() (n int) {
-	for _, c := range s.each() {
+	for _, c := range s.listConns() {
 		n += int(c.requests.Load())
 	}
 	return n
@@ -307,15 +307,15 @@
 
 func (s *Server) close() {
 	s.listener.Close()
-	<-s.accepting // nothing is added any more
+	<-s.accepting // no connection is added after that
 	s.server.Close()
 	s.transport.Close()
 	s.udp.Close()
 	s.connections.Wait()
 }
 
-// AltSvc is the value of Alt-Svc (RFC 7838) with which other fronts tell of
-// this one.
+// AltSvc is the value of Alt-Svc (RFC 7838) with which other front ends advertise this
+// one.
 func (s *Server) AltSvc() string {
 	return fmt.Sprintf(`h3=":%d"; ma=3600`, s.udp.LocalAddr().(*net.UDPAddr).Port)
 }
--- a/internal/front/upload.go
+++ b/internal/front/upload.go
@@ -12,111 +12,111 @@
 )
 
 const (
-	// RequestTimeout is for a request to come whole, from its first byte or, if
-	// it is the connection's first, from when that was made. Clients are owed an
-	// answer or a close within 3 s, however little they say.
+	// RequestTimeout limits the arrival of a complete request, from its first byte or,
+	// for the first request of a connection, from when the connection was accepted.
+	// Clients are guaranteed an answer or a close within 3 s, however little they send.
 	RequestTimeout = 2500 * time.Millisecond
-	// piecePatience and leastRate are for a body that takes longer: a client on a
-	// slow link sends 64 kB a second, with pauses, and one that stops is owed an
-	// end. Who has sent much is in earnest and may pause for longer, up to
-	// mostPause. They could cut off a client that pauses for longer still, as one
-	// that reads what it sends from elsewhere may.
-	piecePatience = 500 * time.Millisecond
-	earnestBytes  = 128_000 // for each second of pause more
-	mostPause     = 3 * time.Second
-	leastRate     = 32_000 // bytes a second
+	// minPause and minRate apply to a body that takes longer than RequestTimeout. A
+	// client on a slow link sends 64 kB a second, with pauses; one that stops sending
+	// has to be cut off. A client that has sent much may pause for longer, up to
+	// maxPause. These limits could cut off a client that pauses for even longer, as one
+	// may that reads what it sends from a slow source.
+	minPause            = 500 * time.Millisecond
+	bytesPerPauseSecond = 128_000 // received for each additional second of pause
+	maxPause            = 3 * time.Second
+	minRate             = 32_000 // bytes per second
 )
 
-// PacedBody is a body that has to keep coming.
+// PacedBody is a body with a minimum transfer rate.
 type PacedBody struct {
-	body  io.Reader
-	rc    Reading
-	begun time.Duration // as Now, when the request's first byte came
-	got   int64
+	body     io.Reader
+	rc       DeadlineSetter
+	started  time.Duration // as Now, when the request's first byte arrived
+	received int64
 }
 
-// Reading is where reading can be made to end at a time.
-type Reading interface {
+// DeadlineSetter sets the time at which reading ends.
+type DeadlineSetter interface {
 	SetReadDeadline(t time.Time) error
 }
 
-// NewPacedBody has a body keep coming. It sets the times at which reading ends.
-func NewPacedBody(body io.Reader, rc Reading, begun time.Duration) *PacedBody {
-	rc.SetReadDeadline(At(begun + RequestTimeout))
-	return &PacedBody{body: body, rc: rc, begun: begun}
+// NewPacedBody enforces a minimum transfer rate on a body by setting read deadlines.
+func NewPacedBody(body io.Reader, rc DeadlineSetter, start time.Duration) *PacedBody {
+	rc.SetReadDeadline(At(start + RequestTimeout))
+	return &PacedBody{body: body, rc: rc, started: start}
 }
 
 func (p *PacedBody) Read(b []byte) (int, error) {
-	if now := Now(); now > p.begun+RequestTimeout-piecePatience {
+	if now := Now(); now > p.started+RequestTimeout-minPause {
 		seconds := func(bytes int64, rate float64) time.Duration {
 			return time.Duration(float64(bytes) / rate * float64(time.Second))
 		}
-		pause := min(piecePatience+seconds(p.got, earnestBytes), mostPause)
-		until := min(max(now+pause, p.begun+RequestTimeout), p.begun+RequestTimeout+seconds(p.got, leastRate))
+		pause := min(minPause+seconds(p.received, bytesPerPauseSecond), maxPause)
+		until := min(max(now+pause, p.started+RequestTimeout), p.started+RequestTimeout+seconds(p.received, minRate))
 		if until <= now {
 			return 0, os.ErrDeadlineExceeded
 		}
 		p.rc.SetReadDeadline(At(until))
 	}
 	n, err := p.body.Read(b)
-	p.got += int64(n)
+	p.received += int64(n)
 	return n, err
 }
 
-// Upload is the rest of a body that is passed on as it comes.
+// Upload is the remaining part of a body that is streamed.
 type Upload struct {
-	body    io.Reader
-	left    int64 // -1: not told
-	behind  func() bool
-	rc      *http.ResponseController
-	reading sync.Mutex // held while the body is read
-	ended   atomic.Bool
-	whole   atomic.Bool
-	got     int64
-	err     error // of reading; io.EOF: it came whole
+	body      io.Reader
+	remaining int64 // -1: unknown
+	hasExtra  func() bool
+	rc        *http.ResponseController
+	readMu    sync.Mutex // held while the body is read
+	ended     atomic.Bool
+	complete  atomic.Bool
+	received  int64
+	err       error // of reading; io.EOF: the body is complete
 }
 
-var errUploadEnded = errors.New("the body is not wanted any more")
+var errUploadClosed = errors.New("the rest of the body is not needed")
 
-// NewUpload makes the rest of a body of the length told, -1 where none is, of
-// which some has been read. behind reports whether something stands behind it.
-func NewUpload(body io.Reader, length, read int64, rc *http.ResponseController, behind func() bool) *Upload {
-	u := &Upload{body: body, left: -1, behind: behind, rc: rc, got: read}
+// NewUpload makes the remaining part of a body of the declared length, -1 if unknown,
+// of which some has been read. hasExtra reports whether data follows the body.
+func NewUpload(body io.Reader, length, read int64, rc *http.ResponseController, hasExtra func() bool) *Upload {
+	u := &Upload{body: body, remaining: -1, hasExtra: hasExtra, rc: rc, received: read}
 	if length >= 0 {
-		u.left = length - read
+		u.remaining = length - read
 	}
 	return u
 }
 
-// Read reads on. The last piece is handed out only with nothing behind it.
+// Read reads from the body. It returns the last piece only if nothing follows it.
 func (u *Upload) Read(b []byte) (n int, err error) {
-	u.reading.Lock()
-	defer u.reading.Unlock()
+	u.readMu.Lock()
+	defer u.readMu.Unlock()
 	if u.ended.Load() {
-		return 0, errUploadEnded
+		return 0, errUploadClosed
 	}
 	if u.err != nil {
 		return 0, u.err
 	}
 	n, err = u.body.Read(b)
-	u.got += int64(n)
-	if u.left >= 0 {
-		if u.left -= int64(n); u.left == 0 && err == nil {
-			if err = readEnd(u.body); err == nil {
+	u.received += int64(n)
+	if u.remaining >= 0 {
+		if u.remaining -= int64(n); u.remaining == 0 && err == nil {
+			if err = expectEOF(u.body); err == nil {
 				err = io.EOF
 			}
 		}
 	}
 	switch {
-	case err == io.EOF && u.left > 0:
+	case err == io.EOF && u.remaining > 0:
 		err = io.ErrUnexpectedEOF
-	case err == io.EOF && u.behind():
-		err = errMore
+	case err == io.EOF && u.hasExtra():
+		err = errExcessData
 	case err == io.EOF:
-		u.whole.Store(true)
+		u.complete.Store(true)
 	case err != nil && u.ended.Load():
-		err = errUploadEnded
-	case u.got > MaxBody:
+		err = errUploadClosed
+	case u.received > MaxBody:
 		err = errTooLong
 	}
 	if u.err = err; err != nil && err != io.EOF {
@@ -125,46 +125,46 @@
 	return n, err
 }
 
-// Interrupt ends a Read that waits, if the body has not come whole.
+// Interrupt ends a blocked Read, unless the body is complete.
 func (u *Upload) Interrupt() {
 	if !u.ended.Swap(true) {
 		u.rc.SetReadDeadline(At(-time.Hour))
 	}
 }
 
-// Context is ctx but for ends that come of the reading: net/http takes any error
-// of it, and so an end that was asked for, for a client that has left. One that
-// leaves before its body has come whole shows in the reading itself.
+// Context is ctx without cancellations caused by reading the body: net/http takes any
+// read error, also that of an interrupted read, for a client that has disconnected. A
+// client that disconnects before its body is complete shows in the reading itself.
 func (u *Upload) Context(ctx context.Context) (context.Context, context.CancelFunc) {
-	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	detached, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
-		if u.whole.Load() {
+		if u.complete.Load() {
 			cancel()
 		}
 	})
-	return own, func() {
+	return detached, func() {
 		stop()
 		cancel()
 	}
 }
 
-// Close ends the reading, and returns nil if the body came whole. Nothing reads
-// it after that.
+// Close ends the reading, and returns nil if the body is complete. Nothing reads it
+// after that.
 func (u *Upload) Close() error {
-	if !u.reading.TryLock() {
+	if !u.readMu.TryLock() {
 		u.Interrupt()
-		u.reading.Lock()
+		u.readMu.Lock()
 	}
-	defer u.reading.Unlock()
+	defer u.readMu.Unlock()
 	u.ended.Store(true)
 	switch {
 	case u.err == io.EOF:
 		return nil
 	case u.err == nil:
-		return errUploadEnded
+		return errUploadClosed
 	}
 	return u.err
 }
 
-// SenderFault reports whether a body did not come whole for a reason of its sender's.
-func SenderFault(err error) bool { return err != nil && !errors.Is(err, errUploadEnded) }
+// SenderFault reports whether a body is incomplete for a reason on its sender's side.
+func SenderFault(err error) bool { return err != nil && !errors.Is(err, errUploadClosed) }
