--- a/internal/front/fronttest/fronttest.go
+++ b/internal/front/fronttest/fronttest.go
@@ -104,8 +104,8 @@
 	})
 }
 
-// patience is the timeout for what should happen at once.
-const patience = 20 * time.Second
+// waitTimeout is the timeout for what should happen at once.
+const waitTimeout = 20 * time.Second
 
 // Operator has the contracts of all cases without their own.
 const Operator = `[[service]]
@@ -155,7 +155,7 @@
 
 // Ask sends a request and waits for its outcome.
 func (p *Player) Ask(r Request) Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return p.ask(ctx, r)
 }
@@ -379,7 +379,7 @@
 	select {
 	case <-c:
 		return true
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		return false
 	}
 }
--- a/internal/front/http1/conns.go
+++ b/internal/front/http1/conns.go
@@ -277,10 +277,10 @@
 }
 
 // setRequestRead records whether the first request has been read completely.
-func (c *clientConn) setRequestRead(whole bool) {
+func (c *clientConn) setRequestRead(complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requestRead = whole
+	c.requestRead = complete
 }
 
 // markExtra records whether data followed the request being served. Unless pipelining
--- a/internal/front/http1/conntable.go
+++ b/internal/front/http1/conntable.go
@@ -154,8 +154,8 @@
 		if !c.mu.TryLock() {
 			continue // it is being read
 		}
-		rank, may := c.evictionRank(idleBefore)
-		if !may || worst != nil && (rank > lowest || rank == lowest && c.lastActive.Load() >= worst.lastActive.Load()) ||
+		rank, evictable := c.evictionRank(idleBefore)
+		if !evictable || worst != nil && (rank > lowest || rank == lowest && c.lastActive.Load() >= worst.lastActive.Load()) ||
 			!c.mayClose(permit.Close{UnreadData: c.readable()}) { // its request has arrived and has not been read yet
 			c.mu.Unlock()
 			continue
@@ -178,7 +178,7 @@
 // evictionRank is the value of the connection to its client, and whether it may be
 // evicted; idleBefore is the latest last activity of a connection that counts as idle
 // for long. The caller holds its mutex and the table's.
-func (c *clientConn) evictionRank(idleBefore int64) (rank int, may bool) {
+func (c *clientConn) evictionRank(idleBefore int64) (rank int, evictable bool) {
 	switch idle := c.idle.Load(); {
 	case !c.mayClose(permit.Close{AnswerPending: c.busy}):
 		return 0, false
--- a/internal/front/http1/http1_test.go
+++ b/internal/front/http1/http1_test.go
@@ -26,9 +26,9 @@
 	"spokegw/policy"
 )
 
-// patience is the timeout for what should happen at once, or within a second or two
+// waitTimeout is the timeout for what should happen at once, or within a second or two
 // because of one of the sidecar's own timeouts.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // listenEndpoint listens as an endpoint, and has serve answer each connection.
 func listenEndpoint(t testing.TB, serve func(c net.Conn, r *bufio.Reader)) string {
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	return c
 }
 
@@ -417,7 +417,7 @@
 	}
 	select {
 	case <-cancelled:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("the first attempt is still in flight")
 	}
 }
@@ -454,15 +454,15 @@
 	s.conns.minIdle = 0 // all count as idle for long
 	s.conns.mu.Unlock()
 	s.conns.closeExcessIdle()
-	for until := time.Now().Add(patience); ; { // each is closed by its reader
+	for until := time.Now().Add(waitTimeout); ; { // each is closed by its reader
 		s.conns.mu.Lock()
-		kept, crowd := s.conns.answeredConns, s.conns.busyThreshold
+		kept, threshold := s.conns.answeredConns, s.conns.busyThreshold
 		s.conns.mu.Unlock()
-		if kept < crowd {
+		if kept < threshold {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("%d idle connections are left, want less than %d", kept, crowd)
+			t.Fatalf("%d idle connections are left, want less than %d", kept, threshold)
 		}
 		runtime.Gosched()
 	}
@@ -476,7 +476,7 @@
 	t.Run("stop", func(inner *testing.T) { // its end stops the server
 		s := start(inner, nil, addr)
 		s.conns.mu.Lock()
-		s.conns.firstTimeout = patience
+		s.conns.firstTimeout = waitTimeout
 		s.conns.mu.Unlock()
 		fresh, idle := dial(t, s), dial(t, s)
 		br := bufio.NewReader(idle)
@@ -561,7 +561,7 @@
 			} else if err != nil {
 				return 0, err
 			}
-			k.conn.SetDeadline(time.Now().Add(patience))
+			k.conn.SetDeadline(time.Now().Add(waitTimeout))
 		}
 		resp, err := k.try(id)
 		if err == nil {
--- a/internal/front/http1/pipelining_test.go
+++ b/internal/front/http1/pipelining_test.go
@@ -64,7 +64,7 @@
 						return
 					}
 					if err != nil || resp.StatusCode != 200 || string(body) != id {
-						t.Fatalf("answer %d: status %d, %q, %v; %q is expected", i, resp.StatusCode, body, err, id)
+						t.Fatalf("answer %d: status %d, %q, %v; want %q", i, resp.StatusCode, body, err, id)
 					}
 				}
 			})
--- a/internal/front/http1/plain.go
+++ b/internal/front/http1/plain.go
@@ -197,11 +197,11 @@
 
 // setLongAnswer records the streamed answer being written, which is aborted if the
 // client disconnects.
-func (p *plain) setLongAnswer(long core.Stream) {
+func (p *plain) setLongAnswer(stream core.Stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.longAnswer = long; long != nil && p.disconnected {
-		long.Abort()
+	if p.longAnswer = stream; stream != nil && p.disconnected {
+		stream.Abort()
 	}
 }
 
--- a/internal/front/http1/plain_test.go
+++ b/internal/front/http1/plain_test.go
@@ -72,7 +72,7 @@
 	c.Close()
 	<-ended
 	if took := time.Since(left); took > requestTimeout { // its deadline would cancel it after 7 s
-		t.Errorf("called off after %v", took)
+		t.Errorf("cancelled after %v", took)
 	}
 }
 
@@ -96,7 +96,7 @@
 			c.Close()
 			<-ended
 			if took := time.Since(left); took > requestTimeout { // its deadline would cancel it after 7 s
-				t.Errorf("called off after %v", took)
+				t.Errorf("cancelled after %v", took)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 	}
 	closed := make(chan error)
 	go func() { closed <- c.Close() }()
-	client.SetDeadline(time.Now().Add(patience))
+	client.SetDeadline(time.Now().Add(waitTimeout))
 	if got, err := io.ReadAll(client); err != nil || !bytes.Equal(got, answer) {
 		t.Errorf("%d bytes of an answer of %d arrived, error %v", len(got), len(answer), err)
 	}
@@ -214,9 +214,9 @@
 func TestRequestAtIdleTimeout(t *testing.T) {
 	timesOut := func(c *clientConn) { c.SetReadDeadline(front.At(front.Now() - time.Millisecond)) }
 	for _, test := range []struct {
-		name  string
-		heard bool // the connection has had an answer; otherwise this is its first request
-		end   func(*clientConn)
+		name     string
+		answered bool // the connection has had an answer; otherwise this is its first request
+		end      func(*clientConn)
 	}{
 		{"idle timeout", true, timesOut},
 		{"idle, read cancelled", true, (*clientConn).cancelRead},
@@ -240,8 +240,8 @@
 			}
 			defer nc.Close()
 			c := newConnTable(1, 1).add(nc.(*net.TCPConn))
-			c.receivedAny.Store(test.heard)
-			c.idle.Store(test.heard)
+			c.receivedAny.Store(test.answered)
+			c.idle.Store(test.answered)
 			io.WriteString(client, tile("one"))
 			for !c.readable() {
 				runtime.Gosched()
--- a/internal/front/http3/abuse_test.go
+++ b/internal/front/http3/abuse_test.go
@@ -25,16 +25,16 @@
 	"spokegw/internal/lab/scene"
 )
 
-func tlsOf(s *scene.Scene) *tls.Config {
+func clientTLS(s *scene.Scene) *tls.Config {
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(s.Certificate)
 	return &tls.Config{RootCAs: roots, NextProtos: []string{http3.NextProtoH3}, ServerName: "127.0.0.1"}
 }
 
-// raw opens a QUIC connection on which a test writes HTTP/3 itself.
-func raw(t testing.TB, s *scene.Scene, ctx context.Context) *quic.Conn {
+// dialRaw opens a QUIC connection on which a test writes HTTP/3 itself.
+func dialRaw(t testing.TB, s *scene.Scene, ctx context.Context) *quic.Conn {
 	t.Helper()
-	c, err := quic.DialAddr(ctx, s.Sidecar.AddrHTTP3().String(), tlsOf(s), &quic.Config{MaxIdleTimeout: 25 * time.Second})
+	c, err := quic.DialAddr(ctx, s.Sidecar.AddrHTTP3().String(), clientTLS(s), &quic.Config{MaxIdleTimeout: 25 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,10 +95,10 @@
 		t.Run(name, func(t *testing.T) {
 			s, _ := start(t, scene.Config{HTTP3More: "connections = 24\nunvalidated = 8\nhandshake = '20s'\n"})
 			r := relay(t, s, lab.Plan{Deaf: true})
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			flood, end := context.WithCancel(ctx)
-			var floods sync.WaitGroup
+			var dials sync.WaitGroup
 			transports := make([]*quic.Transport, ports)
 			for i := range transports {
 				udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -111,8 +111,8 @@
 			}
 			to, _ := net.ResolveUDPAddr("udp", r.Addr())
 			for i := range 60 {
-				floods.Go(func() {
-					if c, err := transports[i%ports].Dial(flood, to, tlsOf(s), &quic.Config{HandshakeIdleTimeout: patience}); err == nil {
+				dials.Go(func() {
+					if c, err := transports[i%ports].Dial(flood, to, clientTLS(s), &quic.Config{HandshakeIdleTimeout: waitTimeout}); err == nil {
 						t.Error("a handshake has completed although the client received nothing")
 						c.CloseWithError(0, "")
 					}
@@ -128,7 +128,7 @@
 				checkOthersServed(t, ctx, s, fmt.Sprint("flood-", i))
 			}
 			end()
-			floods.Wait()
+			dials.Wait()
 		})
 	}
 }
@@ -137,16 +137,16 @@
 // limits: bodies time out, and a connection on which no complete request arrives is
 // closed. Others are served meanwhile.
 func TestTrickle(t *testing.T) {
-	defer func(patience time.Duration) { *http3front.MaxUnusedTime = patience }(*http3front.MaxUnusedTime)
+	defer func(unused time.Duration) { *http3front.MaxUnusedTime = unused }(*http3front.MaxUnusedTime)
 	*http3front.MaxUnusedTime = time.Second
 	const streams = 100
 	for name, body := range map[string]bool{"fields": false, "bodies": true} {
 		t.Run(name, func(t *testing.T) {
 			s, n := start(t, scene.Config{Deadline: 3 * time.Second, HTTP3More: fmt.Sprintf("streams = %d\n", streams)})
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
-			c := raw(t, s, ctx)
-			var trickles sync.WaitGroup
+			c := dialRaw(t, s, ctx)
+			var writers sync.WaitGroup
 			for i := range streams {
 				stream, err := c.OpenStreamSync(ctx)
 				if err != nil {
@@ -161,7 +161,7 @@
 				if _, err := stream.Write(text[:sent]); err != nil {
 					t.Fatal(err)
 				}
-				trickles.Go(func() {
+				writers.Go(func() {
 					tick := time.NewTicker(100 * time.Millisecond)
 					defer tick.Stop()
 					for _, b := range text[sent:] {
@@ -180,7 +180,7 @@
 			for i := range 5 {
 				checkOthersServed(t, ctx, s, fmt.Sprintf("beside-%s-%d", name, i))
 			}
-			trickles.Wait()
+			writers.Wait()
 			if body {
 				if c.Context().Err() != nil {
 					t.Error("the connection was closed because of a slow body:", context.Cause(c.Context()))
@@ -201,9 +201,9 @@
 // nobody.
 func TestStreamsReset(t *testing.T) {
 	s, _ := start(t, scene.Config{})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	c := raw(t, s, ctx)
+	c := dialRaw(t, s, ctx)
 	var resets sync.WaitGroup
 	resets.Go(func() {
 		for range 3000 {
@@ -233,7 +233,7 @@
 		return false
 	}}}})
 	c := client(t, s)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	answered, cancelled := 0, 0
 	for i := range requests {
@@ -278,7 +278,7 @@
 	before, n := start(t, scene.Config{})
 	after, m := start(t, scene.Config{Operator: before.HTTP3Section})
 	r, c := relay(t, before, lab.Plan{}), client(t, before)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if status, _, err := ask(c, report(ctx, r.Addr(), "before", nil)); status != 200 {
 		t.Fatal(status, err)
@@ -304,7 +304,7 @@
 // recorded flight is sent several times.
 func TestNoEarlyData(t *testing.T) {
 	s, n := start(t, scene.Config{})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var recorded [][]byte
--- a/internal/front/http3/fuzz_test.go
+++ b/internal/front/http3/fuzz_test.go
@@ -68,12 +68,12 @@
 		f.Add(seed)
 	}
 	s, n := start(f, scene.Config{HTTP3More: "resets = 100000\n"})
-	beside := client(f, s)
+	other := client(f, s)
 	var count atomic.Int64
 	f.Fuzz(func(t *testing.T, text []byte) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
-		conn := raw(t, s, ctx)
+		conn := dialRaw(t, s, ctx)
 		before := n.attemptsOf("fuzz")
 		ended := end(ctx, conn, text)
 		if ctx.Err() != nil {
@@ -83,7 +83,7 @@
 			t.Errorf("%d attempts, and the stream ends with %q", attempts, ended)
 		}
 		id := fmt.Sprint("beside-", count.Add(1))
-		if status, _, err := ask(beside, report(ctx, s.Sidecar.AddrHTTP3().String(), id, nil)); status != 200 {
+		if status, _, err := ask(other, report(ctx, s.Sidecar.AddrHTTP3().String(), id, nil)); status != 200 {
 			t.Errorf("another client is answered %d, error %v", status, err)
 		}
 	})
@@ -128,7 +128,7 @@
 	f.Cleanup(by1.CloseIdleConnections)
 	var count atomic.Int64
 	f.Fuzz(func(t *testing.T, method, target, kind, team, deadline, key, body string) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		ask := func(by http.RoundTripper, base string) (string, error) {
 			r, err := http.NewRequestWithContext(ctx, method, base+target, strings.NewReader(body))
--- a/internal/front/http3/http3_test.go
+++ b/internal/front/http3/http3_test.go
@@ -29,8 +29,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is the timeout for what should happen soon, over a path with heavy loss.
-const patience = 30 * time.Second
+// waitTimeout is the timeout for what should happen soon, over a path with heavy loss.
+const waitTimeout = 30 * time.Second
 
 const contracts = "[[service]]\nname = 'maps'\n[[team]]\nname = 'patrols'\nshare = 1\n[[team.allow]]\nservice = 'maps'\n"
 
@@ -147,7 +147,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r, c := relay(t, s, plan), client(t, s)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			for i := range 5 {
 				id := fmt.Sprintf("%s-%d", strings.ReplaceAll(name, " ", "-"), i)
@@ -168,7 +168,7 @@
 func TestMigration(t *testing.T) {
 	const long = 300000
 	s, n := start(t, scene.Config{Maps: []lab.EndpointConfig{{Workers: 8, Body: long}}})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	// A client may not migrate before its handshake is confirmed (RFC 9000 section 9).
 	settle := func(t *testing.T, c *http3.Transport, r *lab.Relay, id string) {
@@ -227,13 +227,13 @@
 // pings, which may be long after the answer was made; the connection must still exist
 // then.
 func TestMigrationWhileWaiting(t *testing.T) {
-	defer func(patience, period time.Duration) {
-		*http3front.MaxUnusedTime, *http3front.SweepPeriod = patience, period
+	defer func(unused, period time.Duration) {
+		*http3front.MaxUnusedTime, *http3front.SweepPeriod = unused, period
 	}(*http3front.MaxUnusedTime, *http3front.SweepPeriod)
 	*http3front.MaxUnusedTime, *http3front.SweepPeriod = 200*time.Millisecond, 20*time.Millisecond
 	t.Run("", func(t *testing.T) { // ends, with its scene, before the values are restored
 		s, n := start(t, scene.Config{Maps: []lab.EndpointConfig{{Workers: 8, Body: 300}}})
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		r, c := relay(t, s, lab.Plan{}), client(t, s)
 		c.QUICConfig.KeepAlivePeriod, c.QUICConfig.DisablePathMTUDiscovery = 1500*time.Millisecond, true // nothing else is sent
@@ -301,7 +301,7 @@
 				seen[string(id)] = true
 				mu.Unlock()
 			}})
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			for i := range 2 {
 				c := client(t, s)
@@ -367,7 +367,7 @@
 	addr := s.Sidecar.AddrHTTP3().String()
 	closed := false
 	for i := range 20 * resets {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		go func() {
 			select {
 			case <-n.arrived: // the request has reached an endpoint
@@ -400,7 +400,7 @@
 func TestConnectionLimit(t *testing.T) {
 	s, _ := start(t, scene.Config{HTTP3More: "connections = 2\n"})
 	addr := s.Sidecar.AddrHTTP3().String()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	clients := []*http3.Transport{client(t, s), client(t, s), client(t, s)}
 	for i, c := range clients[:2] {
@@ -444,9 +444,9 @@
 		cancel()
 	}
 	in, out := r.Bytes(lab.ToServer), r.Bytes(lab.ToClient)
-	t.Logf("%d bytes came, %d were sent", in, out)
+	t.Logf("%d bytes were received, %d were sent", in, out)
 	if in == 0 || out == 0 || out > 3*in {
-		t.Errorf("%d bytes came, %d were sent", in, out)
+		t.Errorf("%d bytes were received, %d were sent", in, out)
 	}
 }
 
@@ -456,7 +456,7 @@
 	s, n := start(t, scene.Config{})
 	c := client(t, s)
 	addr := s.Sidecar.AddrHTTP3().String()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for name, change := range map[string]func(r *http.Request){
 		"shorter than its length": func(r *http.Request) { r.ContentLength = 10 },
@@ -488,7 +488,7 @@
 		c := client(t, s)
 		clients.Go(func() {
 			for j := range 1000 {
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 				id := fmt.Sprintf("load-%d-%d", i, j)
 				status, _, err := ask(c, report(ctx, addr, id, strings.NewReader("r")))
 				cancel()
@@ -528,7 +528,7 @@
 	s, _ := start(t, scene.Config{})
 	addr := s.Sidecar.AddrHTTP3().String()
 	old := client(t, s)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if status, _, err := ask(old, report(ctx, addr, "before", nil)); status != 200 {
 		t.Fatal(status, err)
--- a/internal/front/http3/server.go
+++ b/internal/front/http3/server.go
@@ -163,7 +163,7 @@
 func (s *Server) Addr() net.Addr { return s.udp.LocalAddr() }
 
 // OpenConnections is the number of connections, including those in the handshake.
-func (s *Server) Open() int { return int(s.open.Load()) }
+func (s *Server) OpenConnections() int { return int(s.open.Load()) }
 
 var errTooManyConns = errors.New("connection limit reached")
 
