--- a/internal/front/http1/conntable.go
+++ b/internal/front/http1/conntable.go
@@ -26,8 +26,8 @@
 	busyThreshold int
 
 	mu            sync.Mutex
-	minIdle       time.Duration // minIdle
-	firstTimeout  time.Duration // firstRequestTimeout
+	minIdle       time.Duration // the constant minIdle, unless a test sets it
+	firstTimeout  time.Duration // firstRequestTimeout, unless a test sets it
 	conns         map[*clientConn]struct{}
 	draining      bool // every answer closes its connection: another process takes the next request
 	answeredConns int  // number of conns that have had an answer
