--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,7 +1,7 @@
-// Package console answers operators' tools over a Unix socket: what the line protocol
-// of the second address has no room for. A connection carries one call, a JSON object
-// in a line; the answer is any number of JSON objects, a line each, and a last one
-// that says how it ended. Who may connect is told by the socket's permissions.
+// Package console answers operators' tools over a Unix socket, for calls that the line protocol
+// of the management address can't express. A connection carries one call, a JSON object in a
+// line; the answer is any number of JSON objects, one per line, and a last one with the result.
+// The socket's permissions decide who may connect.
 package console
 
 import (
@@ -23,26 +23,27 @@
 	"spokegw/internal/unixsocket"
 )
 
-// Version is that of calls and answers. A call of another is refused with the reason.
+// Version is the version of calls and answers. A call of another version is refused with the
+// reason.
 const Version = 1
 
 const (
-	// MaxCall bounds a call in bytes: the longest carries an operator's file. MaxRecord
-	// bounds a record of an answer.
+	// MaxCall bounds a call in bytes: the longest carries an operator's file. MaxRecord bounds
+	// a record of an answer.
 	MaxCall   = 5 << 20
 	MaxRecord = 4 << 20
-	// mostCallers are held at once. One more takes the place of the one that has said
-	// nothing for longest; where all have called, it is turned away.
-	mostCallers   = 16
-	placePatience = 100 * time.Millisecond
-	// callPatience is for a call to come whole, writePatience for a record of the answer
-	// to be taken: who reads no more is left, and holds up nobody but himself.
-	callPatience  = 5 * time.Second
-	writePatience = 2 * time.Second
-	acceptPause   = 20 * time.Millisecond
+	// maxCallers is the number of concurrent callers. A further one replaces the one that has
+	// been silent for longest, or is closed if all have sent their calls.
+	maxCallers   = 16
+	evictTimeout = 100 * time.Millisecond
+	// callTimeout is for receiving a call, writeTimeout for sending a record of the answer: a
+	// caller that stops reading is disconnected and delays nobody else.
+	callTimeout  = 5 * time.Second
+	writeTimeout = 2 * time.Second
+	acceptPause  = 20 * time.Millisecond
 )
 
-// Request is a call as it is sent.
+// Request is an encoded call.
 type Request struct {
 	Version int             `json:"v"`
 	Call    string          `json:"call"`
@@ -56,20 +57,20 @@
 	Error string          `json:"error,omitempty"` // with End
 }
 
-// Call answers a call: args as they came, send for each record. It ends when ctx
-// does, and when send fails, as its caller has gone.
+// Call answers a call: args as received, send for each record. It ends when ctx does, and when
+// send fails because its caller has disconnected.
 type Call func(ctx context.Context, args json.RawMessage, send func(v any) error) error
 
 type callerKey struct{}
 
-// Caller is who made a call, as the machine tells it (unix(7), SO_PEERCRED): the user's
-// and the process's numbers.
+// Caller returns the caller's user id and process id as the kernel reports them (unix(7),
+// SO_PEERCRED).
 func Caller(ctx context.Context) string {
 	who, _ := ctx.Value(callerKey{}).(string)
 	return who
 }
 
-// callerOf asks the machine who is at the other end.
+// callerOf returns the kernel's credentials of the peer.
 func callerOf(c *net.UnixConn) string {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -87,24 +88,23 @@
 type Server struct {
 	calls    map[string]Call
 	listener *net.UnixListener
-	places   chan struct{}
+	slots    chan struct{}
 	serving  sync.WaitGroup
 
 	mu     sync.Mutex
-	silent []*net.UnixConn // whose call has not come whole, the oldest first
+	silent []*net.UnixConn // whose calls have not been received, the oldest first
 }
 
-// Listen opens the socket, in the place of whoever had it.
+// Listen opens the socket, replacing any at that path.
 func Listen(path string, calls map[string]Call) (*Server, error) {
 	l, err := unixsocket.Listen(path)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	return &Server{calls: calls, listener: l, places: make(chan struct{}, mostCallers)}, nil
+	return &Server{calls: calls, listener: l, slots: make(chan struct{}, maxCallers)}, nil
 }
 
-// Serve answers calls until ctx ends, and returns when no goroutine of the server is
-// left.
+// Serve answers calls until ctx ends, and returns when all goroutines of the server have ended.
 func (s *Server) Serve(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
@@ -119,48 +119,48 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		if !s.place() {
-			c.Close() // that shows at the caller
+		if !s.acquireSlot() {
+			c.Close() // the caller sees the close
 			continue
 		}
 		s.mu.Lock()
 		s.silent = append(s.silent, c)
 		s.mu.Unlock()
 		s.serving.Go(func() {
-			defer func() { <-s.places }()
+			defer func() { <-s.slots }()
 			s.serve(ctx, c)
 		})
 	}
 }
 
-// place takes a place for one more caller, at the cost of a silent one where need be.
-func (s *Server) place() bool {
+// acquireSlot takes a slot for one more caller, evicting a silent one if necessary.
+func (s *Server) acquireSlot() bool {
 	select {
-	case s.places <- struct{}{}:
+	case s.slots <- struct{}{}:
 		return true
 	default:
 	}
 	s.mu.Lock()
-	none := len(s.silent) == 0
-	if !none {
+	allCalled := len(s.silent) == 0
+	if !allCalled {
 		s.silent[0].Close()
 	}
 	s.mu.Unlock()
-	if none {
+	if allCalled {
 		return false
 	}
-	late := time.NewTimer(placePatience)
-	defer late.Stop()
+	timer := time.NewTimer(evictTimeout)
+	defer timer.Stop()
 	select {
-	case s.places <- struct{}{}:
+	case s.slots <- struct{}{}:
 		return true
-	case <-late.C:
+	case <-timer.C:
 		return false
 	}
 }
 
-// spoken notes that a caller's call has come, or never will.
-func (s *Server) spoken(c *net.UnixConn) {
+// removeSilent removes a caller from the silent ones: its call was received, or failed.
+func (s *Server) removeSilent(c *net.UnixConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := slices.Index(s.silent, c); i >= 0 {
@@ -168,7 +168,7 @@
 	}
 }
 
-// Close gives up a server that is not to serve.
+// Close closes a server that was never served.
 func (s *Server) Close() { s.listener.Close() }
 
 func (s *Server) serve(ctx context.Context, c *net.UnixConn) {
@@ -185,17 +185,17 @@
 		if len(b) > MaxRecord {
 			return fmt.Errorf("a record of %d bytes, at most %d are sent", len(b), MaxRecord)
 		}
-		c.SetWriteDeadline(time.Now().Add(writePatience))
-		if ctx.Err() != nil { // it has set another just before
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if ctx.Err() != nil { // ctx may have ended and set its own deadline just before
 			return context.Cause(ctx)
 		}
 		_, err = c.Write(append(b, '\n'))
 		return err
 	}
 	call, args, err := s.read(c)
-	s.spoken(c)
+	s.removeSilent(c)
 	if err == nil {
-		watchEnd(c, cancel)
+		cancelOnDisconnect(c, cancel)
 		err = s.run(context.WithValue(ctx, callerKey{}, callerOf(c)), call, args, func(v any) error {
 			b, err := json.Marshal(v)
 			if err != nil {
@@ -208,24 +208,25 @@
 	if err != nil {
 		last.Error = err.Error()
 	}
-	send(last) // who has gone needs none
+	send(last) // fails if the caller has disconnected
 }
 
-// watchEnd ends a call whose caller has gone. The goroutine ends with the connection.
-func watchEnd(c *net.UnixConn, cancel context.CancelFunc) {
+// cancelOnDisconnect cancels a call whose caller has disconnected. Its goroutine ends with the
+// connection.
+func cancelOnDisconnect(c *net.UnixConn, cancel context.CancelFunc) {
 	c.SetReadDeadline(time.Time{})
 	go func() {
 		defer cancel()
-		io.Copy(io.Discard, io.LimitReader(c, MaxCall)) // nothing more is expected
+		io.Copy(io.Discard, io.LimitReader(c, MaxCall)) // no more data is expected
 	}()
 }
 
 // read reads a call.
 func (s *Server) read(c net.Conn) (Call, json.RawMessage, error) {
-	c.SetReadDeadline(time.Now().Add(callPatience))
+	c.SetReadDeadline(time.Now().Add(callTimeout))
 	line, err := readLine(bufio.NewReader(io.LimitReader(c, MaxCall+1)), MaxCall)
 	if err != nil {
-		return nil, nil, fmt.Errorf("the call did not come whole: %w", err)
+		return nil, nil, fmt.Errorf("the call is incomplete: %w", err)
 	}
 	var r Request
 	if err := json.Unmarshal(line, &r); err != nil {
@@ -241,7 +242,7 @@
 	return call, r.Args, nil
 }
 
-// run makes a call. A panic is its own: it must not take the process along.
+// run makes a call. It recovers from a panic, which must not end the process.
 func (s *Server) run(ctx context.Context, call Call, args json.RawMessage, send func(v any) error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -252,14 +253,14 @@
 	return call(ctx, args, send)
 }
 
-func readLine(r *bufio.Reader, most int) ([]byte, error) {
+func readLine(r *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
-		part, err := r.ReadSlice('\n')
-		line = append(line, part...)
+		chunk, err := r.ReadSlice('\n')
+		line = append(line, chunk...)
 		switch {
-		case len(line) > most:
-			return nil, fmt.Errorf("a line is longer than %d bytes", most)
+		case len(line) > limit:
+			return nil, fmt.Errorf("a line is longer than %d bytes", limit)
 		case err == nil:
 			return bytes.TrimSpace(line), nil
 		case !errors.Is(err, bufio.ErrBufferFull):
@@ -268,10 +269,10 @@
 	}
 }
 
-// ErrUnreachable tells that nobody answers at a socket.
-var ErrUnreachable = errors.New("console: nobody answers there")
+// ErrUnreachable reports that no server answers at a socket.
+var ErrUnreachable = errors.New("console: no server answers at the socket")
 
-// Ask makes a call, and hands each record of its answer on.
+// Ask makes a call, and passes each record of its answer to each.
 func Ask(ctx context.Context, path, call string, args any, each func(json.RawMessage) error) error {
 	raw, err := json.Marshal(args)
 	if err != nil {
@@ -307,7 +308,7 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case err != nil:
-			return fmt.Errorf("%s: the answer did not come whole: %w", call, err)
+			return fmt.Errorf("%s: the answer is incomplete: %w", call, err)
 		case rec.End && rec.Error != "":
 			return errors.New(rec.Error)
 		case rec.End:
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -17,14 +17,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start serves calls for the length of a test.
+// start serves calls until the test ends.
 func start(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.sock")
 	s, err := Listen(path, map[string]Call{
 		"count": func(_ context.Context, raw json.RawMessage, send func(any) error) (err error) {
 			var n int
-			json.Unmarshal(raw, &n) // 0 where there is none
+			json.Unmarshal(raw, &n) // 0 if absent
 			for i := 0; i < n && err == nil; i++ {
 				err = send(i)
 			}
@@ -76,14 +76,14 @@
 	var who string
 	err := Ask(t.Context(), path, "who", nil, func(raw json.RawMessage) error { return json.Unmarshal(raw, &who) })
 	if want := fmt.Sprintf("uid=%d pid=%d", os.Getuid(), os.Getpid()); err != nil || who != want {
-		t.Errorf("%q asked (%v), not %q", who, err, want)
+		t.Errorf("caller is %q (%v), want %q", who, err, want)
 	}
 	for call, want := range map[string]string{"reboot": `no call "reboot"`, "breaks": "the call failed", "long": "at most 4194304 are sent"} {
 		if _, err := count(t, path, call, nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", call, err)
 		}
 	}
-	for text, want := range map[string]string{`{"v":2,"call":"count"}` + "\n": "version 2, this sidecar has 1", "GET / HTTP/1.1\r\n": "a call in JSON is expected", "{": "did not come whole"} {
+	for text, want := range map[string]string{`{"v":2,"call":"count"}` + "\n": "version 2, this sidecar has 1", "GET / HTTP/1.1\r\n": "a call in JSON is expected", "{": "is incomplete"} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
@@ -92,18 +92,18 @@
 		c.(*net.UnixConn).CloseWrite()
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		answer := make([]byte, 400)
-		n, _ := c.Read(answer) // what came shows
+		n, _ := c.Read(answer) // the bytes read are checked
 		if c.Close(); !strings.Contains(string(answer[:n]), want) {
 			t.Errorf("%q is answered %q", text, answer[:n])
 		}
 	}
 	if _, err := count(t, path+".not", "count", 1); !errors.Is(err, ErrUnreachable) {
-		t.Errorf("nobody: %v", err)
+		t.Errorf("no server: %v", err)
 	}
 }
 
-// A hundred callers who say nothing, and others who read nothing of a flood or leave in
-// the midst of a call, keep nobody out.
+// A hundred callers that send nothing, others that do not read a long answer, and others that
+// disconnect during a call block nobody.
 func TestBadCallers(t *testing.T) {
 	path := start(t)
 	for i := range 100 {
@@ -116,7 +116,7 @@
 			fmt.Fprintf(c, `{"v":1,"call":"flood"}`+"\n")
 		}
 	}
-	for range mostCallers {
+	for range maxCallers {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
@@ -124,7 +124,7 @@
 		fmt.Fprintf(c, `{"v":1,"call":"waits"}`+"\n")
 		c.Close()
 	}
-	for until := time.Now().Add(20 * time.Second); ; { // floods hold places for two seconds at most
+	for until := time.Now().Add(20 * time.Second); ; { // callers that do not read hold slots for two seconds at most
 		n, err := count(t, path, "count", 3)
 		if n == 3 && err == nil {
 			return
--- a/internal/management/client.go
+++ b/internal/management/client.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// maxAnswer bounds an answer: that on 4,096 endpoints has some 800 KB.
+// maxAnswer bounds an answer in bytes: that on 4,096 endpoints has some 800 KB.
 const maxAnswer = 4 << 20
 
-// Call makes a call at an address and returns the lines of its answer, without
-// End. An answer of NO is an error that tells the rest of it.
+// Call makes a call at an address and returns the lines of its answer, without End. An answer
+// of NO is returned as an error with its text.
 func Call(ctx context.Context, addr, line string) ([]string, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", addr)
@@ -41,5 +41,5 @@
 	case lines[0]+"\n" == Yes:
 		return lines, nil
 	}
-	return nil, fmt.Errorf("%s: the answer is not whole", line)
+	return nil, fmt.Errorf("%s: the answer is incomplete", line)
 }
--- a/internal/management/help.go
+++ b/internal/management/help.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Yes is the answer to what was done, or is so.
+// Yes is the answer to a successful command or a true condition.
 const Yes = "YES\n"
 
-// End is the last line of an answer of several.
+// End is the last line of an answer of several lines.
 const End = "END\n"
 
-// help lists the commands.
+// help returns the list of commands.
 func (c Commands) help() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(c)) {
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,7 +1,7 @@
-// Package management is the sidecar's second address, for its operators: a
-// connection carries one line, the answer is one or more lines, and the
-// connection ends with it. It has descriptors of its own and waits for nothing
-// that a request waits for, so it answers however busy the sidecar is.
+// Package management implements the sidecar's management address: a connection carries a
+// one-line call, the answer is one or more lines, and then the connection is closed. It has
+// descriptors of its own and shares no wait with requests, so it answers however busy the
+// sidecar is.
 package management
 
 import (
@@ -17,33 +17,32 @@
 )
 
 const (
-	// MaxLine bounds a call. The longest that means something is a command with
-	// the longest id there is.
+	// MaxLine bounds a call in bytes. The longest valid one is a command with the longest id.
 	MaxLine = 1 << 10
-	// patience is for a call to come whole and its answer to be read. A person
-	// who types needs seconds; callers who say nothing are closed before that
-	// where others want their place.
-	patience = 10 * time.Second
-	// linger is for a caller to see the answer to a line that is too long: a
-	// reset, for what stands unread, could overtake it. He may send on for
-	// lingerBytes; whoever sends more, or is slower, may see the reset.
+	// callTimeout is for receiving a call and sending its answer. A person who types needs
+	// seconds; idle callers are closed earlier if others need their slots.
+	callTimeout = 10 * time.Second
+	// linger gives a caller time to read the answer to a line that is too long: a reset, sent
+	// because of unread data, could overtake it. The caller may send lingerBytes more; one that
+	// sends more, or is slower, may see the reset.
 	linger      = 2 * time.Second
 	lingerBytes = 4 << 20
-	// acceptPause is between errors of accepting; most are a want of descriptors.
+	// acceptPause is the delay after a failed accept; most failures are for lack of
+	// descriptors.
 	acceptPause = 20 * time.Millisecond
 )
 
-// Command answers a call. args are the words after its name, at least one of
-// them where there is something. An error is told the caller after NO.
+// Command answers a call. args are the words after its name, as many as Args names. An error is
+// sent to the caller after NO.
 type Command struct {
-	Args string // what is expected after the name, for help; "": nothing
+	Args string // words expected after the name, for help; "": none
 	Help string // one line
 	Run  func(args []string) (answer string, err error)
-	// Changes tells that it changes something: who asked is logged, and what he was told.
+	// Changes reports that the command changes something: the caller and the answer are logged.
 	Changes bool
 }
 
-// Commands are the calls that there are, by name.
+// Commands are the available calls, by name.
 type Commands map[string]Command
 
 // Server answers calls.
@@ -53,18 +52,18 @@
 	listener net.Listener
 
 	mu      sync.Mutex
-	callers []*caller // the one that came first, first
+	callers []*caller // in the order of arrival
 	serving sync.WaitGroup
 }
 
 // caller is a connection.
 type caller struct {
 	net.Conn
-	answering bool // its line has come whole
+	answering bool // its line has been received
 }
 
-// Listen opens the address. At most limit callers are held at once; one more
-// takes the place of the one that has been silent for longest.
+// Listen opens the address. It keeps at most limit callers; a further one replaces the one that
+// has been idle for longest.
 func Listen(addr string, limit int, c Commands) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -73,11 +72,10 @@
 	return &Server{commands: c, limit: max(limit, 1), listener: l}, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers calls until ctx ends, and returns when no goroutine of the
-// server is left.
+// Serve answers calls until ctx ends, and returns when all goroutines of the server have ended.
 func (s *Server) Serve(ctx context.Context) {
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
@@ -96,7 +94,7 @@
 	s.serving.Wait()
 }
 
-// close ends the server and its callers, but for those that are being answered.
+// close closes the listener and all callers that are not being answered.
 func (s *Server) close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -108,8 +106,8 @@
 	}
 }
 
-// admit takes a caller, at the cost of a silent one where there is no place. All
-// places are of callers who are being answered only for moments.
+// admit accepts a caller, evicting an idle one if all slots are taken. Only for moments are all
+// slots held by callers that are being answered.
 func (s *Server) admit(conn net.Conn) {
 	c := &caller{Conn: conn}
 	s.mu.Lock()
@@ -120,7 +118,7 @@
 	}
 	s.callers = append(s.callers, c)
 	s.serving.Go(func() {
-		defer s.leave(c)
+		defer s.remove(c)
 		s.serve(c)
 	})
 }
@@ -136,8 +134,9 @@
 	return false
 }
 
-// leave ends a caller. He does not see that before his place is another's.
-func (s *Server) leave(c *caller) {
+// remove closes a caller. Its slot is released first, so that a caller that sees the close
+// finds a free slot.
+func (s *Server) remove(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer c.Close()
@@ -149,24 +148,24 @@
 	}
 }
 
-// setAnswering marks whether a caller is to be left alone.
-func (s *Server) setAnswering(c *caller, is bool) {
+// setAnswering marks whether a caller is protected from eviction.
+func (s *Server) setAnswering(c *caller, answering bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.answering = is
+	c.answering = answering
 }
 
 // serve reads a caller's line and answers it.
 func (s *Server) serve(c *caller) {
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(callTimeout))
 	line, err := readLine(c)
 	if err != nil && !errors.Is(err, errTooLong) {
-		return // it left, or said nothing
+		return // disconnected or sent nothing
 	}
 	s.setAnswering(c, true)
 	if err != nil {
 		c.Write([]byte("NO " + err.Error() + "\n"))
-		s.setAnswering(c, false) // his place may be another's while he sends on
+		s.setAnswering(c, false) // its slot may be reused while it still sends
 		drain(c)
 		return
 	}
@@ -175,8 +174,7 @@
 
 var errTooLong = fmt.Errorf("the line is longer than %d bytes", MaxLine)
 
-// readLine reads up to the end of a line. A caller who ends his sending has
-// ended the line.
+// readLine reads up to the end of a line. The end of the caller's stream ends the line too.
 func readLine(c net.Conn) (string, error) {
 	buf := make([]byte, 0, 128)
 	for {
@@ -185,11 +183,11 @@
 		}
 		n, err := c.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		line, _, whole := strings.Cut(string(buf), "\n")
+		line, _, complete := strings.Cut(string(buf), "\n")
 		switch {
 		case len(line) > MaxLine:
 			return "", errTooLong
-		case whole, errors.Is(err, io.EOF) && len(buf) > 0:
+		case complete, errors.Is(err, io.EOF) && len(buf) > 0:
 			return line, nil
 		case err != nil:
 			return "", err
@@ -197,7 +195,7 @@
 	}
 }
 
-// drain reads on for a moment in what a caller still sends.
+// drain discards what a caller still sends, within limits.
 func drain(c net.Conn) {
 	if t, ok := c.(*caller); ok {
 		if tcp, ok := t.Conn.(*net.TCPConn); ok {
@@ -206,17 +204,17 @@
 	}
 	c.SetReadDeadline(time.Now().Add(linger))
 	var buf [4 << 10]byte
-	for left := lingerBytes; left > 0; {
+	for remaining := lingerBytes; remaining > 0; {
 		n, err := c.Read(buf[:])
 		if err != nil {
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 }
 
-// answer answers a line from somebody. A panic in a command is its own: it must not take the
-// process along.
+// answer answers a line from a caller. It recovers from a panic in a command, which must not
+// end the process.
 func (c Commands) answer(line, from string) (answer string) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const testPatience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// start runs a server for the length of a test.
+// start runs a server until the test ends.
 func start(t *testing.T, limit int, c Commands) string {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", limit, c)
@@ -46,14 +46,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testPatience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
 func ask(t *testing.T, addr, text string) string {
 	t.Helper()
 	c := dial(t, addr)
-	io.WriteString(c, text) // an end of the connection shows in what is read
+	io.WriteString(c, text) // a failed write shows in the read
 	answer, err := io.ReadAll(c)
 	if err != nil {
 		t.Errorf("%.20q: %v", text, err)
@@ -69,7 +69,8 @@
 	}
 }
 
-// Who has something changed, and what he was told, is in the log; who only looks is not.
+// The caller and the answer of a command that changes something are logged; those of other
+// commands are not.
 func TestChangesAreLogged(t *testing.T) {
 	var b bytes.Buffer
 	before := slog.Default()
@@ -102,12 +103,12 @@
 		"help\n":                                               "disable-server ID",
 	} {
 		if got := ask(t, addr, call); !strings.Contains(got, want) {
-			t.Errorf("%.30q is answered %.100q, %q is expected", call, got, want)
+			t.Errorf("%.30q is answered %.100q, want %q", call, got, want)
 		}
 	}
 }
 
-// A line that ends with its sender's sending is a line.
+// A line without a newline that ends with the caller's half-close is a complete call.
 func TestHalfClosed(t *testing.T) {
 	c := dial(t, start(t, 4, testCommands()))
 	io.WriteString(c, "ready")
@@ -117,9 +118,9 @@
 	}
 }
 
-// Callers who connect and say nothing, or half a line, keep nobody out: each
-// further one takes the place of the one that came first.
-func TestSilentCallers(t *testing.T) {
+// Callers that connect and send nothing, or half a line, block nobody: each further one
+// replaces the oldest idle one.
+func TestIdleCallersEvicted(t *testing.T) {
 	const limit = 3
 	addr := start(t, limit, testCommands())
 	var silent []net.Conn
@@ -134,20 +135,20 @@
 		t.Errorf("%q beside %d silent callers", got, len(silent))
 	}
 	if _, err := bufio.NewReader(silent[0]).ReadByte(); err == nil {
-		t.Error("the first silent caller was not closed but answered")
+		t.Error("the first silent caller was answered instead of closed")
 	}
 }
 
-// Whoever was answered gives up his place before he can know: the next call by the same caller
+// A caller's slot is released before its connection is closed: the next call by the same caller
 // finds it, and is not closed without an answer.
-func TestNextCallFindsThePlaceOfTheOneBefore(t *testing.T) {
+func TestSlotReleasedBeforeClose(t *testing.T) {
 	addr := start(t, 1, testCommands())
 	for i := range 3000 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testPatience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, "no-such-call\n")
 		text, err := io.ReadAll(c)
 		c.Close()
