--- a/internal/sidecar/accepted.go
+++ b/internal/sidecar/accepted.go
@@ -12,13 +12,13 @@
 	"spokegw/internal/state"
 )
 
-// acceptedKind names the file that keeps the operator's file as it was taken over.
+// acceptedKind names the file in which the last accepted operator's file is stored.
 const acceptedKind = "accepted"
 
-// LoadOperator reads the operator's file at path, if one is named, into a
-// configuration that has been loaded. Where it can't be used, the file that the
-// sidecar took over last stands in for it, if that is in the folder that the file
-// names, or else in folder: a bad file changes nothing, also over a restart.
+// LoadOperator reads the operator's file at path, if one is named, into a loaded configuration.
+// If that file is invalid, the last accepted version replaces it, from the state folder that
+// the invalid file names or else from folder, so an invalid file has no effect across a restart
+// either.
 func (c *Config) LoadOperator(path, folder string) error {
 	if path == "" {
 		return nil
@@ -31,37 +31,37 @@
 		if named := operator.StateFolder(path); named != "" {
 			folder = named
 		}
-		last, mark, why := c.lastAccepted(path, folder)
-		if why != nil {
-			return fmt.Errorf("%w (%w)", err, why)
+		last, mark, lastErr := c.lastAccepted(path, folder)
+		if lastErr != nil {
+			return fmt.Errorf("%w (%w)", err, lastErr)
 		}
-		slog.Error("the operator's file is not used: starting with the one taken over last", "error", err, "sha256", mark.SHA256, "taken_over", mark.At)
+		slog.Error("operator's file rejected; starting with the last accepted one", "error", err, "sha256", mark.SHA256, "taken_over", mark.At)
 		f = last
 	}
 	c.Operator = f
 	return nil
 }
 
-// lastAccepted is the file that the sidecar took over last.
+// lastAccepted returns the operator's file that the sidecar accepted last.
 func (c *Config) lastAccepted(path, folder string) (f *operator.File, mark state.FileRevision, err error) {
 	if folder == "" {
-		return nil, mark, fmt.Errorf("nothing stands in for it: no folder of [state] is known")
+		return nil, mark, fmt.Errorf("there is no replacement: no [state] folder is known")
 	}
 	a, err := readAccepted(folder, c.Name)
 	if err == nil {
-		f, err = operator.Parse(path+" as it was taken over", []byte(a.Text))
+		f, err = operator.Parse(path+" as last accepted", []byte(a.Text))
 	}
 	if err == nil {
 		err = c.CheckOperator(f)
 	}
 	if err != nil {
-		return nil, mark, fmt.Errorf("nothing stands in for it: %w", err)
+		return nil, mark, fmt.Errorf("there is no replacement: %w", err)
 	}
 	return f, a.Marks[0], nil
 }
 
-// readAccepted reads what was kept without a hold on it: another process may be
-// writing it, whose last whole record counts.
+// readAccepted reads the stored file without locking it: another process may be appending to
+// it, so the last complete record counts.
 func readAccepted(folder, name string) (*state.Accepted, error) {
 	file, err := os.Open(state.Path(folder, name, acceptedKind))
 	if err != nil {
@@ -79,20 +79,19 @@
 	return state.DecodeAccepted(name, found.Last)
 }
 
-// keepFile keeps the operator's file that is served by. It is to be called with the
-// lock of the sidecar.
-func (s *Sidecar) keepFile() {
+// saveOperatorFile stores the operator's file in force. The caller holds s.mu.
+func (s *Sidecar) saveOperatorFile() {
 	f := s.config.Operator
-	if f == nil || s.yielded.Load() {
+	if f == nil || s.handedOver.Load() {
 		return
 	}
-	s.keptFile.Save(func(last []byte) ([]byte, error) {
+	s.fileKeeper.Save(func(last []byte) ([]byte, error) {
 		a := &state.Accepted{}
 		if last != nil {
-			if before, err := state.DecodeAccepted(s.config.Name, last); err == nil {
-				a = before
+			if previous, err := state.DecodeAccepted(s.config.Name, last); err == nil {
+				a = previous
 			} else {
-				slog.Warn("the file taken over before is not known", "error", err)
+				slog.Warn("the last accepted operator's file can't be read", "error", err)
 			}
 		}
 		if !a.Add(s.config.Name, string(f.Text()), time.Now()) {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,6 +1,6 @@
-// Package sidecar is the process round the decision module: it takes requests
-// from the application, carries out what the module decides and tells it how
-// that went. It decides nothing itself.
+// Package sidecar implements the process around the decision module: it accepts requests from
+// the application, executes the module's decisions and reports their results to it. It makes no
+// decisions itself.
 package sidecar
 
 import (
@@ -23,7 +23,7 @@
 	"spokegw/policy"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is the configuration that a sidecar starts with.
 type Config struct {
 	Name      string
 	Listen    string
@@ -33,31 +33,30 @@
 	Known     discovery.List
 	Settings  wire.Settings
 
-	// Management is where operators ask, "": nowhere. Folder is what the sidecar's
-	// processes share, where a new one finds the one before; "": it asks nobody.
+	// Management is the operators' address; "" disables it. Folder is shared by the sidecar's
+	// processes, and a new one finds its predecessor there; "" disables the handover.
 	Management string
 	Folder     string
-	// Disk is what is kept on; nil: the machine's.
+	// Disk stores the state; nil selects the machine's disk.
 	Disk journal.Disk
 
-	// OwnProcess tells that the process is this sidecar's alone, and its memory
-	// with it.
+	// OwnProcess reports that the process, and so its memory, belongs to this sidecar alone.
 	OwnProcess bool
 
-	keys     jsonfile.Keys  // that the file has
-	Operator *operator.File // nil: there are no contracts, and the platform's service alone
+	fileKeys jsonfile.Keys  // keys present in the file
+	Operator *operator.File // nil: no contracts, and only the platform's service
 }
 
-// Limits are those of the sidecar's machine.
+// Limits are the resource limits of the sidecar's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// LoadConfig reads the file that NODE_CONFIG names. NODE_NAME and NODE_LISTEN
-// go before what it says. NODE_DISCOVERY does not: the environment stays as it
-// was when the file is replaced, so it counts only where the file is silent.
+// LoadConfig reads the file that NODE_CONFIG names. NODE_NAME and NODE_LISTEN take precedence
+// over it. NODE_DISCOVERY does not: the environment stays unchanged when the file is replaced,
+// so it counts only if the file names no address.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -93,11 +92,10 @@
 	return c, nil
 }
 
-// leastReserve is the descriptors to endpoints that a service needs for itself.
-const leastReserve = 2
+// minReserve is the number of descriptors to endpoints that a service needs for itself.
+const minReserve = 2
 
-// CheckOperator checks an operator's file against the platform's classes and
-// limits.
+// CheckOperator checks an operator's file against the platform's classes and limits.
 func (c *Config) CheckOperator(f *operator.File) error {
 	if err := f.Check(c.Settings.Classes); err != nil {
 		return err
@@ -107,31 +105,32 @@
 		sum += s.Weight
 	}
 	for _, s := range f.Services {
-		reserve := budget.ReservedFraction * float64(c.Limits.sockets(upstreamPart)) * s.Weight / sum
-		if len(f.Services) > 1 && reserve < leastReserve {
-			return fmt.Errorf("service %q: its reserve is %.1f of the %d descriptors that there are for endpoints, at least %d are expected: it needs more weight, or there are too many services for limits.sockets = %d",
-				s.Name, reserve, c.Limits.sockets(upstreamPart), leastReserve, c.Limits.Sockets)
+		reserve := budget.ReservedFraction * float64(c.Limits.sockets(upstreamFraction)) * s.Weight / sum
+		if len(f.Services) > 1 && reserve < minReserve {
+			return fmt.Errorf("service %q: its reserve is %.1f of the %d descriptors for endpoints, at least %d are expected: raise its weight, or configure fewer services for limits.sockets = %d",
+				s.Name, reserve, c.Limits.sockets(upstreamFraction), minReserve, c.Limits.Sockets)
 		}
 	}
 	if h := f.HTTP3; h != nil {
-		window, room := int64(h.Connections)*h.ConnectionWindow, int64(http3Part*float64(c.Limits.MemoryMB<<20))
-		if window > room {
+		window, available := int64(h.Connections)*h.ConnectionWindow, int64(http3Fraction*float64(c.Limits.MemoryMB<<20))
+		if window > available {
 			return fmt.Errorf("http3: %d connections with a connection-window of %d bytes may hold %d bytes, at most %d are expected: %v of limits.memory_mb = %d",
-				h.Connections, h.ConnectionWindow, window, room, http3Part, c.Limits.MemoryMB)
+				h.Connections, h.ConnectionWindow, window, available, http3Fraction, c.Limits.MemoryMB)
 		}
 	}
 	return nil
 }
 
-// sockets is a part of the descriptors. Of few of them the sidecar's own are taken first:
-// with every client and endpoint there is, discovery would have none left.
-func (l Limits) sockets(part float64) int64 {
-	shared := float64(l.Sockets-ownSockets) / (clientPart + upstreamPart)
-	return int64(part * min(float64(l.Sockets), shared))
+// sockets returns a fraction of the descriptors. If there are few, the sidecar's own are
+// subtracted first: otherwise clients and endpoints at their limits would leave none for
+// discovery.
+func (l Limits) sockets(fraction float64) int64 {
+	shared := float64(l.Sockets-ownSockets) / (clientFraction + upstreamFraction)
+	return int64(fraction * min(float64(l.Sockets), shared))
 }
 
-// contents is what a configuration is decoded into.
-type contents struct {
+// rawConfig is what a configuration is decoded into.
+type rawConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -142,8 +141,8 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// shape is contents to the last value, to look for faults.
-type shape struct {
+// configSchema is the full structure of a configuration, used to locate faults.
+type configSchema struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -160,12 +159,12 @@
 
 var defaultLimits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 
-// ParseConfig reads the text of a configuration. The error tells everything
-// that is wrong with it; name is the file's, for that.
+// ParseConfig parses a configuration. The error lists every fault in it; name is the file's
+// name for these messages.
 func ParseConfig(name string, text []byte) (Config, error) {
 	c, err := parseConfig(text)
 	if err == nil {
-		c.keys = jsonfile.Read(name, text).Keys("known", "peers")
+		c.fileKeys = jsonfile.Read(name, text).Keys("known", "peers")
 		return c, nil
 	}
 	if faults := configFaults(name, text); len(faults) > 0 {
@@ -174,11 +173,11 @@
 	return c, fmt.Errorf("%s: %w", name, err)
 }
 
-// configFaults are the faults of a configuration, by line.
+// configFaults returns the faults of a configuration, sorted by line.
 func configFaults(name string, text []byte) fault.Faults {
 	f := jsonfile.Read(name, text)
-	f.Check(shape{})
-	s := shape{Limits: defaultLimits}
+	f.Check(configSchema{})
+	s := configSchema{Limits: defaultLimits}
 	if len(f.Faults) == 0 && json.Unmarshal(text, &s) == nil {
 		s.check(f)
 	}
@@ -186,8 +185,8 @@
 	return f.Faults
 }
 
-// check notes the values that can't be worked with.
-func (s *shape) check(f *jsonfile.File) {
+// check records invalid values.
+func (s *configSchema) check(f *jsonfile.File) {
 	if s.Settings != nil {
 		s.Settings.Check(f, "settings")
 	} else {
@@ -205,7 +204,7 @@
 }
 
 func parseConfig(text []byte) (Config, error) {
-	raw := contents{Limits: defaultLimits}
+	raw := rawConfig{Limits: defaultLimits}
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Config{}, err
 	}
@@ -222,7 +221,7 @@
 	}
 	for i, class := range c.Settings.Policy.Classes {
 		if class.Deadline <= 0 {
-			return c, fmt.Errorf("settings: classes[%d]: hard_limit_ms has to be over 0", i)
+			return c, fmt.Errorf("settings: classes[%d]: hard_limit_ms must be greater than 0", i)
 		}
 	}
 	if len(raw.Known) > 0 && !bytes.Equal(raw.Known, []byte("null")) {
@@ -240,7 +239,7 @@
 	return c, nil
 }
 
-// parseSeed reads a seed; where there is none it draws one.
+// parseSeed parses a seed, or draws a random one if the text is empty.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return rand.Uint64(), nil
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -8,23 +8,23 @@
 	"spokegw/internal/fault"
 )
 
-// Clients and endpoints never take what the sidecar needs for itself, however few
-// descriptors there are, and have their whole parts where there are enough.
-func TestDescriptorsAreLeft(t *testing.T) {
+// Clients and endpoints never use up the descriptors that the sidecar needs for itself, however
+// few there are, and get their full fractions where there are enough.
+func TestDescriptorsReserved(t *testing.T) {
 	for n := minSockets; n <= 4096; n++ {
 		l := Limits{Sockets: n}
-		clients, endpoints := l.sockets(clientPart), l.sockets(upstreamPart)
+		clients, endpoints := l.sockets(clientFraction), l.sockets(upstreamFraction)
 		if clients < 1 || endpoints < 1 || clients+endpoints+ownSockets > int64(n) {
-			t.Fatalf("of %d descriptors clients have %d and endpoints %d", n, clients, endpoints)
+			t.Fatalf("of %d descriptors clients get %d and endpoints %d", n, clients, endpoints)
 		}
-		if n >= 256 && (clients != int64(clientPart*float64(n)) || endpoints != int64(upstreamPart*float64(n))) {
-			t.Fatalf("of %d descriptors clients have %d and endpoints %d", n, clients, endpoints)
+		if n >= 256 && (clients != int64(clientFraction*float64(n)) || endpoints != int64(upstreamFraction*float64(n))) {
+			t.Fatalf("of %d descriptors clients get %d and endpoints %d", n, clients, endpoints)
 		}
 	}
 }
 
-// Whatever a configuration holds, it is taken or refused with a place and a
-// reason for each fault, and never ends in a panic.
+// Any configuration is accepted or rejected with a position and a reason for each fault,
+// without a panic.
 func FuzzConfig(f *testing.F) {
 	const good = `{"listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":64,"sockets":64},"known":{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1"}]},"settings":{"fleet_size":1,"limits":{"send_cap":3},"classes":[{"name":"tile","effect":"read_like","aim_ms":100}]}}`
 	f.Add(good)
@@ -42,11 +42,11 @@
 		switch {
 		case err == nil:
 		case !errors.As(err, &faults):
-			t.Errorf("no fault was found, but %v", err)
+			t.Errorf("error %v without a fault", err)
 		default:
 			for _, f := range faults {
 				if f.File == "" || f.Text == "" || f.Line == 0 && f.Key == "" {
-					t.Errorf("%+v tells no place or no reason", f)
+					t.Errorf("%+v lacks a position or a reason", f)
 				}
 			}
 		}
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -19,22 +19,22 @@
 	"spokegw/internal/operator"
 )
 
-// ReloadResult is what came of reading the files again.
+// ReloadResult is the result of reading the files again.
 type ReloadResult struct {
 	Changes []operator.Change `json:"changes"`
-	Faults  []string          `json:"faults,omitempty"` // of a file that is not used; the other may be
+	Faults  []string          `json:"faults,omitempty"` // of a file that was rejected; the other one may be in force
 }
 
-// OnReload sets what reads the files again. It is to be set before Run.
+// OnReload sets the function that reads the files again. It must be called before Run.
 func (s *Sidecar) OnReload(reload func() ReloadResult) { s.reload = reload }
 
-// listenConsole opens the socket for operators' tools; nil where the file names none,
-// or it can't be opened: requests are served without.
+// listenConsole opens the socket for operators' tools. It returns nil if the file names none,
+// or if it can't be opened: requests are served without it.
 func (s *Sidecar) listenConsole() *console.Server {
-	if s.begun == nil || s.begun.Console == "" {
+	if s.initialFile == nil || s.initialFile.Console == "" {
 		return nil
 	}
-	server, err := console.Listen(s.begun.Console, s.calls())
+	server, err := console.Listen(s.initialFile.Console, s.calls())
 	if err != nil {
 		slog.Error("no console", "error", err)
 		return nil
@@ -42,8 +42,8 @@
 	return server
 }
 
-// serveConsole serves the socket for operators' tools until ctx ends. A process that
-// took over has the path; should it end, this one takes it again.
+// serveConsole serves the socket for operators' tools until ctx ends. A successor process takes
+// over the socket's path; if that process ends, this one opens the path again.
 func (s *Sidecar) serveConsole(ctx context.Context, server *console.Server) {
 	for {
 		serving, stop := context.WithCancel(ctx)
@@ -53,7 +53,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-s.retake:
+		case <-s.consoleReopen:
 		}
 		stop()
 		done.Wait()
@@ -64,24 +64,23 @@
 	}
 }
 
-// retakeConsole has the socket's path taken again.
-func (s *Sidecar) retakeConsole() {
+// reopenConsole requests that the socket is opened again.
+func (s *Sidecar) reopenConsole() {
 	select {
-	case s.retake <- struct{}{}:
-	default: // it is to be already
+	case s.consoleReopen <- struct{}{}:
+	default: // already requested
 	}
 }
 
 func (s *Sidecar) calls() map[string]console.Call {
 	return map[string]console.Call{
-		"members": s.tellMembers, "teams": s.tellTeams, "explain": s.tellExplain,
-		"trace": s.tellTrace, "reload": s.tellReload, "diff": s.tellDiff, "log": s.tellLog,
+		"members": s.handleMembers, "teams": s.handleTeams, "explain": s.handleExplain,
+		"trace": s.handleTrace, "reload": s.handleReload, "diff": s.handleDiff, "log": s.handleLog,
 	}
 }
 
-// arguments reads the arguments of a call. What is not known is a fault: it would be
-// meant for something.
-func arguments(raw json.RawMessage, into any) error {
+// decodeArgs decodes the arguments of a call.
+func decodeArgs(raw json.RawMessage, into any) error {
 	if len(raw) == 0 {
 		return nil
 	}
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// MemberRow is an endpoint as it is told.
+// MemberRow is an endpoint in an answer to the call members.
 type MemberRow struct {
 	ID       string  `json:"id"`
 	Service  string  `json:"service"`
@@ -106,8 +105,8 @@
 	Speed    float64 `json:"speed"`
 }
 
-func (s *Sidecar) tellMembers(_ context.Context, _ json.RawMessage, send func(any) error) (err error) {
-	s.each(func(name string, service *core.Service) {
+func (s *Sidecar) handleMembers(_ context.Context, _ json.RawMessage, send func(any) error) (err error) {
+	s.forEachService(func(name string, service *core.Service) {
 		for _, m := range service.MemberList() {
 			if err == nil {
 				err = send(MemberRow{m.ID, cmp.Or(name, "-"), m.Addr, m.Kind, m.State, m.AvoidedReason, m.InFlight, m.Share, m.Health, m.Warmth, m.Speed})
@@ -117,17 +116,17 @@
 	return err
 }
 
-// TeamRow is how a team stands with a service.
+// TeamRow is a team's usage of a service.
 type TeamRow struct {
 	core.TeamStanding
-	Tight bool `json:"tight"` // there is too little for all
+	Tight bool `json:"tight"` // the capacity does not suffice for all teams
 }
 
-func (s *Sidecar) tellTeams(_ context.Context, _ json.RawMessage, send func(any) error) (err error) {
-	if s.begun == nil {
+func (s *Sidecar) handleTeams(_ context.Context, _ json.RawMessage, send func(any) error) (err error) {
+	if s.initialFile == nil {
 		return errors.New("there are no contracts: the sidecar has no operator's file")
 	}
-	s.each(func(_ string, service *core.Service) {
+	s.forEachService(func(_ string, service *core.Service) {
 		rows, tight := service.Teams()
 		slices.SortFunc(rows, func(a, b core.TeamStanding) int { return cmp.Compare(a.Team, b.Team) })
 		for _, row := range rows {
@@ -139,17 +138,17 @@
 	return err
 }
 
-// ExplainRequest is a request that is asked about.
+// ExplainRequest is a request to be explained.
 type ExplainRequest struct {
 	Method string            `json:"method"`
 	Target string            `json:"target"` // path and query
 	Header map[string]string `json:"header"`
-	Length int64             `json:"length"` // of its body; -1: not told
+	Length int64             `json:"length"` // of its body; -1: unknown
 }
 
-func (s *Sidecar) tellExplain(_ context.Context, raw json.RawMessage, send func(any) error) error {
+func (s *Sidecar) handleExplain(_ context.Context, raw json.RawMessage, send func(any) error) error {
 	var a ExplainRequest
-	if err := arguments(raw, &a); err != nil {
+	if err := decodeArgs(raw, &a); err != nil {
 		return err
 	}
 	h := http.Header{}
@@ -165,24 +164,24 @@
 	return send(s.core.Explain(&core.Head{Method: a.Method, Target: a.Target, Host: "explain", Header: h, Length: a.Length}))
 }
 
-// TraceRequest is what is to be traced.
+// TraceRequest selects the requests to trace.
 type TraceRequest struct {
 	core.Filter
-	Count int           `json:"count"` // traces until the call ends; 0: until its caller leaves
+	Count int           `json:"count"` // traces until the call ends; 0: until its caller disconnects
 	For   time.Duration `json:"for_ns"`
 }
 
-// longestTrace ends a trace that somebody has left open.
-const longestTrace = 10 * time.Minute
+// maxTraceDuration ends a trace that its caller left open.
+const maxTraceDuration = 10 * time.Minute
 
 // DroppedTraces ends a trace whose caller did not read fast enough.
 type DroppedTraces struct {
 	Missed int64 `json:"missed"`
 }
 
-func (s *Sidecar) tellTrace(ctx context.Context, raw json.RawMessage, send func(any) error) error {
+func (s *Sidecar) handleTrace(ctx context.Context, raw json.RawMessage, send func(any) error) error {
 	var a TraceRequest
-	if err := arguments(raw, &a); err != nil {
+	if err := decodeArgs(raw, &a); err != nil {
 		return err
 	}
 	tap, stop, err := s.core.Tap(a.Filter)
@@ -190,8 +189,8 @@
 		return err
 	}
 	defer stop()
-	if a.For <= 0 || a.For > longestTrace {
-		a.For = longestTrace
+	if a.For <= 0 || a.For > maxTraceDuration {
+		a.For = maxTraceDuration
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.For)
 	defer cancel()
@@ -212,18 +211,18 @@
 	return nil
 }
 
-func (s *Sidecar) tellReload(ctx context.Context, _ json.RawMessage, send func(any) error) error {
+func (s *Sidecar) handleReload(ctx context.Context, _ json.RawMessage, send func(any) error) error {
 	if s.reload == nil {
-		return errors.New("the files of this sidecar can't be read again")
+		return errors.New("this sidecar does not support reloading its files")
 	}
 	slog.Info("an operator asked", "call", "reload", "from", console.Caller(ctx))
 	return send(s.reload())
 }
 
-// tellDiff tells what a file would change, and every fault of it.
-func (s *Sidecar) tellDiff(_ context.Context, raw json.RawMessage, send func(any) error) error {
+// handleDiff reports what a file would change, or all its faults.
+func (s *Sidecar) handleDiff(_ context.Context, raw json.RawMessage, send func(any) error) error {
 	var a struct{ Name, Text string }
-	if err := arguments(raw, &a); err != nil {
+	if err := decodeArgs(raw, &a); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -239,7 +238,7 @@
 	return send(ReloadResult{Changes: operator.Diff(old, f)})
 }
 
-// faultTexts are the faults of an error, one by one.
+// faultTexts returns the text of each fault in an error.
 func faultTexts(err error) (all []string) {
 	var faults fault.Faults
 	if !errors.As(err, &faults) {
@@ -251,14 +250,14 @@
 	return all
 }
 
-// SetLog has the levels of a log told and set over the socket. It is to be called
-// before Run.
+// SetLog lets the levels of a log be read and set over the socket. It must be called before
+// Run.
 func (s *Sidecar) SetLog(l *logging.Log) { s.log = l }
 
-// tellLog sets a level, if one is told, and tells those that there are.
-func (s *Sidecar) tellLog(ctx context.Context, raw json.RawMessage, send func(any) error) error {
+// handleLog sets a level, if one is given, and reports the levels in force.
+func (s *Sidecar) handleLog(ctx context.Context, raw json.RawMessage, send func(any) error) error {
 	var a logging.Level
-	if err := arguments(raw, &a); err != nil {
+	if err := decodeArgs(raw, &a); err != nil {
 		return err
 	}
 	if s.log == nil {
@@ -270,17 +269,17 @@
 		}
 		slog.Info("an operator asked", "call", "log", "part", a.Part, "level", a.Level, "for", a.For, "from", console.Caller(ctx))
 	}
-	for _, one := range s.log.Levels() {
-		if err := send(one); err != nil {
+	for _, level := range s.log.Levels() {
+		if err := send(level); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ReloadFiles takes over both files again, the configuration and, where there is one,
-// the operator's. A file that can't be used changes nothing, and the other is taken
-// over all the same. It may be called by several goroutines.
+// ReloadFiles reloads the configuration and, if there is one, the operator's file. An invalid
+// file changes nothing and does not prevent the other from being loaded. It is safe for
+// concurrent use.
 func (s *Sidecar) ReloadFiles(config func() (Config, error), file func() (*operator.File, error)) (r ReloadResult) {
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -37,10 +37,10 @@
 service = "maps"
 `
 
-// asked makes a call on the socket and returns the records of its answer.
-func asked[T any](t *testing.T, socket, call string, args any) (all []T) {
+// callConsole makes a call on the socket and returns the records of its answer.
+func callConsole[T any](t *testing.T, socket, call string, args any) (all []T) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	err := console.Ask(ctx, socket, call, args, func(raw json.RawMessage) error {
 		var v T
@@ -54,7 +54,7 @@
 	return all
 }
 
-// consoleScene is a scene with a socket for operators' tools.
+// consoleScene starts a scene with a console socket.
 func consoleScene(t *testing.T, answer func(http.ResponseWriter, *http.Request) bool) (s *scene.Scene, socket, file string) {
 	t.Helper()
 	socket = filepath.Join(t.TempDir(), "console.sock")
@@ -63,7 +63,7 @@
 	return s, socket, file
 }
 
-// Explained is what happens, and nothing is charged for it.
+// An explanation matches the answer that the request gets, and charges nothing to the team.
 func TestExplain(t *testing.T) {
 	s, socket, _ := consoleScene(t, nil)
 	explain := func(method, target, team, key string) core.Explanation {
@@ -72,16 +72,16 @@
 		if key != "" {
 			a.Header["Idempotency-Key"] = key
 		}
-		all := asked[core.Explanation](t, socket, "explain", a)
+		all := callConsole[core.Explanation](t, socket, "explain", a)
 		if len(all) != 1 {
-			t.Fatalf("%d explanations", len(all))
+			t.Fatalf("%d explanations, want 1", len(all))
 		}
 		return all[0]
 	}
 	if e := explain("GET", "/map-tile/1", "a", ""); len(e.Candidates) != 8 || e.Candidates[0].Avoid != "" {
-		t.Errorf("before the first request: %+v", e) // nothing has a part yet
+		t.Errorf("before the first request: %+v", e) // no endpoint has a share yet
 	}
-	for range 10 { // more than the burst, if it were charged
+	for range 10 { // more than the burst, if they were charged
 		if e := explain("GET", "/map-tile/1", "a", ""); e.Status != 0 || e.Class != "map-tile" || e.Contract != "admitted" || len(e.Candidates) != 8 {
 			t.Fatalf("%+v", e)
 		}
@@ -111,16 +111,16 @@
 	if e.Status != 0 || e.Key != "it is new" || e.Candidates[3].Not != "disabled" || e.Candidates[2].Not != "" {
 		t.Errorf("%+v", e)
 	}
-	teams := asked[sidecar.TeamRow](t, socket, "teams", nil)
+	teams := callConsole[sidecar.TeamRow](t, socket, "teams", nil)
 	if len(teams) != 2 || teams[0].Team != "a" || teams[0].Calls[0].Class != "map-tile" || teams[0].Calls[0].Requests < time.Minute {
 		t.Errorf("%+v", teams)
 	}
-	if members := asked[sidecar.MemberRow](t, socket, "members", nil); len(members) != 8 || members[3].Avoided != "disabled" {
+	if members := callConsole[sidecar.MemberRow](t, socket, "members", nil); len(members) != 8 || members[3].Avoided != "disabled" {
 		t.Errorf("%+v", members)
 	}
 }
 
-// Who looks on and does not read holds up nobody, however much there is to be told.
+// A caller that does not read its trace delays no request, however much there is to send.
 func TestTraceUnread(t *testing.T) {
 	s, socket, _ := consoleScene(t, nil)
 	c, err := net.Dial("unix", socket)
@@ -143,26 +143,26 @@
 	clients.Wait()
 }
 
-// A trace has every decision on the requests that fit, and no others.
+// A trace contains every decision on the requests that match its filter, and no other requests.
 func TestTrace(t *testing.T) {
 	s, socket, _ := consoleScene(t, func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusInternalServerError)
 		return true
 	})
-	for i := range 4 { // all that is not in error
+	for i := range 4 { // all endpoints that do not fail
 		must(t, s, fmt.Sprint("disable-server maps-", i))
 	}
 	traces := make(chan []core.Trace)
 	go func() {
-		traces <- asked[core.Trace](t, socket, "trace", sidecar.TraceRequest{Filter: core.Filter{Team: "b", Status: 500}, Count: 1, For: patience})
+		traces <- callConsole[core.Trace](t, socket, "trace", sidecar.TraceRequest{Filter: core.Filter{Team: "b", Status: 500}, Count: 1, For: testTimeout})
 	}()
-	for until := time.Now().Add(patience); ; {
-		ask(t, s, tile("a")) // does not fit
+	for deadline := time.Now().Add(testTimeout); ; {
+		ask(t, s, tile("a")) // does not match
 		ask(t, s, tile("b"))
 		select {
 		case all := <-traces:
 			if len(all) != 1 {
-				t.Fatalf("%d traces", len(all))
+				t.Fatalf("%d traces, want 1", len(all))
 			}
 			text := fmt.Sprintf("%+v", all[0].Steps)
 			if all[0].Team != "b" || all[0].Status < 500 || all[0].Class != "map-tile" {
@@ -176,18 +176,18 @@
 			return
 		default:
 		}
-		if time.Now().After(until) {
-			t.Fatal("no trace")
+		if time.Now().After(deadline) {
+			t.Fatal("no trace before the timeout")
 		}
 	}
 }
 
-// What a file would change is what its reload changes, and a bad file changes nothing.
+// A diff reports the changes that a reload of the file makes; an invalid file changes nothing.
 func TestDiffAndReload(t *testing.T) {
 	s, socket, file := consoleScene(t, nil)
 	next := strings.Replace(file, "rate = 0.001", "rate = 5.0", 1) + "\n[[team]]\nname = \"c\"\nshare = 0.0\n[[team.allow]]\nservice = \"maps\"\n"
 	diff := func(text string) sidecar.ReloadResult {
-		return asked[sidecar.ReloadResult](t, socket, "diff", map[string]string{"Name": "next.toml", "Text": text})[0]
+		return callConsole[sidecar.ReloadResult](t, socket, "diff", map[string]string{"Name": "next.toml", "Text": text})[0]
 	}
 	d := diff(next)
 	if text := fmt.Sprint(d.Changes); len(d.Changes) != 2 || !strings.Contains(text, `team "a", allow 0, rate: 5, was 0.001`) || !strings.Contains(text, `+ team "c"`) {
@@ -197,7 +197,7 @@
 		t.Errorf("the same file: %+v", d)
 	}
 	if d := diff(strings.Replace(next, "share = 0.5", "share = 5", 1)); len(d.Changes) > 0 || !strings.Contains(fmt.Sprint(d.Faults), "next.toml:6: team[0].share") {
-		t.Errorf("a bad file: %+v", d)
+		t.Errorf("an invalid file: %+v", d)
 	}
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/contracts_test.go
+++ b/internal/sidecar/contracts_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds waits for what should come at once.
-const patience = 20 * time.Second
+// testTimeout bounds waits for events that are due at once.
+const testTimeout = 20 * time.Second
 
 func start(t *testing.T, c scene.Config) *scene.Scene {
 	t.Helper()
@@ -56,7 +56,7 @@
 	return e
 }
 
-// answer is what a client sees.
+// answer is an answer as the client receives it.
 type answer struct {
 	status int
 	after  float64 // Retry-After, s; 0: none
@@ -66,7 +66,7 @@
 
 func ask(t *testing.T, s *scene.Scene, l *lab.Load) answer {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if l.Give == 0 {
 		l.Give = 7 * time.Second
@@ -95,7 +95,7 @@
 
 const maps = "[[service]]\nname = 'maps'\n"
 
-// weather is the part of a file about a second service.
+// weather returns the section of a second service.
 func weather(path string, endpoints ...*lab.Endpoint) string {
 	var addrs []string
 	for _, e := range endpoints {
@@ -113,9 +113,9 @@
 	return text
 }
 
-// A call that no contract has is 403, one of an unknown path 404, one over its
-// rate 429 with the time to come back, all at once and never sent on; the
-// connection is kept, also under a body. What is allowed is served.
+// A call without a contract is answered 403, one of an unknown path 404, one over its rate
+// limit 429 with Retry-After; all are answered at once and never sent to an endpoint, and the
+// connection stays open, also after a request with a body. Admitted calls are served.
 func TestVerdicts(t *testing.T) {
 	var seen atomic.Int32
 	s := start(t, scene.Config{
@@ -140,7 +140,7 @@
 	} {
 		a := ask(t, s, c.load)
 		if a.status != c.status || seen.Load() != c.sent {
-			t.Errorf("%d: status %d (%s), %d sent on; want %d, %d", i, a.status, a.body, seen.Load(), c.status, c.sent)
+			t.Errorf("%d: status %d (%s), %d sent to the endpoint; want %d, %d", i, a.status, a.body, seen.Load(), c.status, c.sent)
 		}
 		if (a.status == 429) != (a.after > 0) || a.after > 10 {
 			t.Errorf("%d: status %d with Retry-After %v", i, a.status, a.after)
@@ -151,9 +151,9 @@
 	}
 }
 
-// Those without a contract are one, whatever they call themselves, and are
-// bounded together; none of their names is taken for a team's.
-func TestStrangers(t *testing.T) {
+// All teams without a contract, whatever their names, share one limit, and none of their names
+// is mistaken for that of a team with a contract.
+func TestUncontractedTeams(t *testing.T) {
 	s := start(t, scene.Config{Operator: maps + contract("kiosks", 0.9, "service = 'maps'") +
 		"[no-contract]\naction = 'share'\nshare = 0.02\nrate = 0.01\nburst = 4\n"})
 	status := map[int]int{}
@@ -170,7 +170,7 @@
 		status[ask(t, s, l).status]++
 	}
 	if status[200] != 4 || status[429] != 16 {
-		t.Errorf("strangers are answered %v, want 4 of 200 and 16 of 429", status)
+		t.Errorf("teams without a contract are answered %v, want 4 of 200 and 16 of 429", status)
 	}
 	for _, bad := range []http.Header{{"Req-Owner": {strings.Repeat("x", 300)}}, {"Req-Owner": {"kiosks", "nobody"}}, {"Req-Owner": {"nobody", "kiosks"}}} {
 		l := tile("kiosks")
@@ -180,16 +180,16 @@
 		}
 	}
 	if a := ask(t, s, tile("kiosks")); a.status != 200 {
-		t.Errorf("the team is answered %d", a.status)
+		t.Errorf("the team with a contract is answered %d", a.status)
 	}
 }
 
-// A team whose requests fail spends its own retries and no other team's: theirs
-// are repeated as before.
-func TestRetriesOfAnother(t *testing.T) {
+// A team whose requests fail uses up its own retry budget only: other teams' requests are
+// retried as before.
+func TestRetryBudgetPerTeam(t *testing.T) {
 	var mu sync.Mutex
 	attempts := map[string]int{}
-	fails := func(w http.ResponseWriter, r *http.Request) bool { // every attempt of guests, the first of each request of kiosks
+	answer := func(w http.ResponseWriter, r *http.Request) bool { // fail every attempt of guests, and the first of each request of kiosks
 		mu.Lock()
 		defer mu.Unlock()
 		attempts[r.Header.Get("Req-Id")]++
@@ -202,30 +202,31 @@
 	}
 	c := scene.Config{Operator: maps + contract("kiosks", 0.5, "service = 'maps'") + contract("guests", 0.5, "service = 'maps'")}
 	for range 3 {
-		c.Maps = append(c.Maps, lab.EndpointConfig{Workers: 8, Body: 10, Answer: fails})
+		c.Maps = append(c.Maps, lab.EndpointConfig{Workers: 8, Body: 10, Answer: answer})
 	}
 	s := start(t, c)
-	const asked = 50
-	for range asked {
+	const requests = 50
+	for range requests {
 		if a := ask(t, s, tile("guests")); a.status == 200 {
-			t.Fatal("a request that fails everywhere is served")
+			t.Fatal("a request that fails at every endpoint is served")
 		}
 	}
 	mu.Lock()
-	if n := attempts["guests"]; n < asked+5 || n > asked+5+asked/5 {
-		t.Errorf("%d requests made %d attempts, 5 saved up and one for 5 requests are allowed", asked, n)
+	if n := attempts["guests"]; n < requests+5 || n > requests+5+requests/5 {
+		t.Errorf("%d requests made %d attempts, at most 5 saved retries and one per 5 requests are allowed", requests, n)
 	}
 	mu.Unlock()
 	for i := range 5 {
 		if a := ask(t, s, tile("kiosks")); a.status != 200 {
-			t.Errorf("request %d of a team that has its retries is answered %d", i, a.status)
+			t.Errorf("request %d of a team with retries left is answered %d", i, a.status)
 		}
 	}
 }
 
-// A service whose endpoints accept and never answer takes up its own reserve
-// and what is lent; the one beside it has its descriptors, places and times.
-func TestHungServiceBesideOne(t *testing.T) {
+// A service whose endpoints accept connections and never answer uses at most its own reserve
+// and what may be lent to it; the service beside it keeps its descriptors, request slots and
+// latency.
+func TestHungServiceIsolated(t *testing.T) {
 	hung := endpoint(t, lab.EndpointConfig{Workers: 1})
 	hung.Silence()
 	s := start(t, scene.Config{Sockets: 256, Operator: maps + weather("/forecast", hung) +
@@ -239,9 +240,9 @@
 			status <- ask(t, s, &lab.Load{Team: "kiosks", Path: "/forecast/today", Kind: "forecast", Give: 2 * time.Second}).status
 		}()
 	}
-	for range 130 - 105 { // 140 places, of which it has a quarter and half are lent
+	for range 130 - 105 { // of 140 slots, it has a quarter reserved and may borrow half
 		if got := <-status; got != http.StatusServiceUnavailable {
-			t.Errorf("beyond its places the hung service's clients are answered %d", got)
+			t.Errorf("beyond its request slots the hung service's clients are answered %d", got)
 		}
 	}
 	for range 200 {
@@ -249,34 +250,34 @@
 			t.Fatalf("beside the hung service a client is answered %d %s", a.status, a.body)
 		}
 	}
-	var well sync.WaitGroup
+	var concurrent sync.WaitGroup
 	for range 20 {
-		well.Add(1)
+		concurrent.Add(1)
 		go func() {
-			defer well.Done()
+			defer concurrent.Done()
 			if a := ask(t, s, tile("kiosks")); a.status != 200 {
-				t.Errorf("of 20 at once one is answered %d %s", a.status, a.body)
+				t.Errorf("one of 20 concurrent requests is answered %d %s", a.status, a.body)
 			}
 		}()
 	}
-	well.Wait()
+	concurrent.Wait()
 	clients.Wait()
 	close(status)
 	for got := range status {
-		if got != http.StatusGatewayTimeout && got != http.StatusServiceUnavailable { // of its attempt, or for want of a connection
+		if got != http.StatusGatewayTimeout && got != http.StatusServiceUnavailable { // timed out, or found no free connection
 			t.Errorf("the hung service's client is answered %d", got)
 		}
 	}
-	if n := hung.MostOpen(); n > 71 { // 94 descriptors, of which a quarter and half
+	if n := hung.MostOpen(); n > 71 { // of 94 descriptors, it has a quarter reserved and may borrow half
 		t.Errorf("the hung service holds %d connections", n)
 	}
 }
 
-// Reloads under load: shares halved, a team gone that has requests open, a
-// service added and gone, a path moved from one to another. No request is lost,
-// each is served by one of the services that had the path, and what is open ends
-// under what it was taken by. Nothing is left of those that have gone.
-func TestReloads(t *testing.T) {
+// Reloads under load: shares are halved, a team with open requests is removed, a service is
+// added and removed, a path is moved to another service. No request is lost, each is served by
+// a service that had the path, and open requests end under the rules that accepted them.
+// Nothing of removed services remains.
+func TestReloadsUnderLoad(t *testing.T) {
 	const body = 20
 	first := endpoint(t, lab.EndpointConfig{Workers: 64, Body: body, Work: 5 * time.Millisecond})
 	second := endpoint(t, lab.EndpointConfig{Workers: 64, Body: body, Work: 5 * time.Millisecond})
@@ -291,7 +292,7 @@
 			text += weather("/forecast", first)
 		case 1:
 			text += weather("/forecast", second) + contract("guests", 0.1, "service = 'maps'")
-		case 2: // another class table: another instance
+		case 2: // another class table needs another instance
 			text += strings.Replace(weather("/forecast", second), "'4s'", "'3s'", 1) + contract("guests", 0.1, "service = 'weather'")
 		case 3: // the path moves to a service of another name
 			text += strings.Replace(weather("/forecast", first), "'weather'", "'alps'", 1)
@@ -339,17 +340,17 @@
 		if err := s.Reload(file(i)); err != nil {
 			t.Fatal(err)
 		}
-		if i%8 == 0 { // let some traffic through
+		if i%8 == 0 { // let some requests be served
 			for range 20 {
 				select {
 				case <-progress:
-				case <-time.After(patience):
-					t.Fatal("nothing is answered")
+				case <-time.After(testTimeout):
+					t.Fatal("no request is answered")
 				}
 			}
 		}
 		if err := s.Reload(file(i) + "[no-contract]\nactoin = 'share'\n"); err == nil {
-			t.Fatal("a bad file was taken over")
+			t.Fatal("an invalid file was accepted")
 		}
 	}
 	close(stop)
@@ -359,39 +360,39 @@
 	}
 	t.Logf("%d served, %d refused", served.Load(), refused.Load())
 	if n := s.Sidecar.RetiredServices(); n > 0 {
-		t.Errorf("%d services that have gone are still there", n)
+		t.Errorf("%d removed services still have open connections", n)
 	}
 }
 
-// A file that the limits have no room for is refused, and so is one that a
-// running sidecar can't take over; what runs goes on.
-func TestFileThatDoesNotFit(t *testing.T) {
+// A file that exceeds the limits, or that a running sidecar can't apply, is rejected; the
+// sidecar keeps serving.
+func TestReloadRejected(t *testing.T) {
 	s := start(t, scene.Config{Sockets: 64, Operator: maps + contract("kiosks", 0.5, "service = 'maps'")})
 	var many string
 	for i := range 8 {
 		many += fmt.Sprintf("[[service]]\nname = 's%d'\nendpoints = ['127.0.0.1:1']\n[[service.class]]\nname = 'c%d'\neffect = 'safe'\naim = '1s'\ndeadline = '1s'\n", i, i)
 	}
 	for text, want := range map[string]string{
-		maps + many: "descriptors that there are for endpoints",
+		maps + many: "descriptors for endpoints",
 		maps + contract("kiosks", 0.5, "service = 'maps'\nclasses = ['order']"): "no class",
 	} {
 		if err := s.Reload(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("the error is %v, want one of %q", err, want)
+			t.Errorf("the error is %v, want one containing %q", err, want)
 		}
 	}
 	if a := ask(t, s, tile("kiosks")); a.status != 200 {
-		t.Errorf("after files that were refused a request is answered %d", a.status)
+		t.Errorf("after rejected files a request is answered %d", a.status)
 	}
 	without := start(t, scene.Config{})
 	if without.Reload(maps) == nil {
-		t.Error("a file was put in while the sidecar runs")
+		t.Error("an operator's file was added while the sidecar runs")
 	}
 	if a := ask(t, without, tile("anyone")); a.status != 200 {
 		t.Errorf("without a file a request is answered %d", a.status)
 	}
 }
 
-// A service with a registry follows it, through a reload too.
+// A service with a registry follows its list, also across a reload.
 func TestServiceWithRegistry(t *testing.T) {
 	first, second := endpoint(t, lab.EndpointConfig{Workers: 4, Body: 1}), endpoint(t, lab.EndpointConfig{Workers: 4, Body: 2})
 	asked := make(chan struct{}, 100)
@@ -405,9 +406,9 @@
 		contract("kiosks", 0.5, "service = 'weather'")
 	s := start(t, scene.Config{Operator: file})
 	forecast := &lab.Load{Team: "kiosks", Path: "/forecast", Kind: "forecast"}
-	until := func(body int) {
+	awaitBody := func(body int) {
 		t.Helper()
-		for range 50 { // the list has been asked for, and is told a moment later
+		for range 50 { // the list has been requested and arrives a moment later
 			if a := ask(t, s, forecast); a.status == 200 && len(a.body) == body {
 				return
 			}
@@ -418,7 +419,7 @@
 		}
 		t.Fatalf("no answer of %d bytes", body)
 	}
-	until(1)
+	awaitBody(1)
 	if err := s.Reload(file + "[no-contract]\naction = 'share'\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -426,10 +427,10 @@
 	other := scene.Entries(second)[0]
 	other.ID = "other"
 	registry.Set(append(entries, other))
-	until(2)
+	awaitBody(2)
 }
 
-// Endpoints in the file are others after a reload: nothing goes to the old ones.
+// After a reload that replaces the endpoints listed in the file, the old ones get no requests.
 func TestEndpointsReplaced(t *testing.T) {
 	first, second := endpoint(t, lab.EndpointConfig{Workers: 4, Body: 1}), endpoint(t, lab.EndpointConfig{Workers: 4, Body: 2})
 	kiosks := contract("kiosks", 0.5, "service = 'weather'")
@@ -441,15 +442,15 @@
 		}
 		for range 10 {
 			if a := ask(t, s, forecast); a.status != 200 || len(a.body) != body {
-				t.Fatalf("status %d, %d bytes, want those of endpoint %d", a.status, len(a.body), body)
+				t.Fatalf("status %d, %d bytes, want the answer of endpoint %d", a.status, len(a.body), body)
 			}
 		}
 	}
 }
 
-// A request that is open while its team's contract, and then its service, go
-// ends as it would have.
-func TestOpenAcrossReload(t *testing.T) {
+// An open request ends normally when a reload removes its team's contract and another removes
+// its service.
+func TestOpenRequestAcrossReload(t *testing.T) {
 	arrived := make(chan string, 10)
 	e := endpoint(t, lab.EndpointConfig{Workers: 8, Body: 7, Seen: func(r *http.Request) { arrived <- r.URL.Path }})
 	e.Silence()
@@ -468,7 +469,7 @@
 		t.Fatal(err)
 	}
 	if a := ask(t, s, &lab.Load{Team: "guests", Path: "/forecast/today", Kind: "forecast"}); a.status != 404 {
-		t.Errorf("a path of a service that has gone is answered %d", a.status)
+		t.Errorf("a path of a removed service is answered %d", a.status)
 	}
 	e.Speak()
 	select {
@@ -476,14 +477,13 @@
 		if a.status != 200 || len(a.body) != 7 {
 			t.Errorf("the open request is answered %d %q", a.status, a.body)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the open request has no answer")
 	}
 }
 
-// 200 reloads that put up and take down services, teams and paths leave nothing
-// behind: what is in memory after them is what was there before, to less than a
-// KiB for each.
+// 200 reloads that add and remove services, teams and paths leak no memory: the heap grows by
+// less than 1 KiB per reload.
 func TestReloadsDoNotGrow(t *testing.T) {
 	e := endpoint(t, lab.EndpointConfig{Workers: 8, Body: 20})
 	s := start(t, scene.Config{Operator: maps})
@@ -508,16 +508,16 @@
 	before := heapAtRest()
 	reload(200)
 	if n := s.Sidecar.RetiredServices(); n > 0 {
-		t.Errorf("%d services that have gone are still there", n)
+		t.Errorf("%d removed services still have open connections", n)
 	}
 	after := heapAtRest()
 	t.Logf("%d bytes before, %d after", before, after)
 	if grown := int64(after) - int64(before); grown > 200<<10 {
-		t.Errorf("200 reloads have left %d bytes", grown)
+		t.Errorf("200 reloads leaked %d bytes", grown)
 	}
 }
 
-// heapAtRest is what the heap holds once collecting it finds nothing more.
+// heapAtRest returns the heap's size once further collections no longer reduce it.
 func heapAtRest() uint64 {
 	var m runtime.MemStats
 	least := uint64(math.MaxUint64)
@@ -533,10 +533,9 @@
 	return least
 }
 
-// A service is added while another holds every descriptor, on requests that are
-// under way: the new one has its reserve as they end, and no more is open
-// meanwhile than there may be.
-func TestServiceAddedInCrowd(t *testing.T) {
+// A service is added while the open requests of another hold every descriptor: the new one gets
+// its reserve as they end, and the limit of descriptors is never exceeded.
+func TestServiceAddedAtDescriptorLimit(t *testing.T) {
 	const descriptors = 17 // of 64, with 20 for the sidecar itself and 26 for clients
 	arrived := make(chan struct{}, 100)
 	seen := func(*http.Request) { arrived <- struct{}{} }
@@ -550,8 +549,8 @@
 	for range descriptors {
 		select {
 		case <-arrived:
-		case <-time.After(patience):
-			t.Fatal("the crowd does not arrive")
+		case <-time.After(testTimeout):
+			t.Fatal("the requests that hold the descriptors do not arrive")
 		}
 	}
 	e := endpoint(t, lab.EndpointConfig{Workers: 8, Body: 20})
@@ -562,15 +561,15 @@
 		return ask(t, s, &lab.Load{Team: "kiosks", Path: "/forecast/today", Kind: "forecast", Give: give}).status
 	}
 	if status := forecast(time.Second); status == 200 || e.MostOpen() > 0 {
-		t.Errorf("with %d descriptors in use, all there are, another is opened: status %d", descriptors, status)
+		t.Errorf("with all %d descriptors in use another one is opened: status %d", descriptors, status)
 	}
 	s.Maps[0].Speak()
 	if status := forecast(7 * time.Second); status != 200 {
-		t.Errorf("with the crowd answered, the new service's client is answered %d", status)
+		t.Errorf("once descriptors are released, the new service's client is answered %d", status)
 	}
 	for range 22 {
-		if status := <-answers; status != 200 && status != 503 { // for want of a descriptor
-			t.Errorf("of the crowd one is answered %d", status)
+		if status := <-answers; status != 200 && status != 503 { // for lack of a descriptor
+			t.Errorf("one of the requests that held the descriptors is answered %d", status)
 		}
 	}
 }
--- a/internal/sidecar/export_test.go
+++ b/internal/sidecar/export_test.go
@@ -8,15 +8,15 @@
 
 // KeysKnown counts the keyed requests that the services remember.
 func (s *Sidecar) KeysKnown() (n int) {
-	for _, r := range s.running() {
+	for _, r := range s.currentServices() {
 		n += len(r.service.Snapshot(1 << 20).Keys)
 	}
 	return n
 }
 
-// KeyAge is how long ago a keyed request was sent, of the one that the services remember.
+// KeyAge returns the age of the keyed request that the services remember; -1 if there is none.
 func (s *Sidecar) KeyAge() time.Duration {
-	for _, r := range s.running() {
+	for _, r := range s.currentServices() {
 		for _, n := range r.service.Snapshot(1).Keys {
 			return n.Age
 		}
@@ -24,24 +24,27 @@
 	return -1
 }
 
-// Places counts the places for classes that the platform's service has.
-func (s *Sidecar) Places() int { return len(s.running()[0].service.ClassNames()) }
+// ClassSlots counts the slots for classes of the platform's service.
+func (s *Sidecar) ClassSlots() int { return len(s.currentServices()[0].service.ClassNames()) }
 
-// Brake is a brake of a sidecar's that nobody looks after.
-type Brake struct{ *brake }
+// Shedder is a sidecar's shedder whose delays the test supplies.
+type Shedder struct{ *shedder }
 
-func (s *Sidecar) NewBrake(set overload.Settings) Brake { return Brake{newBrake(&set, s.core)} }
-func (s *Sidecar) NewLook() Brake                       { return Brake{newBrake(nil, s.core)} }
-func (b Brake) Refuses() bool                           { return b.door() != nil }
-func (b Brake) Tell(waited time.Duration)               { b.tell(waited) }
-func (b Brake) Delay() time.Duration                    { return b.delay() }
-
-// HoldBack has the sidecar handle nothing that its predecessor tells from now on, until it goes on.
-func (s *Sidecar) HoldBack(predecessor *Sidecar) (goOn func()) {
-	s.upgrade.resize.Lock()
-	predecessor.upgrade.offerer.SendShare(predecessor.upgrade.part())
-	return s.upgrade.resize.Unlock
+func (s *Sidecar) NewShedder(settings overload.Settings) Shedder {
+	return Shedder{newShedder(&settings, s.core)}
+}
+func (s *Sidecar) NewSampler() Shedder       { return Shedder{newShedder(nil, s.core)} }
+func (s Shedder) HasAdmission() bool         { return s.admission() != nil }
+func (s Shedder) Record(delay time.Duration) { s.record(delay) }
+func (s Shedder) Delay() time.Duration       { return s.delay() }
+
+// PauseMessages blocks the sidecar's handling of its predecessor's messages until resume is
+// called.
+func (s *Sidecar) PauseMessages(predecessor *Sidecar) (resume func()) {
+	s.upgrade.resizing.Lock()
+	predecessor.upgrade.offerer.SendShare(predecessor.upgrade.share())
+	return s.upgrade.resizing.Unlock
 }
 
-// Die ends the connection to the predecessor as the end of the process would.
-func (s *Sidecar) Die() { s.upgrade.predecessor.Close() }
+// Disconnect closes the connection to the predecessor, as the end of the process would.
+func (s *Sidecar) Disconnect() { s.upgrade.predecessor.Close() }
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -20,50 +20,52 @@
 	"spokegw/internal/operator"
 )
 
-// shared are this process's place in a fleet, and what draws on its quotas.
-type shared struct {
-	fleet    atomic.Pointer[fleet.Fleet] // nil: it does not take part
+// fleetMember is this process's membership in a fleet and the accounts that draw on its quotas.
+type fleetMember struct {
+	fleet    atomic.Pointer[fleet.Fleet] // nil: it is not a member at present
 	config   fleet.Config
 	accounts []*account
 	pool     pool
-	yields   chan struct{} // another process takes the place, and may have taken it
+	yield    chan struct{} // another process takes over the membership, or may have done so
 }
 
-// fleetRetry is how often a process that takes over looks whether the address is free.
+// fleetRetry is the interval at which a successor process tries to bind the fleet's address.
 const fleetRetry = 50 * time.Millisecond
 
-// account is a call of a team's that draws on a quota. It is a fleet.Account.
+// account is a set of a team's limits that draws on a fleet's quota. It implements
+// fleet.Account.
 type account struct {
 	quota   operator.Quota
-	service atomic.Pointer[core.Service] // a reload may bring another
+	service atomic.Pointer[core.Service] // a reload may replace it
 }
 
-// class is the position of the call's class; -1: settings in force have none of its name.
-func (a *account) class(s *core.Service) int {
+// classIndex returns the index of the account's class, or -1 if the settings in force lack it.
+func (a *account) classIndex(s *core.Service) int {
 	if a.quota.Class == "" {
 		return 0
 	}
 	return slices.Index(s.ClassNames(), a.quota.Class)
 }
 
-// Requested is what was asked for so far.
+// Requested returns the total demand so far.
 func (a *account) Requested() (requests, work float64) {
 	s := a.service.Load()
-	return s.TeamDemand(a.quota.Team, a.class(s))
+	return s.TeamDemand(a.quota.Team, a.classIndex(s))
 }
 
 // SetLimit puts a limit in force.
-func (a *account) SetLimit(l quota.Limit, left func() time.Duration) {
+func (a *account) SetLimit(l quota.Limit, remaining func() time.Duration) {
 	s := a.service.Load()
-	s.SetQuotaGrant(a.quota.Team, a.class(s), l.Own.Fraction(), l.Grant.Fraction(), left)
+	s.SetQuotaGrant(a.quota.Team, a.classIndex(s), l.Own.Fraction(), l.Grant.Fraction(), remaining)
 }
 
-// pool is what the fleet's weights are of: the endpoints of all services. It is a fleet.Pool.
+// pool gives the fleet's weights access to the endpoints of all services. It implements
+// fleet.Pool.
 type pool struct {
-	services atomic.Pointer[[]*core.Service] // a reload may bring others
+	services atomic.Pointer[[]*core.Service] // a reload may replace them
 }
 
-// Observations is what all services have seen since the last call.
+// Observations returns the observations of all services since the last call.
 func (p *pool) Observations() (all []weights.Stats) {
 	for _, s := range *p.services.Load() {
 		all = append(all, s.TakeObservations()...)
@@ -71,7 +73,7 @@
 	return all
 }
 
-// Endpoints are those of all services' lists.
+// Endpoints returns the listed endpoints of all services.
 func (p *pool) Endpoints() (all []weights.Endpoint) {
 	for _, s := range *p.services.Load() {
 		all = append(all, s.WeightEndpoints()...)
@@ -79,49 +81,50 @@
 	return all
 }
 
-// Admission name the sums of what came to services' doors, and what requests are worth there.
+// Admission returns the ids under which the services count arriving requests, and the worth of
+// requests by class.
 func (p *pool) Admission() (map[weights.ID]bool, map[weights.Class]float64) {
-	doors, all := map[weights.ID]bool{}, map[weights.Class]float64{}
+	ids, worths := map[weights.ID]bool{}, map[weights.Class]float64{}
 	for _, s := range *p.services.Load() {
 		id, worth := s.SiteDemand()
-		doors[id] = true
-		maps.Copy(all, worth)
+		ids[id] = true
+		maps.Copy(worths, worth)
 	}
-	return doors, all
+	return ids, worths
 }
 
-// SetEnforcer puts in force what is done about sites, at all services.
+// SetEnforcer puts the enforcement of the plan for sites in force at all services.
 func (p *pool) SetEnforcer(d *sites.Enforcer) {
 	for _, s := range *p.services.Load() {
 		s.SetSiteAdmission(d)
 	}
 }
 
-// SetFactors puts factors in force at all services.
+// SetFactors puts the weight factors in force at all services.
 func (p *pool) SetFactors(factors map[weights.ID]float64) {
 	for _, s := range *p.services.Load() {
 		s.SetFactors(factors)
 	}
 }
 
-// joinFleet makes the place in the fleet; nil where there is none. A process that takes
-// over has it once the one before has let it go.
+// joinFleet prepares the membership in the fleet, if one is configured. A successor process
+// joins once its predecessor has left.
 func (s *Sidecar) joinFleet() error {
 	if s.config.Operator == nil || s.config.Operator.Fleet == nil {
 		return nil
 	}
 	o := s.config.Operator.Fleet
-	sh := &shared{yields: make(chan struct{}, 1), config: fleet.Config{Name: o.Name, Listen: o.Listen, Key: o.Key, Gateways: o.Parts(), Addresses: o.Addresses(), Settings: o.Quota}}
+	m := &fleetMember{yield: make(chan struct{}, 1), config: fleet.Config{Name: o.Name, Listen: o.Listen, Key: o.Key, Gateways: o.Parts(), Addresses: o.Addresses(), Settings: o.Quota}}
 	for _, q := range s.config.Operator.Quotas() {
 		a := &account{quota: q}
-		sh.accounts = append(sh.accounts, a)
-		sh.config.Contracts = append(sh.config.Contracts, fleet.Contract{Name: q.Name(), Account: a})
+		m.accounts = append(m.accounts, a)
+		m.config.Contracts = append(m.config.Contracts, fleet.Contract{Name: q.Name(), Account: a})
 	}
 	if o.Weights {
-		sh.config.Pool, sh.config.Sites = &sh.pool, o.Sites()
+		m.config.Pool, m.config.Sites = &m.pool, o.Sites()
 	}
-	s.shared = sh
-	s.useShared(s.services)
+	s.membership = m
+	s.bindAccounts(s.services)
 	if s.upgrade.predecessor != nil {
 		return nil
 	}
@@ -129,28 +132,28 @@
 }
 
 func (s *Sidecar) openFleet() error {
-	s.mu.Lock() // a reload meanwhile is taken before or after
+	s.mu.Lock() // serializes with a reload
 	defer s.mu.Unlock()
-	f, err := fleet.New(s.shared.config)
+	f, err := fleet.New(s.membership.config)
 	if err != nil {
 		return err
 	}
 	f.Start()
-	s.shared.fleet.Store(f)
+	s.membership.fleet.Store(f)
 	return nil
 }
 
-// useShared has the accounts draw on the services that are in force.
-func (s *Sidecar) useShared(services []*running) {
-	if s.shared == nil {
+// bindAccounts makes the accounts draw on the services in force.
+func (s *Sidecar) bindAccounts(services []*runningService) {
+	if s.membership == nil {
 		return
 	}
 	all := make([]*core.Service, 0, len(services))
 	for _, r := range services {
 		all = append(all, r.service)
 	}
-	s.shared.pool.services.Store(&all)
-	for _, a := range s.shared.accounts {
+	s.membership.pool.services.Store(&all)
+	for _, a := range s.membership.accounts {
 		for _, r := range services {
 			if r.definition.Name == a.quota.Service {
 				a.service.Store(r.service)
@@ -159,20 +162,19 @@
 	}
 }
 
-// serveFleet takes part in the fleet until ctx ends. While another process takes over this
-// one has no part of what the fleet shares: it lets the address go, and takes it again if
-// that one ends.
+// serveFleet is a member of the fleet until ctx ends. While a successor process serves, this
+// one is not a member: it releases the address, and binds it again if the successor ends.
 func (s *Sidecar) serveFleet(ctx context.Context) {
-	if s.shared == nil {
+	if s.membership == nil {
 		return
 	}
-	for told := false; ctx.Err() == nil; {
-		f := s.shared.fleet.Load()
-		if f == nil && !s.yielded.Load() {
+	for warned := false; ctx.Err() == nil; {
+		f := s.membership.fleet.Load()
+		if f == nil && !s.handedOver.Load() {
 			err := s.openFleet()
-			if f = s.shared.fleet.Load(); err != nil && !told {
-				told = true
-				slog.Warn("no part in the fleet until its address is free", "error", err)
+			if f = s.membership.fleet.Load(); err != nil && !warned {
+				warned = true
+				slog.Warn("fleet: waiting for its address to become free", "error", err)
 			}
 		}
 		if f == nil {
@@ -186,64 +188,64 @@
 	}
 }
 
-// runFleet takes part until ctx ends or the place is yielded.
+// runFleet is a member until ctx ends or the membership is yielded.
 func (s *Sidecar) runFleet(ctx context.Context, f *fleet.Fleet) {
-	ctx, leave := context.WithCancel(ctx)
-	defer leave()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
 	var err error
 	select {
-	case <-s.shared.yields:
-		leave()
+	case <-s.membership.yield:
+		cancel()
 		err = <-ended
 	case err = <-ended:
 	}
-	s.shared.fleet.Store(nil)
+	s.membership.fleet.Store(nil)
 	if err != nil {
-		slog.Warn("fleet: left", "error", err)
+		slog.Warn("fleet: membership ended with an error", "error", err)
 	}
 }
 
-// close lets the address go: this process takes no part.
-func (sh *shared) close() {
-	if f := sh.fleet.Swap(nil); f != nil {
+// close releases the fleet's address and ends the membership.
+func (m *fleetMember) close() {
+	if f := m.fleet.Swap(nil); f != nil {
 		f.Close()
 	}
 }
 
-// yieldFleet lets the place in the fleet go.
+// yieldFleet requests that the membership is released.
 func (s *Sidecar) yieldFleet() {
-	if s.shared == nil {
+	if s.membership == nil {
 		return
 	}
 	select {
-	case s.shared.yields <- struct{}{}:
+	case s.membership.yield <- struct{}{}:
 	default:
 	}
 }
 
-// AddrFleet is where the fleet's messages come to; "": nowhere.
+// AddrFleet returns the address that receives the fleet's messages; "" if there is none.
 func (s *Sidecar) AddrFleet() string {
-	if s.shared == nil {
+	if s.membership == nil {
 		return ""
 	}
-	if f := s.shared.fleet.Load(); f != nil {
+	if f := s.membership.fleet.Load(); f != nil {
 		return f.Addr()
 	}
 	return ""
 }
 
-// checkShared tells what of the fleet a reload would change and can't: all but its
-// partners, gateways and parts.
-func (s *Sidecar) checkShared(f *operator.File) error {
-	now := s.config.Operator.Fleet
+// checkFleetReload returns an error if a reload would change anything about the fleet other
+// than its partners, gateways and parts.
+func (s *Sidecar) checkFleetReload(f *operator.File) error {
+	current := s.config.Operator.Fleet
 	switch {
-	case (f.Fleet == nil) != (now == nil):
-		return fmt.Errorf("fleet: it can't be put in or taken away while the sidecar runs")
-	case now == nil:
+	case (f.Fleet == nil) != (current == nil):
+		return fmt.Errorf("fleet: it can't be added or removed while the sidecar runs")
+	case current == nil:
 		return nil
-	case f.Fleet.Name != now.Name || f.Fleet.Listen != now.Listen || f.Fleet.Quota != now.Quota || f.Fleet.Settings != now.Settings || !reflect.DeepEqual(f.Fleet.Places, now.Places) || f.Fleet.Weights != now.Weights || !slices.Equal(f.Fleet.Key, now.Key):
+	case f.Fleet.Name != current.Name || f.Fleet.Listen != current.Listen || f.Fleet.Quota != current.Quota || f.Fleet.Settings != current.Settings || !reflect.DeepEqual(f.Fleet.Places, current.Places) || f.Fleet.Weights != current.Weights || !slices.Equal(f.Fleet.Key, current.Key):
 		return fmt.Errorf("fleet: only its partners and gateways can be changed while the sidecar runs")
 	case !slices.Equal(f.Quotas(), s.config.Operator.Quotas()):
 		return fmt.Errorf("quota: which calls share limits with the fleet can't be changed while the sidecar runs")
@@ -251,66 +253,66 @@
 	return nil
 }
 
-// replaceFleet takes the partners, gateways and parts of another file. The sidecar's lock
-// is held, which the fleet never takes: it goes before the fleet's own.
-func (s *Sidecar) replaceFleet(f *operator.File) {
-	if s.shared == nil {
+// reconfigureFleet applies the partners, gateways and parts of another file. The caller holds
+// s.mu, which is locked before the fleet's own lock; the fleet never takes it.
+func (s *Sidecar) reconfigureFleet(f *operator.File) {
+	if s.membership == nil {
 		return
 	}
-	s.shared.config.Gateways, s.shared.config.Addresses = f.Fleet.Parts(), f.Fleet.Addresses()
-	if s.shared.config.Sites != nil {
-		s.shared.config.Sites = f.Fleet.Sites()
+	s.membership.config.Gateways, s.membership.config.Addresses = f.Fleet.Parts(), f.Fleet.Addresses()
+	if s.membership.config.Sites != nil {
+		s.membership.config.Sites = f.Fleet.Sites()
 	}
-	if running := s.shared.fleet.Load(); running != nil {
-		if err := running.Reconfigure(s.shared.config.Gateways, s.shared.config.Addresses, s.shared.config.Sites); err != nil {
-			slog.Error("fleet: a plan that was checked is not taken", "error", err)
+	if current := s.membership.fleet.Load(); current != nil {
+		if err := current.Reconfigure(s.membership.config.Gateways, s.membership.config.Addresses, s.membership.config.Sites); err != nil {
+			slog.Error("fleet: a validated plan was rejected", "error", err)
 		}
 	}
 }
 
-// fleetNow are the fleet's figures; nil: this process takes no part in one.
-func (s *Sidecar) fleetNow() *metrics.Fleet {
-	if s.shared == nil {
+// fleetMetrics returns the fleet's metrics; nil if this process is not a member.
+func (s *Sidecar) fleetMetrics() *metrics.Fleet {
+	if s.membership == nil {
 		return nil
 	}
-	f := s.shared.fleet.Load()
+	f := s.membership.fleet.Load()
 	if f == nil {
 		return nil
 	}
 	status, counts := f.Status(), f.Counts()
-	now := &metrics.Fleet{Up: len(status.Up) + 1, Dropped: counts.Dropped, Malformed: counts.Malformed, OtherVersion: counts.OtherVersion}
-	for _, c := range s.shared.config.Contracts {
+	figures := &metrics.Fleet{Up: len(status.Up) + 1, Dropped: counts.Dropped, Malformed: counts.Malformed, OtherVersion: counts.OtherVersion}
+	for _, c := range s.membership.config.Contracts {
 		st := status.Contracts[c.Name]
-		now.Quotas = append(now.Quotas, metrics.Quota{Name: c.Name, Own: st.Own.Fraction(), Granted: st.Grant.Fraction(), Demand: st.Demand.Fraction()})
+		figures.Quotas = append(figures.Quotas, metrics.Quota{Name: c.Name, Own: st.Own.Fraction(), Granted: st.Grant.Fraction(), Demand: st.Demand.Fraction()})
 	}
-	if s.shared.config.Pool != nil {
+	if s.membership.config.Pool != nil {
 		c := status.Council
-		now.Weights = &metrics.Weights{IsLeader: c.Leading, LeaderKnown: c.Leader != "", Term: c.Table.Term, Table: c.Table.Seq, Stale: c.Stale, Age: c.Age, Endpoints: c.Endpoints, Changes: c.Changes, Reporting: c.Reporting}
+		figures.Weights = &metrics.Weights{IsLeader: c.Leading, LeaderKnown: c.Leader != "", Term: c.Table.Term, Table: c.Table.Seq, Stale: c.Stale, Age: c.Age, Endpoints: c.Endpoints, Changes: c.Changes, Reporting: c.Reporting}
 		for _, s := range c.Sites {
-			now.Weights.Sites = append(now.Weights.Sites, metrics.Site{Name: s.Name, State: int(s.State), Fraction: s.Fraction})
+			figures.Weights.Sites = append(figures.Weights.Sites, metrics.Site{Name: s.Name, State: int(s.State), Fraction: s.Fraction})
 		}
 	}
-	return now
+	return figures
 }
 
-// fleetFigures are the same for show-stat: parts are in thousandths of a quota.
-func (s *Sidecar) fleetFigures() string {
-	f := s.fleetNow()
+// fleetStat formats the same for show-stat, with parts in thousandths of a quota.
+func (s *Sidecar) fleetStat() string {
+	f := s.fleetMetrics()
 	if f == nil {
 		return ""
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "node.fleet.up:%d|g\nnode.fleet.messages_dropped:%d|c\nnode.fleet.messages_broken:%d|c\nnode.fleet.messages_other_version:%d|c\n",
 		f.Up, f.Dropped, f.Malformed, f.OtherVersion)
-	apart := strings.NewReplacer(":", "_", "|", "_") // they set a figure's value apart
+	escaper := strings.NewReplacer(":", "_", "|", "_") // separators of the metrics' format
 	for _, q := range f.Quotas {
-		name := apart.Replace(word(q.Name))
+		name := escaper.Replace(escapeWord(q.Name))
 		fmt.Fprintf(&b, "node.fleet.quota.%s.own:%.0f|g\nnode.fleet.quota.%s.granted:%.0f|g\nnode.fleet.quota.%s.demand:%.0f|g\n",
 			name, 1000*q.Own, name, 1000*q.Granted, name, 1000*q.Demand)
 	}
 	if w := f.Weights; w != nil {
-		flag := func(is bool) int {
-			if is {
+		flag := func(set bool) int {
+			if set {
 				return 1
 			}
 			return 0
@@ -319,7 +321,7 @@
 		fmt.Fprintf(&b, "node.fleet.weights.table:%d|g\nnode.fleet.weights.age:%d|g\nnode.fleet.weights.stale:%d|g\nnode.fleet.weights.endpoints:%d|g\nnode.fleet.weights.changes:%d|g\n",
 			w.Table, w.Age.Milliseconds(), flag(w.Stale), w.Endpoints, w.Changes)
 		for _, s := range w.Sites {
-			name := apart.Replace(word(s.Name))
+			name := escaper.Replace(escapeWord(s.Name))
 			fmt.Fprintf(&b, "node.fleet.site.%s.state:%d|g\nnode.fleet.site.%s.met:%.0f|g\n", name, s.State, name, 1000*s.Fraction)
 		}
 	}
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -11,22 +11,22 @@
 	"spokegw/internal/metrics"
 )
 
-// http3Front is the number of the front for HTTP/3; that for HTTP/1.1 is 0.
+// http3Front is the index of the HTTP/3 front; that of the HTTP/1.1 front is 0.
 const http3Front = 1
 
-// listenHTTP1 opens the address that clients come to, where the process before this one has
-// not handed it over. It is the last that may fail: another process may have the address
-// open too, and of clients some come to this one from then on.
-func (s *Sidecar) listenHTTP1(longest time.Duration) (err error) {
+// listenHTTP1 opens the clients' address, unless the predecessor process has handed over its
+// listener. It has to be the last step of a start that can fail: another process may listen at
+// the address too, and from this point some clients connect to this process.
+func (s *Sidecar) listenHTTP1(maxWait time.Duration) (err error) {
 	c := &s.config
-	limit, crowd := s.places(s.upgrade.part())
-	front := http1.Config{Admission: s.brake.door(), Listen: c.Listen, Listener: s.upgrade.listener(), Limit: limit, BusyThreshold: crowd, MaxWait: longest}
+	limit, busy := s.clientLimits(s.upgrade.share())
+	front := http1.Config{Admission: s.shedder.admission(), Listen: c.Listen, Listener: s.upgrade.listener(), Limit: limit, BusyThreshold: busy, MaxWait: maxWait}
 	if c.Operator != nil {
 		front.Pipelining = c.Operator.HTTP1.Pipelining
 	}
 	if s.front, err = http1.Listen(front, s.core); err != nil {
-		if s.shared != nil {
-			s.shared.close()
+		if s.membership != nil {
+			s.membership.close()
 		}
 		return err
 	}
@@ -36,17 +36,15 @@
 	return nil
 }
 
-// listenMetrics opens the address that tells the figures to Prometheus; nil where
-// it is off.
+// listenMetrics opens the address for Prometheus; nil if it is disabled.
 func (s *Sidecar) listenMetrics() (*metrics.Server, error) {
 	if s.config.Operator == nil || s.config.Operator.Metrics == "" {
 		return nil, nil
 	}
-	return metrics.Listen(s.config.Operator.Metrics, s.figures, s.members, s.fleetNow)
+	return metrics.Listen(s.config.Operator.Metrics, s.figures, s.members, s.fleetMetrics)
 }
 
-// serveMetrics tells the figures until ctx ends, once the process before this
-// one no longer does.
+// serveMetrics serves the metrics until ctx ends, once the predecessor process no longer does.
 func (s *Sidecar) serveMetrics(ctx context.Context) {
 	server := s.metrics
 	if server == nil && s.upgrade.predecessor != nil {
@@ -55,7 +53,7 @@
 			return err
 		})
 		if err != nil {
-			slog.Error("no metrics: their address is not free", "error", err)
+			slog.Error("no metrics: the address is in use", "error", err)
 		}
 	}
 	if server != nil {
@@ -63,31 +61,30 @@
 	}
 }
 
-// addressPatience is how long an address may stay in use by a process that has
-// ended.
-const addressPatience = 2 * time.Second
+// addressTimeout is how long an address may remain in use after its process has ended.
+const addressTimeout = 2 * time.Second
 
-// afterPredecessor opens an address that is not handed over, when the process
-// before this one has ended. If ctx ends before that it does nothing.
+// afterPredecessor opens an address that is not handed over, once the predecessor process has
+// ended. It does nothing if ctx ends before that.
 func (s *Sidecar) afterPredecessor(ctx context.Context, open func() error) (err error) {
 	select {
-	case <-s.upgrade.ended:
+	case <-s.upgrade.predecessorEnded:
 	case <-ctx.Done():
 		return nil
 	}
-	for until := time.Now().Add(addressPatience); ; {
-		if err = open(); err == nil || time.Now().After(until) {
+	for deadline := time.Now().Add(addressTimeout); ; {
+		if err = open(); err == nil || time.Now().After(deadline) {
 			return err
 		}
 		select {
-		case <-time.After(addressPatience / 40):
+		case <-time.After(addressTimeout / 40):
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// listenHTTP3 opens the address of the front for HTTP/3; nil where it is off.
+// listenHTTP3 opens the address of the HTTP/3 front; nil if it is disabled.
 func (s *Sidecar) listenHTTP3() (*http3.Server, error) {
 	if s.config.Operator == nil || s.config.Operator.HTTP3 == nil {
 		return nil, nil
@@ -104,9 +101,9 @@
 	}, s.core)
 }
 
-// serveHTTP3 serves HTTP/3, where it is on, until ctx ends. Its address can't be
-// handed over: the connections are in the memory of the process before this one,
-// which ends them as it stops.
+// serveHTTP3 serves HTTP/3, if it is enabled, until ctx ends. Its address can't be handed over:
+// the state of its connections is in the memory of the predecessor process, which ends them
+// when it stops.
 func (s *Sidecar) serveHTTP3(ctx context.Context) error {
 	server := s.frontHTTP3()
 	if server == nil && s.upgrade.predecessor != nil {
@@ -114,8 +111,8 @@
 			server, err = s.listenHTTP3()
 			return err
 		})
-		if err != nil { // HTTP/1.1 is served all the same
-			slog.Error("no HTTP/3: its address is not free", "error", err)
+		if err != nil { // HTTP/1.1 is served nevertheless
+			slog.Error("no HTTP/3: the address is in use", "error", err)
 			return nil
 		}
 		s.mu.Lock()
@@ -135,7 +132,7 @@
 	return s.http3
 }
 
-// AddrHTTP3 is where the sidecar listens for HTTP/3; nil: it does not.
+// AddrHTTP3 returns the address of the HTTP/3 listener; nil if it is disabled.
 func (s *Sidecar) AddrHTTP3() net.Addr {
 	if server := s.frontHTTP3(); server != nil {
 		return server.Addr()
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -11,25 +11,25 @@
 	"spokegw/internal/management"
 )
 
-// Callers of the second address hold so few descriptors at most, of those that
-// neither clients nor endpoints may have.
+// Limits of the callers of the management address, and the fraction of the descriptors that
+// they may hold, out of those reserved for neither clients nor endpoints.
 const (
-	callersPart = 1.0 / 64
-	leastCaller = 4
-	mostCallers = 16
+	callerFraction = 1.0 / 64
+	minCallers     = 4
+	maxCallers     = 16
 )
 
-// listenManagement opens the second address, where one is told.
+// listenManagement opens the management address, if one is configured.
 func (s *Sidecar) listenManagement() (err error) {
 	if s.config.Management == "" {
 		return nil
 	}
-	callers := min(max(int(s.config.Limits.sockets(callersPart)), leastCaller), mostCallers)
+	callers := min(max(int(s.config.Limits.sockets(callerFraction)), minCallers), maxCallers)
 	s.management, err = management.Listen(s.config.Management, callers, s.commands())
 	return err
 }
 
-// AddrManagement is the second address; "": there is none.
+// AddrManagement returns the management address; "" if there is none.
 func (s *Sidecar) AddrManagement() string {
 	if s.management == nil {
 		return ""
@@ -37,7 +37,7 @@
 	return s.management.Addr().String()
 }
 
-// commands are the calls that operators can make.
+// commands returns the calls that operators can make.
 func (s *Sidecar) commands() management.Commands {
 	return management.Commands{
 		"ready": {Help: "YES once this process serves", Run: func([]string) (string, error) {
@@ -52,17 +52,17 @@
 		"show-stat":    {Help: "the figures", Run: s.showStat},
 		"show-members": {Help: "every endpoint, and why one is avoided", Run: s.showMembers},
 		"show-moves":   {Help: "every move between pools, and the evidence", Run: s.showMoves},
-		"begin-move":   {Args: "NAME", Help: "begin a move", Run: s.moveWord("begin"), Changes: true},
-		"hold-move":    {Args: "NAME", Help: "keep it at its step", Run: s.moveWord("hold"), Changes: true},
-		"go-on-move":   {Args: "NAME", Help: "let it go on that is held or has halted", Run: s.moveWord("go-on"), Changes: true},
-		"undo-move":    {Args: "NAME", Help: "have it go back", Run: s.moveWord("undo"), Changes: true},
+		"begin-move":   {Args: "NAME", Help: "begin a move", Run: s.moveCommand("begin"), Changes: true},
+		"hold-move":    {Args: "NAME", Help: "keep it at its step", Run: s.moveCommand("hold"), Changes: true},
+		"go-on-move":   {Args: "NAME", Help: "let it go on that is held or has halted", Run: s.moveCommand("go-on"), Changes: true},
+		"undo-move":    {Args: "NAME", Help: "have it go back", Run: s.moveCommand("undo"), Changes: true},
 		"tell-move": {Args: "NAME CLASS failed|late|turned-away|slow NEW BAD OLD BAD", Help: "requests that others saw of the two pools in the same seconds, and how many of them were so",
-			Run: s.tellMove},
+			Run: s.addMoveEvidence},
 		"disable-server": {Args: "ID", Help: "send an endpoint nothing new", Run: func(args []string) (string, error) {
-			return s.onServer(args[0], (*core.Service).Disable)
+			return s.onEndpoint(args[0], (*core.Service).Disable)
 		}, Changes: true},
 		"enable-server": {Args: "ID", Help: "take that back", Run: func(args []string) (string, error) {
-			return s.onServer(args[0], (*core.Service).Enable)
+			return s.onEndpoint(args[0], (*core.Service).Enable)
 		}, Changes: true},
 		"drain": {Help: "ask clients to leave with their next answer, and be not ready", Run: func([]string) (string, error) {
 			s.drain(true)
@@ -75,31 +75,31 @@
 	}
 }
 
-// drain asks clients to leave, or no longer. Whoever stays, or comes, is served.
+// drain starts or ends asking clients to disconnect. Requests are served all the same.
 func (s *Sidecar) drain(on bool) {
 	s.drained.Store(on)
 	s.front.SetDraining(on)
 }
 
 func (s *Sidecar) showStat([]string) (string, error) {
-	return s.figures.Report(s.members()) + s.fleetFigures() + management.End, nil
+	return s.figures.Report(s.members()) + s.fleetStat() + management.End, nil
 }
 
-// each calls do for every service.
-func (s *Sidecar) each(do func(name string, service *core.Service)) {
-	for _, r := range s.running() {
+// forEachService calls do for each service.
+func (s *Sidecar) forEachService(do func(name string, service *core.Service)) {
+	for _, r := range s.currentServices() {
 		do(r.service.Name(), r.service)
 	}
 }
 
 // members counts the endpoints of all services.
 func (s *Sidecar) members() (sum figures.Members) {
-	s.each(func(_ string, service *core.Service) {
+	s.forEachService(func(_ string, service *core.Service) {
 		m := service.CountMembers()
 		sum.Listed += m.Listed
 		sum.Unavailable += m.Unavailable
 	})
-	for _, r := range s.running() {
+	for _, r := range s.currentServices() {
 		if r.watcher == nil {
 			continue
 		}
@@ -110,21 +110,21 @@
 	return sum
 }
 
-// showMembers has a line for each endpoint, of names and values.
+// showMembers writes a line of name=value pairs for each endpoint.
 func (s *Sidecar) showMembers([]string) (string, error) {
 	var b strings.Builder
-	s.each(func(name string, service *core.Service) {
+	s.forEachService(func(name string, service *core.Service) {
 		for _, m := range service.MemberList() {
 			fmt.Fprintf(&b, "id=%s service=%s addr=%s kind=%s state=%s avoided=%s in_flight=%.0f part=%.3f health=%.2f warmth=%.2f speed=%.2f\n",
-				word(m.ID), cmp.Or(word(name), "-"), word(m.Addr), cmp.Or(word(m.Kind), "-"), word(m.State), cmp.Or(m.AvoidedReason, "-"),
+				escapeWord(m.ID), cmp.Or(escapeWord(name), "-"), escapeWord(m.Addr), cmp.Or(escapeWord(m.Kind), "-"), escapeWord(m.State), cmp.Or(m.AvoidedReason, "-"),
 				m.InFlight, m.Share, m.Health, m.Warmth, m.Speed)
 		}
 	})
 	return b.String() + management.End, nil
 }
 
-// word is a text of others' without what would set words apart.
-func word(text string) string {
+// escapeWord replaces spaces and control characters, which would split a word in an answer.
+func escapeWord(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r == 0x7f {
 			return '_'
@@ -133,10 +133,10 @@
 	}, text)
 }
 
-// onServer does something to an endpoint of whichever service has it.
-func (s *Sidecar) onServer(id string, do func(*core.Service, string) error) (string, error) {
+// onEndpoint calls do for an endpoint, at whichever services list it.
+func (s *Sidecar) onEndpoint(id string, do func(*core.Service, string) error) (string, error) {
 	err, done := errors.New("there is no service"), false
-	s.each(func(_ string, service *core.Service) {
+	s.forEachService(func(_ string, service *core.Service) {
 		if e := do(service, id); e == nil {
 			done = true
 		} else {
--- a/internal/sidecar/moves.go
+++ b/internal/sidecar/moves.go
@@ -16,7 +16,7 @@
 	"spokegw/internal/operator"
 )
 
-// movePlans are the moves that an operator's file has for a service.
+// movePlans returns the moves that an operator's file has for a service.
 func (s *Sidecar) movePlans(f *operator.File, service string) (plans []core.MovePlan) {
 	if f == nil {
 		return nil
@@ -29,26 +29,27 @@
 	return plans
 }
 
-// moveWord is the call that says a word on a move, whichever service has it.
-func (s *Sidecar) moveWord(word string) func(args []string) (string, error) {
+// moveCommand returns the call that sends an operator's command to a move, whichever service
+// has it.
+func (s *Sidecar) moveCommand(command string) func(args []string) (string, error) {
 	return func(args []string) (string, error) {
 		err := core.ErrNoMove
-		s.each(func(_ string, service *core.Service) {
-			if e := service.CommandMove(args[0], word); !errors.Is(e, core.ErrNoMove) {
+		s.forEachService(func(_ string, service *core.Service) {
+			if e := service.CommandMove(args[0], command); !errors.Is(e, core.ErrNoMove) {
 				err = e
 			}
 		})
 		if err != nil {
 			return "", err
 		}
-		s.keepMoves()
-		s.keptMoves.Flush(diskPatience) // what is said to be done is on the disk
+		s.saveMoves()
+		s.movesKeeper.Flush(diskTimeout) // the answer confirms that the change is on disk
 		return management.Yes, nil
 	}
 }
 
-// tellMove takes in what others have seen of a move's pools.
-func (s *Sidecar) tellMove(args []string) (string, error) {
+// addMoveEvidence adds observations of a move's pools made by others.
+func (s *Sidecar) addMoveEvidence(args []string) (string, error) {
 	kind := slices.Index([]string{"failed", "late", "turned-away", "slow"}, args[2])
 	if kind < 0 {
 		return "", fmt.Errorf("failed, late, turned-away or slow is expected, not %.40q", args[2])
@@ -61,7 +62,7 @@
 		}
 	}
 	err := core.ErrNoMove
-	s.each(func(_ string, service *core.Service) {
+	s.forEachService(func(_ string, service *core.Service) {
 		if e := service.AddMoveEvidence(args[0], args[1], moves.FaultKind(kind), judge.Block{New: n[0], NewBad: n[1], Old: n[2], OldBad: n[3]}); !errors.Is(e, core.ErrNoMove) {
 			err = e
 		}
@@ -72,10 +73,10 @@
 	return management.Yes, nil
 }
 
-// showMoves has a line for each move and one for each row of its evidence.
+// showMoves writes a line for each move and one for each row of its evidence.
 func (s *Sidecar) showMoves([]string) (string, error) {
 	var b strings.Builder
-	s.each(func(_ string, service *core.Service) {
+	s.forEachService(func(_ string, service *core.Service) {
 		for _, m := range service.Moves() {
 			c := &m.Progress
 			step := "-"
@@ -83,11 +84,11 @@
 				step = fmt.Sprintf("%d/%d", c.Step+1, len(m.Plan.Steps))
 			}
 			fmt.Fprintf(&b, "move=%s service=%s from=%s to=%s ready=%d/%d phase=%s step=%s share=%.4f got=%.4f for=%s left=%s why=%s lacks=%s\n",
-				word(m.Name), cmp.Or(word(m.Service), "-"), word(m.From), word(m.To), m.Ready[0], m.Ready[1], c.Phase, step, c.Share, m.NewShare,
-				m.PhaseAge.Round(time.Second), m.Remaining.Round(time.Second), cmp.Or(word(c.Why), "-"), cmp.Or(word(c.WaitingFor), "-"))
+				escapeWord(m.Name), cmp.Or(escapeWord(m.Service), "-"), escapeWord(m.From), escapeWord(m.To), m.Ready[0], m.Ready[1], c.Phase, step, c.Share, m.NewShare,
+				m.PhaseAge.Round(time.Second), m.Remaining.Round(time.Second), cmp.Or(escapeWord(c.Why), "-"), cmp.Or(escapeWord(c.WaitingFor), "-"))
 			for _, e := range m.Evidence {
 				fmt.Fprintf(&b, "evidence=%s class=%s kind=%s new=%.4f old=%.4f judged=%d/%d bad=%d/%d against=%.3g blamed=%.3g needed=%d\n",
-					word(m.Name), word(e.Class), word(e.Kind.String()), e.New, e.Old, e.Judged[0], e.Judged[1], e.Bad[0], e.Bad[1], e.WorseEvidence, e.Threshold, e.Needed)
+					escapeWord(m.Name), escapeWord(e.Class), escapeWord(e.Kind.String()), e.New, e.Old, e.Judged[0], e.Judged[1], e.Bad[0], e.Bad[1], e.WorseEvidence, e.Threshold, e.Needed)
 			}
 		}
 	})
--- a/internal/sidecar/moves_test.go
+++ b/internal/sidecar/moves_test.go
@@ -17,8 +17,9 @@
 	"spokegw/internal/lab/scene"
 )
 
-// moveFile is an operator's file with a move from pod 0, of four endpoints, to
-// pod 1. Its steps take as long as the sidecar needs to look at it twice.
+// moveFile returns an operator's file for the service maps, open to all teams, followed by
+// more: usually moveToPod1, a move from pod 0, of four endpoints, to pod 1, whose steps last
+// two ticks of the sidecar.
 func moveFile(more string) string {
 	return `[[service]]
 name = "maps"
@@ -48,7 +49,7 @@
 turned-away = 0.05
 `
 
-// twoPods are four endpoints as usual, and four that answer in some other way.
+// twoPods returns four normal endpoints, and four that use answer.
 func twoPods(answer func(http.ResponseWriter, *http.Request) bool, seen func(pod int, r *http.Request)) (all []lab.EndpointConfig) {
 	for i := range 8 {
 		c := lab.EndpointConfig{Workers: 64, Body: 20, Work: time.Millisecond, Seen: func(r *http.Request) {
@@ -64,7 +65,8 @@
 	return all
 }
 
-// traffic sends both classes until it is stopped, and returns what became of them.
+// traffic sends requests of both classes until stop is called, which returns how many were sent
+// and how many of those were not answered in time.
 func traffic(s *scene.Scene) (stop func() (asked, harmed int)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	loads := []*lab.Load{
@@ -87,10 +89,10 @@
 	}
 }
 
-// awaitPhase waits until a move is in one of some phases, and returns the line.
+// awaitPhase waits until a move is in one of the phases, and returns the output of show-moves.
 func awaitPhase(t *testing.T, s *scene.Scene, phases ...string) string {
 	t.Helper()
-	for until := time.Now().Add(3 * patience); ; {
+	for until := time.Now().Add(3 * testTimeout); ; {
 		text := must(t, s, "show-moves")
 		for _, p := range phases {
 			if strings.Contains(text, "phase="+p+" ") {
@@ -98,14 +100,14 @@
 			}
 		}
 		if time.Now().After(until) {
-			t.Fatalf("waited in vain for %v:\n%s", phases, text)
+			t.Fatalf("timeout waiting for %v:\n%s", phases, text)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
 }
 
-// A good pool is taken on whole: nothing is lost, each step is told, and the old
-// pool gets nothing after it.
+// A move to a healthy pool completes: no request is lost, and the old pool gets no requests
+// afterwards.
 func TestMoveTakenOn(t *testing.T) {
 	var old atomic.Int64
 	s := startReady(t, scene.Config{Maps: twoPods(nil, func(pod int, r *http.Request) {
@@ -119,21 +121,21 @@
 	}
 	must(t, s, "begin-move new")
 	if _, err := call(t, s, "begin-move new"); err == nil || !strings.Contains(err.Error(), "has begun") {
-		t.Errorf("begun twice: %v", err)
+		t.Errorf("a second begin-move: %v", err)
 	}
 	text := awaitPhase(t, s, "done", "undone")
 	before := old.Load()
 	<-time.After(200 * time.Millisecond)
 	if n := old.Load() - before; n > 0 || !strings.Contains(text, "phase=done") {
-		t.Errorf("the old pool got %d after\n%s", n, text)
+		t.Errorf("the old pool got %d requests after\n%s", n, text)
 	}
 	if asked, harmed := stop(); harmed > 0 || asked < 500 {
 		t.Errorf("%d of %d requests were harmed", harmed, asked)
 	}
 }
 
-// Faults of the new pool are found and undone, each kind of them, with fewer than
-// one request in a hundred harmed, and none run in both pools under one key.
+// Each kind of fault in the new pool is detected and the move undone, with fewer than one
+// request in a hundred harmed, and no key executed in both pools.
 func TestMoveUndone(t *testing.T) {
 	for name, answer := range map[string]func(http.ResponseWriter, *http.Request) bool{
 		"errors": func(w http.ResponseWriter, r *http.Request) bool {
@@ -157,12 +159,12 @@
 			return false
 		},
 	} {
-		t.Run(name, func(t *testing.T) { // one after another: beside each other they want for processors
+		t.Run(name, func(t *testing.T) { // not in parallel: they would compete for processors
 			var ran sync.Map
 			s := startReady(t, scene.Config{Maps: twoPods(answer, func(pod int, r *http.Request) {
 				key := r.Header.Get("Idempotency-Key")
 				if at, twice := ran.LoadOrStore(key, pod); twice && key != "" && at != pod && name != "turned away" {
-					t.Errorf("key %s ran in both pools", key)
+					t.Errorf("key %s was executed in both pools", key)
 				}
 			}), Operator: moveFile(moveToPod1)})
 			stop := traffic(s)
@@ -180,12 +182,12 @@
 	}
 }
 
-// A move that is under way goes on in the next process, where it was; one that is
-// taken out of the file is undone first; an operator's words are heard or refused.
+// A move under way continues in the successor process at the same step; one that is removed
+// from the file is undone first; commands that do not apply are refused.
 func TestMoveHandedOverAndReloaded(t *testing.T) {
 	folder := t.TempDir()
 	slow := strings.ReplaceAll(moveToPod1, `step-time = "1s"`, `step-time = "1h"`)
-	listen := address(t)
+	listen := reserveAddr(t)
 	old := startReady(t, scene.Config{Listen: listen, Folder: folder, Maps: twoPods(nil, nil), Operator: moveFile(slow)})
 	must(t, old, "begin-move new")
 	awaitShare(t, old, "0.0500")
@@ -195,9 +197,9 @@
 		t.Errorf("%s", text)
 	}
 	must(t, next, "go-on-move new")
-	for _, word := range []string{"go-on-move new", "begin-move new", "undo-move other"} {
-		if _, err := call(t, next, word); err == nil {
-			t.Errorf("%s was taken", word)
+	for _, command := range []string{"go-on-move new", "begin-move new", "undo-move other"} {
+		if _, err := call(t, next, command); err == nil {
+			t.Errorf("%s was accepted", command)
 		}
 	}
 	if err := next.Reload(moveFile(strings.ReplaceAll(slow, `"5%", `, `"2%", "10%", `))); err != nil {
@@ -207,14 +209,14 @@
 		t.Errorf("with other steps: %s", text)
 	}
 	if err := next.Reload(moveFile(strings.ReplaceAll(slow, "to.pod = 1", ""))); err == nil || !strings.Contains(err.Error(), "to is missing") {
-		t.Errorf("half a move: %v", err)
+		t.Errorf("a move without its second pool: %v", err)
 	}
 	if err := next.Reload(moveFile("")); err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(patience); must(t, next, "show-moves") != ""; {
+	for until := time.Now().Add(testTimeout); must(t, next, "show-moves") != ""; {
 		if time.Now().After(until) {
-			t.Fatal("a move that is not in the file is there still")
+			t.Fatal("a move removed from the file is still listed")
 		}
 		<-time.After(20 * time.Millisecond)
 	}
@@ -222,7 +224,7 @@
 
 func awaitShare(t *testing.T, s *scene.Scene, share string) {
 	t.Helper()
-	for until := time.Now().Add(patience); !strings.Contains(must(t, s, "show-moves"), "share="+share); {
+	for until := time.Now().Add(testTimeout); !strings.Contains(must(t, s, "show-moves"), "share="+share); {
 		if time.Now().After(until) {
 			t.Fatalf("the share is not %s:\n%s", share, must(t, s, "show-moves"))
 		}
@@ -230,8 +232,8 @@
 	}
 }
 
-// An empty new pool loses nothing: its requests meet the old one.
-func TestMoveToNobody(t *testing.T) {
+// A move to a pool without available endpoints loses no request: the old pool serves them.
+func TestMoveToEmptyPool(t *testing.T) {
 	s := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: moveFile(strings.ReplaceAll(moveToPod1, `steps = ["5%", "50%", "100%"]`, `steps = ["100%"]`))})
 	must(t, s, "begin-move new")
 	awaitShare(t, s, "1.0000")
@@ -246,7 +248,7 @@
 	awaitPhase(t, s, "halted")
 }
 
-// quick is a move that takes all at once and is over soon.
+// quick returns a move that switches all requests in one step.
 func quick(name string, from, to int) string {
 	return fmt.Sprintf(`
 [[move]]
@@ -262,8 +264,8 @@
 `, name, from, to)
 }
 
-// Two moves of which one goes on where the other ends: who meets the new pool in
-// both ends in the last one.
+// Two chained moves, where the second starts in the pool the first ends in: requests routed to
+// the new pool in both end in the last one.
 func TestMovesChained(t *testing.T) {
 	var pods [3]atomic.Int64
 	maps := twoPods(nil, nil)
@@ -274,7 +276,7 @@
 	s := startReady(t, scene.Config{Maps: maps, Operator: moveFile(quick("a", 0, 1) + quick("b", 1, 2))})
 	must(t, s, "begin-move a")
 	must(t, s, "begin-move b")
-	for until := time.Now().Add(patience); strings.Count(must(t, s, "show-moves"), "share=1.0000") < 2; {
+	for until := time.Now().Add(testTimeout); strings.Count(must(t, s, "show-moves"), "share=1.0000") < 2; {
 		if time.Now().After(until) {
 			t.Fatal(must(t, s, "show-moves"))
 		}
@@ -287,20 +289,20 @@
 		ask(t, s, tile(""))
 	}
 	if pods[0].Load() != 0 || pods[1].Load() != 0 || pods[2].Load() != 60 {
-		t.Errorf("the pods got %d, %d and %d of 60", pods[0].Load(), pods[1].Load(), pods[2].Load())
+		t.Errorf("the pods got %d, %d and %d of 60 requests", pods[0].Load(), pods[1].Load(), pods[2].Load())
 	}
 }
 
-// Two moves out of one pool, and a list that tells no more: who meets the new pool of
-// either leaves the old one, and the moves go on.
-func TestMovesCross(t *testing.T) {
+// Two moves out of the same pool, after the registry has stopped: requests routed to either new
+// pool leave the old one, and both moves progress.
+func TestMovesFromSamePool(t *testing.T) {
 	maps := twoPods(nil, nil)
 	maps = append(maps, maps[:4]...)
 	s := startReady(t, scene.Config{Maps: maps, Operator: moveFile(quick("a", 0, 1) + quick("b", 0, 2))})
 	s.Registry.Close()
 	must(t, s, "begin-move a")
 	must(t, s, "begin-move b")
-	for until := time.Now().Add(patience); strings.Count(must(t, s, "show-moves"), "share=1.0000") < 2; {
+	for until := time.Now().Add(testTimeout); strings.Count(must(t, s, "show-moves"), "share=1.0000") < 2; {
 		if time.Now().After(until) {
 			t.Fatal(must(t, s, "show-moves"))
 		}
@@ -319,13 +321,13 @@
 		}
 	}
 	if served(0) != before || served(1)+served(2) < 60 {
-		t.Errorf("the old pool got %d, the new ones %d and %d in all", served(0)-before, served(1), served(2))
+		t.Errorf("the old pool got %d requests, the new ones %d and %d in total", served(0)-before, served(1), served(2))
 	}
 }
 
-// A selector that picks nothing, or everything, leaves a pool with nobody: the move is
-// not begun, and says so. Who is in both pools is in neither.
-func TestMoveOfNobody(t *testing.T) {
+// A selector that matches no endpoint, or all of them, leaves a pool empty, as an endpoint in
+// both pools counts for neither: the move does not begin, and the error states the numbers.
+func TestMoveSelectsEmptyPool(t *testing.T) {
 	nothing := strings.Replace(quick("nothing", 0, 1), "to.pod = 1", "to.label = 'v=2'", 1)
 	everything := strings.Replace(quick("everything", 0, 1), "from.pod = 0", "from.id-prefix = 'maps-'", 1)
 	s := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: moveFile(nothing + everything)})
@@ -339,8 +341,8 @@
 	}
 }
 
-// A move that goes the other way after a reload is another one: the first is undone,
-// and it waits for that.
+// A move whose pools a reload swaps is a new move: the running one is undone first, and the new
+// one waits for that.
 func TestMoveReversed(t *testing.T) {
 	s := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: moveFile(quick("new", 0, 1))})
 	must(t, s, "begin-move new")
@@ -356,11 +358,11 @@
 		t.Errorf("%s", text)
 	}
 	if err := s.Reload(moveFile(quick("new", 1, 0) + quick("back", 0, 1))); err == nil || !strings.Contains(err.Error(), "the other way round") {
-		t.Errorf("two ways at once: %v", err)
+		t.Errorf("two moves in opposite directions: %v", err)
 	}
 }
 
-// Endpoints that change pools in the list are met by where they are now.
+// Endpoints that change pools in the list are routed to by their new pools.
 func TestMoveMembersSwap(t *testing.T) {
 	s := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: moveFile(quick("new", 0, 1))})
 	must(t, s, "begin-move new")
@@ -368,57 +370,57 @@
 	list := scene.Entries(s.Maps...)
 	list[0].Cell, list[4].Cell = list[4].Cell, list[0].Cell
 	s.Registry.Set(list)
-	for until := time.Now().Add(patience); ; {
-		in, out := s.Maps[0].Served(), s.Maps[4].Served()
+	for until := time.Now().Add(testTimeout); ; {
+		joinedBefore, leftBefore := s.Maps[0].Served(), s.Maps[4].Served()
 		for range 40 {
 			if a := ask(t, s, tile("")); a.status != 200 {
 				t.Fatalf("status %d", a.status)
 			}
 		}
-		if s.Maps[0].Served() > in && s.Maps[4].Served() == out {
+		if s.Maps[0].Served() > joinedBefore && s.Maps[4].Served() == leftBefore {
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatalf("of 40 requests the one that came got %d, the one that left %d", s.Maps[0].Served()-in, s.Maps[4].Served()-out)
+			t.Fatalf("of 40 requests the endpoint that joined the pool got %d, the one that left it %d", s.Maps[0].Served()-joinedBefore, s.Maps[4].Served()-leftBefore)
 		}
 	}
 }
 
-// Where there is a disk a move goes on where it was: a sidecar that ends, whatever
-// was torn of what it kept, comes back at the share that was kept last, and one
-// that was undone stays so.
-func TestMoveKept(t *testing.T) {
+// With a state folder, a move continues where it was: after a restart it resumes at the share
+// saved last, also after a torn write, and one that was undone stays undone.
+func TestMovePersisted(t *testing.T) {
 	folder := t.TempDir()
 	file := moveFile(strings.ReplaceAll(moveToPod1, `step-time = "1s"`, `step-time = "1h"`)) + fmt.Sprintf("\n[state]\ndirectory = %q\n", folder)
 	first := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: file})
-	again := func() *scene.Scene { return startReady(t, scene.Config{Beside: first, Operator: file}) }
+	restart := func() *scene.Scene { return startReady(t, scene.Config{Beside: first, Operator: file}) }
 	must(t, first, "begin-move new")
 	awaitShare(t, first, "0.0500")
-	for len(kept(t, folder, "")) == 0 || !strings.Contains(kept(t, folder, ""), `"Share":0.05`) {
+	for len(movesFile(t, folder, "")) == 0 || !strings.Contains(movesFile(t, folder, ""), `"Share":0.05`) {
 		<-time.After(20 * time.Millisecond)
 	}
 	must(t, first, "hold-move new")
 	first.Stop()
-	first.Wait()                        // its end shows as it is closed
-	kept(t, folder, "half of a record") // as a kill in the midst of writing leaves it
-	second := again()
+	first.Wait()                             // its error is reported by Close
+	movesFile(t, folder, "half of a record") // as a kill during a write leaves it
+	second := restart()
 	if text := must(t, second, "show-moves"); !strings.Contains(text, "phase=held") || !strings.Contains(text, "share=0.0500") {
 		t.Errorf("%s", text)
 	}
 	must(t, second, "undo-move new")
 	awaitPhase(t, second, "undone")
 	second.Close()
-	third := again()
+	third := restart()
 	if text := must(t, third, "show-moves"); !strings.Contains(text, "phase=undone") {
 		t.Errorf("%s", text)
 	}
 	if err := third.Reload(moveFile(moveToPod1)); err == nil || !strings.Contains(err.Error(), "state") {
-		t.Errorf("another folder: %v", err)
+		t.Errorf("a reload without the state folder: %v", err)
 	}
 }
 
-// kept is what stands in the only file of a folder, with more appended to it.
-func kept(t *testing.T, folder, more string) string {
+// movesFile returns the content of the only file of moves in a folder, after appending more to
+// it.
+func movesFile(t *testing.T, folder, more string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.moves"))
 	if err != nil || len(files) != 1 {
--- a/internal/sidecar/path_test.go
+++ b/internal/sidecar/path_test.go
@@ -13,9 +13,9 @@
 	"spokegw/internal/lab/scene"
 )
 
-// BenchmarkPath is a request of a small answer through the whole sidecar on one
-// connection, with an endpoint that does no work: with contracts off
-// and on, and with a move beside contracts.
+// BenchmarkPath measures a request with a small answer through the whole sidecar on one
+// connection, to an endpoint that does no work: without and with contracts, and with contracts
+// and a move.
 func BenchmarkPath(b *testing.B) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	for _, c := range []struct{ name, file string }{
--- a/internal/sidecar/persistence.go
+++ b/internal/sidecar/persistence.go
@@ -16,56 +16,56 @@
 	"spokegw/internal/state/keystore"
 )
 
-// diskPatience is how long a start, an operator's word and an end wait for the disk:
-// one that does not answer holds up nobody for longer.
-const diskPatience = 500 * time.Millisecond
+// diskTimeout bounds how long a start, an operator's command and a shutdown wait for a disk
+// that does not answer.
+const diskTimeout = 500 * time.Millisecond
 
-func newKeeper(c *Config, what string) *keeper.Keeper {
+func newKeeper(c *Config, kind string) *keeper.Keeper {
 	d, path := c.Disk, ""
 	if d == nil {
 		d = journal.OS{}
 	}
 	if c.Operator != nil && c.Operator.State != "" {
-		path = state.Path(c.Operator.State, c.Name, what)
+		path = state.Path(c.Operator.State, c.Name, kind)
 	}
-	return keeper.New(d, path, what)
+	return keeper.New(d, path, kind)
 }
 
-// keepMoves keeps where the moves are.
-func (s *Sidecar) keepMoves() {
-	s.keptMoves.Save(func([]byte) ([]byte, error) {
+// saveMoves saves the progress of the moves.
+func (s *Sidecar) saveMoves() {
+	s.movesKeeper.Save(func([]byte) ([]byte, error) {
 		var all []state.SavedMoves
-		for _, r := range s.running() {
-			all = append(all, state.SavedMoves{ServiceRef: r.of, Moves: r.service.MoveRecords()})
+		for _, r := range s.currentServices() {
+			all = append(all, state.SavedMoves{ServiceRef: r.ref, Moves: r.service.MoveRecords()})
 		}
 		return state.EncodeMoves(all)
 	})
 }
 
-// imageEvery is how many sweeps there are between two images of what the sidecar
-// knows: what it learnt and was told in that time is lost by a kill.
-const imageEvery = 2
+// sweepsPerImage is the number of sweeps between two images of the sidecar's state. A kill
+// loses what was learned or received since the last one.
+const sweepsPerImage = 2
 
-// keepImage keeps what the sidecar knows. ended tells that nothing is served any more,
-// by this process or a successor.
-func (s *Sidecar) keepImage(ended bool) {
-	s.keptImage.Save(func([]byte) ([]byte, error) { return state.Encode(s.config.Name, s.upgrade.state(), ended) })
+// saveImage saves an image of the sidecar's state. ended reports that neither this process nor
+// a successor serves any more.
+func (s *Sidecar) saveImage(ended bool) {
+	s.imageKeeper.Save(func([]byte) ([]byte, error) { return state.Encode(s.config.Name, s.upgrade.state(), ended) })
 }
 
-// lastImage is what a process before this one knew and kept, and is worth something
-// still; nil: nothing.
-func (s *Sidecar) lastImage() *handover.State {
-	image, tail := s.keptImage.Open(diskPatience)
+// loadImage returns the usable part of the state that an earlier process saved; nil if there is
+// none.
+func (s *Sidecar) loadImage() *handover.State {
+	image, tail := s.imageKeeper.Open(diskTimeout)
 	if image == nil && tail == nil {
 		return nil
 	}
 	at := state.Now().Since
 	st, err := state.Decode(s.config.Name, image, tail)
 	if err != nil {
-		slog.Warn("starting from nothing: what was kept can't be used", "error", err)
+		slog.Warn("starting without saved state: it can't be used", "error", err)
 		return nil
 	}
-	st.At = at // its keys are as old as they were then, or some more
+	st.At = at // the ages of its keys are at least those at that time
 	keys := 0
 	for i := range st.Services {
 		keys += len(st.Services[i].Keys)
@@ -74,160 +74,158 @@
 	return st
 }
 
-// keep begins to keep what is to be kept, and has the moves go on where they were
-// last, unless the process before this one has told that.
-func (s *Sidecar) keep() {
-	last, tail := s.keptMoves.Open(diskPatience)
-	s.keptImage.Open(diskPatience)
-	s.keepImage(false) // before the first request: a kill from now on is no end in order
-	s.keptFile.Open(diskPatience)
+// startPersistence starts saving the state, and restores the progress of the moves unless the
+// predecessor process has sent it.
+func (s *Sidecar) startPersistence() {
+	last, tail := s.movesKeeper.Open(diskTimeout)
+	s.imageKeeper.Open(diskTimeout)
+	s.saveImage(false) // before the first request: from now on the image shows a kill as an unclean end
+	s.fileKeeper.Open(diskTimeout)
 	s.mu.Lock()
-	s.keepFile()
+	s.saveOperatorFile()
 	s.mu.Unlock()
-	s.keptImage.Flush(diskPatience)
-	s.adoptKeys()
+	s.imageKeeper.Flush(diskTimeout)
+	s.restoreKeys()
 	if last == nil && tail == nil || s.upgrade.predecessor != nil {
 		return
 	}
 	all, err := state.DecodeMoves(last, tail)
 	if err != nil {
-		slog.Error("what was kept of moves can't be used", "error", err)
+		slog.Error("saved moves can't be used", "error", err)
 	}
 	for i := range all {
-		if r := s.find(all[i].ServiceRef); r != nil {
+		if r := s.findService(all[i].ServiceRef); r != nil {
 			r.service.AdoptMoves(all[i].Moves)
 		}
 	}
 }
 
-// keys are the keyed requests that are on the disk before they are sent.
-type keys struct {
-	store  atomic.Pointer[keystore.Store] // nil: they need not be: it is off, or another process has it
-	last   []handover.Key                 // that a process before this one kept
-	hash   uint64                         // that theirs are made with
-	hashed bool                           // there is one
+// keyState is the state of keyed requests whose keys are persisted.
+type keyState struct {
+	store   atomic.Pointer[keystore.Store] // nil: persistence is off, or another process has the file
+	loaded  []handover.Key                 // loaded from an earlier process's file
+	hash    uint64                         // key of the hash function in that file
+	hasHash bool                           // hash is set
 
-	beginning atomic.Bool // the store is being opened
-	unusable  atomic.Bool // it can't be, and is not tried again: each try would leave a mapping of it
+	opening  atomic.Bool // the store is being opened
+	unusable atomic.Bool // it can't be opened and is not retried: each attempt would leak a mapping of the file
 
-	mu    sync.Mutex
-	begun bool   // it has been tried to open the store
-	told  []told // by the process before this one, until then
+	mu        sync.Mutex
+	openTried bool             // opening the store has been attempted
+	pending   []predecessorKey // received from the predecessor before that
 }
 
-// openKeys opens the store, where the operator's file wants it. Keyed requests are
-// refused for as long as that can't be.
-func (s *Sidecar) openKeys() *keystore.Store {
-	f := s.begun
+// openKeyStore opens the store if the operator's file enables it. Keyed requests are refused
+// until it is open.
+func (s *Sidecar) openKeyStore() *keystore.Store {
+	f := s.initialFile
 	if f == nil || !f.Keys.UsesStore() {
 		return nil
 	}
 	store, err := keystore.Open(state.Path(f.State, s.config.Name, "keys"), state.Now)
 	if err != nil {
-		slog.Error("the file that keyed requests are to be in can't be opened", "keys", string(f.Keys), "error", err)
+		slog.Error("the file of keys can't be opened", "keys", string(f.Keys), "error", err)
 		s.keys.unusable.Store(errors.Is(err, keystore.ErrUnusable))
 		return nil
 	}
 	return store
 }
 
-// lastKeys reads what a process before this one kept of keys.
-func (s *Sidecar) lastKeys() {
-	store := s.openKeys()
+// loadKeys reads the keys that an earlier process persisted.
+func (s *Sidecar) loadKeys() {
+	store := s.openKeyStore()
 	if store == nil {
 		return
 	}
 	var err error
 	at := state.Now().Since
-	if s.keys.last, s.keys.hash, s.keys.hashed, err = store.Load(); err != nil {
+	if s.keys.loaded, s.keys.hash, s.keys.hasHash, err = store.Load(); err != nil {
 		slog.Error("what was kept of keys can't be read", "error", err)
 	}
-	for i := range s.keys.last {
-		s.keys.last[i].At = at // they are as old as they were then, or some more
+	for i := range s.keys.loaded {
+		s.keys.loaded[i].At = at // their ages are at least those at that time
 	}
-	slog.Info("starting from what was kept", "what", "keys", "keys", len(s.keys.last))
+	slog.Info("starting from what was kept", "what", "keys", "keys", len(s.keys.loaded))
 	s.keys.store.Store(store)
 }
 
-// adoptKeys takes over the keys that were on the disk, and begins to keep those that
-// are known now.
-func (s *Sidecar) adoptKeys() {
+// restoreKeys restores the persisted keys, and starts persisting those known now.
+func (s *Sidecar) restoreKeys() {
 	hash, _ := s.core.RecentIDs()
-	if s.keys.hashed && s.keys.hash == hash {
-		for _, k := range s.keys.last {
-			if r := s.find(k.ServiceRef); r != nil {
+	if s.keys.hasHash && s.keys.hash == hash {
+		for _, k := range s.keys.loaded {
+			if r := s.findService(k.ServiceRef); r != nil {
 				r.service.AdoptKey(k.Aged(state.Now().Since).Note)
 			}
 		}
 	}
-	s.keys.last = nil
-	s.beginKeys()
-	s.keepWaiting()
+	s.keys.loaded = nil
+	s.startKeyStore()
+	s.persistPending()
 }
 
-// beginKeys has the keys that are known now on the disk, and those that are sent from
-// now on.
-func (s *Sidecar) beginKeys() {
+// startKeyStore persists the keys known now, and those sent from now on.
+func (s *Sidecar) startKeyStore() {
 	store := s.keys.store.Load()
 	if store == nil {
-		if store = s.openKeys(); store == nil {
+		if store = s.openKeyStore(); store == nil {
 			return
 		}
 	}
 	hash, _ := s.core.RecentIDs()
 	var all []handover.Key
-	for _, r := range s.running() {
+	for _, r := range s.currentServices() {
 		for _, n := range r.service.Snapshot(handover.MaxKeys).Keys {
-			all = append(all, handover.Key{ServiceRef: r.of, Note: n})
+			all = append(all, handover.Key{ServiceRef: r.ref, Note: n})
 		}
 	}
 	if err := store.Replace(hash, all); err != nil {
-		slog.Error("the keys that are known are not on the disk", "error", err)
+		slog.Error("the known keys could not be written to the file of keys", "error", err)
 	}
-	if s.keys.store.Store(store); s.yielded.Load() {
-		s.closeKeys() // the disk took its time
+	if s.keys.store.Store(store); s.handedOver.Load() {
+		s.closeKeyStore() // the successor took over while the disk was slow
 	}
 }
 
-// retryKeys opens the store again where it could not be: it is to be called now and
-// then.
-func (s *Sidecar) retryKeys() {
-	if s.begun != nil && s.begun.Keys.UsesStore() && s.keys.store.Load() == nil && !s.keys.unusable.Load() && !s.yielded.Load() {
-		if s.keys.beginning.CompareAndSwap(false, true) {
-			go func() { // until the disk answers: nobody waits for it here
-				defer s.keys.beginning.Store(false)
-				s.beginKeys()
+// retryKeyStore opens the store if that failed before. It is called periodically.
+func (s *Sidecar) retryKeyStore() {
+	if s.initialFile != nil && s.initialFile.Keys.UsesStore() && s.keys.store.Load() == nil && !s.keys.unusable.Load() && !s.handedOver.Load() {
+		if s.keys.opening.CompareAndSwap(false, true) {
+			go func() { // blocks until the disk answers
+				defer s.keys.opening.Store(false)
+				s.startKeyStore()
 			}()
 		}
 	}
 }
 
-// errNoKeys tells that keyed requests can't be kept.
-var errNoKeys = errors.New("there is no file to keep keys in")
+// errNoKeyStore reports that keys can't be persisted.
+var errNoKeyStore = errors.New("the file of keys is not open")
 
-// keepKey has a keyed request on the disk before it is sent, or soon.
-func (s *Sidecar) keepKey(ctx context.Context, k handover.Key) error {
-	if s.yielded.Load() {
-		return s.keepElsewhere(ctx, k)
+// persistKey persists a keyed request before it is sent or, by the operator's setting,
+// asynchronously.
+func (s *Sidecar) persistKey(ctx context.Context, k handover.Key) error {
+	if s.handedOver.Load() {
+		return s.persistKeyAtSuccessor(ctx, k)
 	}
 	store := s.keys.store.Load()
 	switch {
-	case s.begun.Keys == operator.KeysAsync:
+	case s.initialFile.Keys == operator.KeysAsync:
 		if store != nil {
 			store.PersistAsync(k)
 		}
 		return nil
 	case store == nil:
-		return errNoKeys
+		return errNoKeyStore
 	}
 	return store.Persist(ctx, k)
 }
 
-// keepElsewhere has a keyed request on the disk by the process that took over, which has
-// the file. Where that has ended, and this one has not the file yet, it is refused.
-func (s *Sidecar) keepElsewhere(ctx context.Context, k handover.Key) error {
-	if s.begun.Keys != operator.KeysBeforeSend {
-		return nil // the successor is told, and keeps
+// persistKeyAtSuccessor has the successor, which has the file, persist a keyed request. If the
+// successor has ended and this process has not reopened the file, the request is refused.
+func (s *Sidecar) persistKeyAtSuccessor(ctx context.Context, k handover.Key) error {
+	if s.initialFile.Keys != operator.KeysBeforeSend {
+		return nil // the successor receives the key and persists it
 	}
 	if err := s.upgrade.offerer.PersistKey(ctx, k.Aged(state.Now().Since)); !errors.Is(err, handover.ErrNoPersistence) {
 		return err
@@ -235,61 +233,61 @@
 	return nil
 }
 
-// told is a key that the process before this one told; a number has it wait for a word.
-type told struct {
+// predecessorKey is a key received from the predecessor; if number is not 0, the predecessor
+// waits for a confirmation.
+type predecessorKey struct {
 	handover.Key
 	number uint64
 }
 
-// mostTold bounds the keys that wait until the file is open.
-const mostTold = 1024
+// maxPendingKeys bounds the keys that wait until the file is open.
+const maxPendingKeys = 1024
 
-// keepTold has a keyed request that the process before this one has sent, or is to send
-// once that is told, on the disk, with those that come meanwhile: that one has no file
-// any more.
-func (s *Sidecar) keepTold(t told) {
+// persistPredecessorKey persists a keyed request that the predecessor has sent, or will send
+// once that is confirmed: the predecessor no longer has the file. Keys that arrive before the
+// file is open wait for it.
+func (s *Sidecar) persistPredecessorKey(k predecessorKey) {
 	s.keys.mu.Lock()
 	store := s.keys.store.Load()
-	waits := store == nil && !s.keys.begun && len(s.keys.told) < mostTold
-	if waits {
-		s.keys.told = append(s.keys.told, t)
+	queued := store == nil && !s.keys.openTried && len(s.keys.pending) < maxPendingKeys
+	if queued {
+		s.keys.pending = append(s.keys.pending, k)
 	}
 	s.keys.mu.Unlock()
-	if !waits {
-		s.keepThen(store, t)
+	if !queued {
+		s.persistThenConfirm(store, k)
 	}
 }
 
-func (s *Sidecar) keepThen(store *keystore.Store, t told) {
+func (s *Sidecar) persistThenConfirm(store *keystore.Store, k predecessorKey) {
 	if store == nil {
-		s.upgrade.keptKey(t.number, false)
+		s.upgrade.confirmKey(k.number, false)
 		return
 	}
-	store.PersistThen(t.Key, func(err error) { s.upgrade.keptKey(t.number, err == nil) })
+	store.PersistThen(k.Key, func(err error) { s.upgrade.confirmKey(k.number, err == nil) })
 }
 
-// keepWaiting does so for the keys that were told before the file was open, or could not
-// be opened.
-func (s *Sidecar) keepWaiting() {
+// persistPending persists the keys that were received before the file was open, or fails them
+// if it could not be opened.
+func (s *Sidecar) persistPending() {
 	s.keys.mu.Lock()
-	all := s.keys.told
-	s.keys.told, s.keys.begun = nil, true
+	all := s.keys.pending
+	s.keys.pending, s.keys.openTried = nil, true
 	s.keys.mu.Unlock()
-	for _, t := range all {
-		s.keepThen(s.keys.store.Load(), t)
+	for _, k := range all {
+		s.persistThenConfirm(s.keys.store.Load(), k)
 	}
 }
 
-// closeKeys leaves the file to another process, or to nobody. It does not wait for a
-// disk that does not answer.
-func (s *Sidecar) closeKeys() {
+// closeKeyStore releases the file, without waiting for a disk that does not answer.
+func (s *Sidecar) closeKeyStore() {
 	store := s.keys.store.Swap(nil)
 	if store == nil {
 		return
 	}
 	closed := make(chan error, 1)
-	go func() { closed <- store.Close() }() // until the disk answers
-	timer := time.NewTimer(diskPatience)
+	go func() { closed <- store.Close() }() // blocks until the disk answers
+	timer := time.NewTimer(diskTimeout)
 	defer timer.Stop()
 	var err error
 	select {
@@ -302,17 +300,16 @@
 	}
 }
 
-// keepNoMore keeps what is known a last time: another process does it from now on,
-// or nobody.
-func (s *Sidecar) keepNoMore() {
-	s.keepImage(!s.yielded.Load())
-	all := []*keeper.Keeper{s.keptImage, s.keptMoves, s.keptFile}
+// stopPersistence saves the state a last time: from now on a successor saves it, or nobody.
+func (s *Sidecar) stopPersistence() {
+	s.saveImage(!s.handedOver.Load())
+	all := []*keeper.Keeper{s.imageKeeper, s.movesKeeper, s.fileKeeper}
 	for _, k := range all {
 		k.Close()
 	}
-	until := time.Now().Add(diskPatience)
+	deadline := time.Now().Add(diskTimeout)
 	for _, k := range all {
-		k.Flush(time.Until(until))
+		k.Flush(time.Until(deadline))
 	}
-	s.closeKeys()
+	s.closeKeyStore()
 }
--- a/internal/sidecar/persistence_test.go
+++ b/internal/sidecar/persistence_test.go
@@ -19,18 +19,18 @@
 	"spokegw/internal/state/keystore"
 )
 
-// A disk that does not answer holds up nothing: the sidecar starts, answers, takes over
-// files, lets moves begin and go back, and ends. With one that is gone it is the same.
+// A disk that hangs or fails blocks nothing: the sidecar starts, answers, reloads files, begins
+// and undoes moves, and shuts down.
 func TestDiskHangs(t *testing.T) {
 	operator := moveFile(moveToPod1) + "\n[state]\ndirectory = \"/state\"\n"
-	for name, spoil := range map[string]func(*disk.Disk){
+	for name, breakDisk := range map[string]func(*disk.Disk){
 		"from the start": func(d *disk.Disk) { d.Hang() },
 		"gone":           func(d *disk.Disk) { d.Fail(fmt.Errorf("input/output error")) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := disk.New(1)
-			spoil(d)
-			t.Cleanup(d.Answer) // after the scene has ended
+			breakDisk(d)
+			t.Cleanup(d.Answer) // after the scene has been closed
 			s := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: operator, Disk: d})
 			if a := ask(t, s, tile("a")); a.status != 200 {
 				t.Errorf("status %d", a.status)
@@ -49,32 +49,32 @@
 	}
 }
 
-// A sidecar that comes back with half of its services has what it knew of those, and
-// nothing is made of the rest.
-func TestServicesGone(t *testing.T) {
+// A sidecar restarted with only some of its services restores their state, and ignores that of
+// the others.
+func TestServiceRemovedBetweenStarts(t *testing.T) {
 	weather := endpoint(t, lab.EndpointConfig{Workers: 1, Body: 10})
 	file := func(more string) string { return moveFile("\n[state]\ndirectory = \"/state\"\n" + more) }
 	both := file(fmt.Sprintf("[[service]]\nname = \"weather\"\nendpoints = [%q]\n[[service.class]]\nname = \"forecast\"\neffect = \"safe\"\naim = \"400ms\"\ndeadline = \"1s\"\n", weather.Addr()))
 	d := disk.New(1)
-	for life, operator := range []string{both, file(""), both} {
+	for restart, operator := range []string{both, file(""), both} {
 		s := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: operator, Disk: d})
-		if life == 0 {
+		if restart == 0 {
 			must(t, s, "disable-server maps-0")
 			must(t, s, "disable-server "+weather.Addr())
 		}
 		if a := ask(t, s, tile("")); a.status != 200 {
-			t.Errorf("life %d: status %d", life, a.status)
+			t.Errorf("start %d: status %d", restart, a.status)
 		}
 		text := must(t, s, "show-members")
-		maps, gone := 0, 0
+		mapsDisabled, weatherDisabled := 0, 0
 		for line := range strings.Lines(text) {
 			if strings.Contains(line, "avoided=disabled") {
-				maps += strings.Count(line, "id=maps-0 ")
-				gone += strings.Count(line, "service=weather")
+				mapsDisabled += strings.Count(line, "id=maps-0 ")
+				weatherDisabled += strings.Count(line, "service=weather")
 			}
 		}
-		if maps != 1 || gone != map[int]int{0: 1}[life] {
-			t.Errorf("life %d: %d of maps, %d of weather are disabled:\n%s", life, maps, gone, text)
+		if mapsDisabled != 1 || weatherDisabled != map[int]int{0: 1}[restart] {
+			t.Errorf("start %d: %d endpoints of maps and %d of weather are disabled:\n%s", restart, mapsDisabled, weatherDisabled, text)
 		}
 		s.Stop()
 		if err := s.Wait(); err != nil {
@@ -83,46 +83,46 @@
 	}
 }
 
-// A keyed request that the old process sends when the new one has taken over is on the
-// new one's disk: after a kill of both it is known. With "before" it is there, and known to
-// the new one, before the endpoint has the request.
-func TestToldKeysAreKept(t *testing.T) {
+// A keyed request that the old process sends after its successor has taken over is persisted by
+// the successor, so it survives a kill of both. With "before" it is persisted, and known to the
+// successor, before the endpoint receives the request.
+func TestPredecessorKeysPersisted(t *testing.T) {
 	for _, mode := range []string{"soon", "before"} {
-		t.Run(mode, func(t *testing.T) { toldKeysAreKept(t, mode) })
+		t.Run(mode, func(t *testing.T) { testPredecessorKeysPersisted(t, mode) })
 	}
 }
 
-func toldKeysAreKept(t *testing.T, mode string) {
+func testPredecessorKeysPersisted(t *testing.T, mode string) {
 	const keys = 8
 	var next atomic.Pointer[scene.Scene]
 	var seen, unknown atomic.Int32
-	look := func(*http.Request) {
+	onRequest := func(*http.Request) {
 		if n := seen.Add(1); mode == "before" && next.Load().Sidecar.KeysKnown() < int(n) {
 			unknown.Add(1)
 		}
 	}
 	folder := t.TempDir()
-	c := scene.Config{Listen: address(t), Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: keys, Seen: look}}, Deadline: 9 * time.Second, Window: 30 * time.Second,
+	c := scene.Config{Listen: reserveAddr(t), Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: keys, Seen: onRequest}}, Deadline: 9 * time.Second, Window: 30 * time.Second,
 		Operator: moveFile(fmt.Sprintf("\n[state]\ndirectory = %q\nkeys = %q\n", folder, mode))}
 	old := startReady(t, c)
-	var kept []net.Conn // to the old one, as it alone accepts yet
+	var conns []net.Conn // to the old process, as only that accepts connections yet
 	for range keys {
-		kept = append(kept, connect(t, old.Addr()))
+		conns = append(conns, connect(t, old.Addr()))
 	}
 	c.Maps, c.Beside = nil, old
 	next.Store(startReady(t, c))
-	for i, conn := range kept {
+	for i, conn := range conns {
 		sendReport(t, conn, fmt.Sprint("told-", i), fmt.Sprint("key-", i))
-		if status := answered(t, conn); status != 200 {
+		if status := readStatus(t, conn); status != 200 {
 			t.Errorf("status %d", status)
 		}
 	}
 	if n := unknown.Load(); n > 0 {
-		t.Errorf("%d of %d requests reached the endpoint before their keys were kept", n, seen.Load())
+		t.Errorf("%d of %d requests reached the endpoint before their keys were persisted", n, seen.Load())
 	}
-	for until := time.Now().Add(patience); next.Load().Sidecar.KeysKnown() < keys; must(t, next.Load(), "ready") {
-		if time.Now().After(until) { // what the old one tells is on its way
-			t.Fatalf("%d keys are known", next.Load().Sidecar.KeysKnown())
+	for until := time.Now().Add(testTimeout); next.Load().Sidecar.KeysKnown() < keys; must(t, next.Load(), "ready") {
+		if time.Now().After(until) { // the old process's messages may still be in flight
+			t.Fatalf("the successor knows only %d keys", next.Load().Sidecar.KeysKnown())
 		}
 	}
 	for _, s := range []*scene.Scene{old, next.Load()} {
@@ -137,38 +137,38 @@
 	}
 	defer store.Close()
 	if all, _, _, err := store.Load(); err != nil || len(all) != keys {
-		t.Errorf("%d keys are on the disk, %d were sent: %v", len(all), keys, err)
+		t.Errorf("%d keys are on disk, %d were sent: %v", len(all), keys, err)
 	}
 }
 
-// Where the new process can't open the file of keys, a keyed request that the old one
-// still has to send is refused at once, and no endpoint has it.
-func TestToldKeyThatCantBeKept(t *testing.T) {
+// If the successor can't open the file of keys, a keyed request that the old process has yet to
+// send is refused at once and reaches no endpoint.
+func TestPredecessorKeyNotPersistable(t *testing.T) {
 	folder := t.TempDir()
 	var seen atomic.Int32
-	c := scene.Config{Listen: address(t), Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: 4, Seen: func(*http.Request) { seen.Add(1) }}}, Deadline: 9 * time.Second, Window: 30 * time.Second,
+	c := scene.Config{Listen: reserveAddr(t), Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: 4, Seen: func(*http.Request) { seen.Add(1) }}}, Deadline: 9 * time.Second, Window: 30 * time.Second,
 		Operator: moveFile(fmt.Sprintf("\n[state]\ndirectory = %q\nkeys = \"before\"\n", folder))}
 	old := startReady(t, c)
-	kept := connect(t, old.Addr())
+	conn := connect(t, old.Addr())
 	file := state.Path(folder, "lab", "keys")
 	if err := errors.Join(os.Rename(file, file+".old"), os.Mkdir(file, 0o700)); err != nil {
 		t.Fatal(err)
 	}
 	c.Maps, c.Beside = nil, old
 	startReady(t, c)
-	begun := time.Now()
-	sendReport(t, kept, "told", "key")
-	if status := answered(t, kept); status != 503 || seen.Load() > 0 {
-		t.Errorf("status %d, and %d reached the endpoint", status, seen.Load())
+	started := time.Now()
+	sendReport(t, conn, "told", "key")
+	if status := readStatus(t, conn); status != 503 || seen.Load() > 0 {
+		t.Errorf("status %d, and %d requests reached the endpoint", status, seen.Load())
 	}
-	if took := time.Since(begun); took > 8*time.Second {
-		t.Errorf("it is refused after %v", took)
+	if took := time.Since(started); took > 8*time.Second {
+		t.Errorf("the request is refused only after %v", took)
 	}
 }
 
-// An image that rots on the disk costs what rots, and no more: the endpoint that an
-// operator has disabled is so still.
-func TestRottenImage(t *testing.T) {
+// A corrupted part of an image loses only that part: an endpoint that an operator disabled
+// stays disabled.
+func TestCorruptedImage(t *testing.T) {
 	folder := t.TempDir()
 	operator := moveFile(fmt.Sprintf("\n[state]\ndirectory = %q\n", folder))
 	s := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: operator})
@@ -193,30 +193,30 @@
 	}
 }
 
-// A process takes long to start between being told of a key, or reading it, and serving: the key
-// is as old there as it is.
-func TestKeysGrowOlderAsAProcessStarts(t *testing.T) {
+// The time that a process takes to start, after it received or read a key, counts toward the
+// age of the key.
+func TestKeyAgeIncludesStartTime(t *testing.T) {
 	const pause = 100 * time.Millisecond
-	for _, read := range []bool{false, true} {
-		c := scene.Config{Listen: address(t), Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: 1}}, Deadline: 9 * time.Second, Window: 30 * time.Second,
+	for _, fromDisk := range []bool{false, true} {
+		c := scene.Config{Listen: reserveAddr(t), Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: 1}}, Deadline: 9 * time.Second, Window: 30 * time.Second,
 			Operator: moveFile(fmt.Sprintf("\n[state]\ndirectory = %q\nkeys = \"before\"\n", t.TempDir()))}
 		old := startReady(t, c)
 		conn := connect(t, old.Addr())
 		sent := time.Now()
 		sendReport(t, conn, "first", "key")
-		if status := answered(t, conn); status != 200 {
+		if status := readStatus(t, conn); status != 200 {
 			t.Fatalf("status %d", status)
 		}
 		took := time.Since(sent)
-		if read {
+		if fromDisk {
 			old.Stop()
 			old.Wait()
 		}
 		c.Maps, c.Beside, c.Made = nil, old, func() { <-time.After(pause) }
 		next := startReady(t, c)
-		least := time.Since(sent) - took
-		if age := next.Sidecar.KeyAge(); age < least {
-			t.Errorf("read from a disk: %t: the key is %v old, %v is expected at least", read, age, least)
+		minAge := time.Since(sent) - took
+		if age := next.Sidecar.KeyAge(); age < minAge {
+			t.Errorf("read from disk %t: the key's age is %v, want at least %v", fromDisk, age, minAge)
 		}
 		for _, s := range []*scene.Scene{old, next} {
 			if s.Stop(); s.Wait() != nil {
--- a/internal/sidecar/record_test.go
+++ b/internal/sidecar/record_test.go
@@ -12,8 +12,8 @@
 	"spokegw/internal/lab/scene"
 )
 
-// Every request is in the record with its attempts, also one that an endpoint turned
-// away, and what came before the record's end is in the file when that has been called.
+// Every request is recorded with its attempts, also one that an endpoint declined, and requests
+// that ended before the recording's end are in the file once end returns.
 func TestRecord(t *testing.T) {
 	declines := func(w http.ResponseWriter, _ *http.Request) bool {
 		w.Header().Set("Srv-Declined", "1")
@@ -27,7 +27,7 @@
 	s := startReady(t, scene.Config{Maps: endpoints, Operator: contractsOfA})
 	file := filepath.Join(t.TempDir(), "record")
 	if _, err := s.Sidecar.Record(filepath.Join(file, "none")); err == nil {
-		t.Error("a record that can't be written began")
+		t.Error("recording to an invalid path succeeded")
 	}
 	end, err := s.Sidecar.Record(file)
 	if err != nil {
@@ -50,11 +50,11 @@
 			t.Fatal(err)
 		}
 		if r.Status != http.StatusServiceUnavailable || r.Team != "b" || len(r.Sent) == 0 || len(r.Sent) > 3 {
-			t.Errorf("recorded status %d, team %q, %+v", r.Status, r.Team, r.Sent)
+			t.Errorf("recorded status %d, team %q, attempts %+v", r.Status, r.Team, r.Sent)
 		}
 		for _, a := range r.Sent {
 			if a.Result != "turned away" || a.Endpoint == "" {
-				t.Errorf("an attempt %+v", a)
+				t.Errorf("unexpected attempt %+v", a)
 			}
 		}
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -10,27 +10,26 @@
 	"spokegw/internal/wire"
 )
 
-// retuned is a change of the platform's settings that comes with a table.
-type retuned struct {
+// settingsChange is a change of the platform's settings that is applied together with a table.
+type settingsChange struct {
 	classes []core.Class
-	to      *core.SettingsUpdate
+	update  *core.SettingsUpdate
 }
 
-// Reload takes over what a new configuration may change in a running sidecar:
-// where discovery is, and of the settings classes, tenants and what requests may
-// do. Address, limits, kinds and zones stay as they were at the start. Requests
-// under way end by the rules that they came under, and what was learnt stays. On
-// an error nothing has changed.
+// Reload applies what a new configuration may change in a running sidecar: the discovery
+// address and, of the settings, classes, tenants and the limits of requests. Address, limits,
+// kinds and zones stay as they were at the start. Open requests end under the rules that they
+// were accepted under, and learned state stays. If it returns an error, nothing has changed.
 func (s *Sidecar) Reload(c Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if missing := s.config.keys.Missing(c.keys); len(missing) > 0 {
-		return fmt.Errorf("the file lacks what the one in force has: %s", strings.Join(missing, ", "))
+	if missing := s.config.fileKeys.Missing(c.fileKeys); len(missing) > 0 {
+		return fmt.Errorf("the file lacks keys that the one in force has: %s", strings.Join(missing, ", "))
 	}
-	if err := s.retune(&c.Settings); err != nil {
+	if err := s.updateSettings(&c.Settings); err != nil {
 		return err
 	}
-	s.config.keys, s.config.Discovery = c.keys, c.Discovery
+	s.config.fileKeys, s.config.Discovery = c.fileKeys, c.Discovery
 	for _, r := range s.services {
 		if r.definition.Platform {
 			r.watcher.Redirect(c.Discovery)
@@ -40,13 +39,13 @@
 	return nil
 }
 
-// retune puts the settings in force that may change.
-func (s *Sidecar) retune(set *wire.Settings) error {
-	now := &s.config.Settings
-	next := *set
-	next.Kinds, next.Zones, next.Report, next.ConnectTimeout = now.Kinds, now.Zones, now.Report, now.ConnectTimeout
-	next.Policy.ReportFields = now.Policy.ReportFields
-	if reflect.DeepEqual(*now, next) {
+// updateSettings applies the settings that may change.
+func (s *Sidecar) updateSettings(settings *wire.Settings) error {
+	current := &s.config.Settings
+	next := *settings
+	next.Kinds, next.Zones, next.Report, next.ConnectTimeout = current.Kinds, current.Zones, current.Report, current.ConnectTimeout
+	next.Policy.ReportFields = current.Policy.ReportFields
+	if reflect.DeepEqual(*current, next) {
 		return nil
 	}
 	if s.config.Operator != nil {
@@ -54,24 +53,24 @@
 			return err
 		}
 	}
-	var change *retuned
+	var change *settingsChange
 	for _, r := range s.services {
 		if !r.definition.Platform {
 			continue
 		}
-		to, err := r.service.PrepareSettings(s.platformSettings(&next))
+		update, err := r.service.PrepareSettings(s.platformSettings(&next))
 		if err != nil {
 			return err
 		}
-		change = &retuned{plainClasses(&next), to}
+		change = &settingsChange{platformClasses(&next), update}
 	}
-	if change == nil { // the operator's file has no such service
+	if change == nil { // the operator's file lacks the platform's service
 		s.config.Settings = next
 		return nil
 	}
-	table, terms, err := s.table(s.config.Operator, s.services, change)
+	table, terms, err := s.buildTable(s.config.Operator, s.services, change)
 	if err == nil {
-		err = change.to.Apply()
+		err = change.update.Apply()
 	}
 	if err != nil {
 		return err
@@ -85,7 +84,7 @@
 	return nil
 }
 
-// CountReload counts a file that was read again, taken or turned down.
+// CountReload counts a reload of a file, by whether it was accepted.
 func (s *Sidecar) CountReload(err error) {
 	if err != nil {
 		s.figures.ReloadErrors.Add(1)
--- a/internal/sidecar/running.go
+++ b/internal/sidecar/running.go
@@ -20,49 +20,48 @@
 	"spokegw/policy"
 )
 
-// running is a service with what keeps it going.
-type running struct {
+// runningService is a service with the state that runs it.
+type runningService struct {
 	definition operator.Service
-	of         handover.ServiceRef // its name to another process
+	ref        handover.ServiceRef // its name for other processes
 	service    *core.Service
 	upgrade    *upgrade
 	pool       *upstream.Pool
-	watcher    *discovery.Watcher // nil: the endpoints stand in the file
-	known      []discovery.Entry  // that it begins with
-	way        discovery.Mode     // to its registry
-	parts      []*budget.Partition
-	watches    *budget.Partition // holds the descriptor of a registry's watch; nil: it has none of its own
+	watcher    *discovery.Watcher // nil: the file lists the endpoints
+	initial    []discovery.Entry  // initial entries
+	mode       discovery.Mode     // how its list is obtained
+	partitions []*budget.Partition
+	watchSlots *budget.Partition // holds the descriptor of a registry's watch; nil: it has none of its own
 	started    bool
 	stop       context.CancelFunc
 }
 
-func holds(all []*running, r *running) bool { return slices.Contains(all, r) }
+func contains(all []*runningService, r *runningService) bool { return slices.Contains(all, r) }
 
-// discard gives up the services that were made and are not among those kept.
-func discard(made, kept []*running) {
+// discard retires the services in made that are not in kept.
+func discard(made, kept []*runningService) {
 	for _, r := range made {
-		if !holds(kept, r) {
+		if !contains(kept, r) {
 			r.retire()
 		}
 	}
 }
 
-// standing is the service that a definition stands for already. Its list of
-// endpoints, its weight, paths and methods may be others.
-func (s *Sidecar) standing(d *operator.Service) *running {
+// existingService returns the running service that a definition can reuse; nil if there is
+// none. Its endpoints, weight, paths and methods may differ.
+func (s *Sidecar) existingService(d *operator.Service) *runningService {
 	for _, r := range s.services {
-		if d.Platform && r.definition.Platform || same(r.definition, *d) {
+		if d.Platform && r.definition.Platform || equivalent(r.definition, *d) {
 			return r
 		}
 	}
 	return nil
 }
 
-// same reports whether two definitions differ in nothing that needs another
-// instance of a service.
-func same(a, b operator.Service) bool {
+// equivalent reports whether two definitions differ only in what a running instance can change.
+func equivalent(a, b operator.Service) bool {
 	for _, d := range []*operator.Service{&a, &b} {
-		d.ClearPositions() // where it stands in the file
+		d.ClearPositions() // positions in the file
 		if d.Registry == "" {
 			d.Endpoints = nil
 		}
@@ -74,29 +73,29 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// make makes a service. Its parts of the budgets count from now on.
-func (s *Sidecar) make(d operator.Service) (*running, error) {
-	r := &running{definition: d, of: handover.ServiceRef{Service: d.Name, Platform: d.Platform}, upgrade: s.upgrade, stop: func() {}}
-	join := func(b *budget.Budget, yield func() bool) *budget.Partition {
+// newService makes a service. Its partitions of the budgets count from now on.
+func (s *Sidecar) newService(d operator.Service) (*runningService, error) {
+	r := &runningService{definition: d, ref: handover.ServiceRef{Service: d.Name, Platform: d.Platform}, upgrade: s.upgrade, stop: func() {}}
+	joinBudget := func(b *budget.Budget, yield func() bool) *budget.Partition {
 		p := b.Join(d.Weight, yield)
-		r.parts = append(r.parts, p)
+		r.partitions = append(r.partitions, p)
 		return p
 	}
-	shares := upstream.Resources{
-		Slots:       join(s.budgets.slots, func() bool { return r.pool.EvictIdle() }),
-		StreamBytes: join(s.budgets.long, nil),
+	resources := upstream.Resources{
+		Slots:       joinBudget(s.budgets.slots, func() bool { return r.pool.EvictIdle() }),
+		StreamBytes: joinBudget(s.budgets.longAnswers, nil),
 		SentCount:   &s.figures.Attempts,
 	}
 	c := core.ServiceConfig{Name: d.Name, Figures: s.figures}
 	for range s.fronts {
-		c.Limits = append(c.Limits, core.FrontLimits{Bodies: join(s.budgets.bodies, nil), Requests: join(s.budgets.places, nil)})
+		c.Limits = append(c.Limits, core.FrontLimits{Bodies: joinBudget(s.budgets.bodies, nil), Requests: joinBudget(s.budgets.requests, nil)})
 	}
 	if d.Platform {
 		s.describePlatform(&c)
-		r.pool = upstream.NewPool(shares, s.config.Settings.ConnectTimeout, c.Policy.ConnIdleTimeout)
+		r.pool = upstream.NewPool(resources, s.config.Settings.ConnectTimeout, c.Policy.ConnIdleTimeout)
 	} else {
 		s.describe(&c, &d)
-		r.pool = upstream.NewPool(shares, d.ConnectTimeout, d.Idle)
+		r.pool = upstream.NewPool(resources, d.ConnectTimeout, d.Idle)
 	}
 	c.Pool = r.pool
 	var err error
@@ -107,54 +106,55 @@
 	switch {
 	case d.Platform:
 		list := s.config.Known
-		known := list.Version > 0 || len(list.Servers) > 0 // the first list of all has version 0
-		if handed, ok := s.upgrade.known(r.of); ok && (s.upgrade.predecessor != nil || handed.Version >= list.Version) {
-			list, known = handed, handed.Version > 0 // of what was kept on a disk, the configuration may know better
+		hasList := list.Version > 0 || len(list.Servers) > 0 // the first list of all has version 0
+		if inherited, ok := s.upgrade.inheritedList(r.ref); ok && (s.upgrade.predecessor != nil || inherited.Version >= list.Version) {
+			list, hasList = inherited, inherited.Version > 0 // a list saved on disk may be older than the configuration
 		}
-		r.known, r.way = list.Servers, discovery.LocalAgent
+		r.initial, r.mode = list.Servers, discovery.LocalAgent
 		if s.config.Settings.Policy.DiscoveryOnRequest {
-			r.way = discovery.OnDemand
+			r.mode = discovery.OnDemand
 		}
-		r.watcher = discovery.NewWatcher(s.config.Discovery, list.Version, known, r)
+		r.watcher = discovery.NewWatcher(s.config.Discovery, list.Version, hasList, r)
 	case d.Registry != "":
-		if !shares.Slots.TryAcquire(1) && !(shares.Slots.Reclaim() && shares.Slots.TryAcquire(1)) {
+		if !resources.Slots.TryAcquire(1) && !(resources.Slots.Reclaim() && resources.Slots.TryAcquire(1)) {
 			r.retire()
 			return nil, fmt.Errorf("service %q: no descriptor is left for the watch on its registry", d.Name)
 		}
-		r.watches = shares.Slots
-		list, _ := s.upgrade.known(r.of)
-		r.known, r.way = list.Servers, discovery.Remote
+		r.watchSlots = resources.Slots
+		list, _ := s.upgrade.inheritedList(r.ref)
+		r.initial, r.mode = list.Servers, discovery.Remote
 		r.watcher = discovery.NewWatcher(d.Registry, list.Version, list.Version > 0, r)
 	default:
-		r.known = entries(d.Endpoints)
+		r.initial = entries(d.Endpoints)
 	}
 	if r.watcher != nil {
 		r.service.OnSubscribe(r.watcher.Subscribe)
 	}
 	r.service.SetMoves(s.movePlans(s.config.Operator, d.Name))
-	if s.begun != nil && s.begun.Keys.UsesStore() {
+	if s.initialFile != nil && s.initialFile.Keys.UsesStore() {
 		r.service.SetKeyWriter(func(ctx context.Context, n keyed.Note) error {
-			return s.keepKey(ctx, handover.Key{ServiceRef: r.of, Note: n})
+			return s.persistKey(ctx, handover.Key{ServiceRef: r.ref, Note: n})
 		})
 	}
-	r.service.SetStallMonitor( // the brake is made later
-		func() time.Duration { return s.brake.delay() },
-		func(from, now time.Time) time.Duration { return s.brake.stalledSince(from, now) },
+	r.service.SetStallMonitor( // the shedder is created later
+		func() time.Duration { return s.shedder.delay() },
+		func(from, now time.Time) time.Duration { return s.shedder.stalledSince(from, now) },
 	)
-	if s.begun != nil && s.begun.Overload != nil {
-		r.service.SetProcessorDelay(func() time.Duration { return s.brake.delay() })
+	if s.initialFile != nil && s.initialFile.Overload != nil {
+		r.service.SetProcessorDelay(func() time.Duration { return s.shedder.delay() })
 	}
-	if s.begun != nil && s.begun.Fleet != nil && s.begun.Fleet.Weights {
+	if s.initialFile != nil && s.initialFile.Fleet != nil && s.initialFile.Fleet.Weights {
 		r.service.EnableMeasurement()
 	}
-	r.service.SetPeers(peers{r.upgrade, r.of})
+	r.service.SetPeers(peers{r.upgrade, r.ref})
 	return r, nil
 }
 
-// classes are those of a definition; nil: of the platform's, as it tells them.
+// classes returns the classes of a definition, or the platform's if d is nil or the platform's
+// service.
 func (s *Sidecar) classes(d *operator.Service) (classes []core.Class) {
 	if d == nil || d.Platform {
-		return plainClasses(&s.config.Settings)
+		return platformClasses(&s.config.Settings)
 	}
 	for _, c := range d.Classes {
 		classes = append(classes, core.Class{Name: c.Name, Paths: c.Paths, Methods: c.Methods})
@@ -162,33 +162,32 @@
 	return classes
 }
 
-// plainClasses are the classes of the platform's settings.
-func plainClasses(set *wire.Settings) (classes []core.Class) {
-	for i, name := range set.Classes {
-		classes = append(classes, core.DefaultClass(name, set.Policy.Classes[i].Effect))
+// platformClasses returns the classes of the platform's settings.
+func platformClasses(settings *wire.Settings) (classes []core.Class) {
+	for i, name := range settings.Classes {
+		classes = append(classes, core.DefaultClass(name, settings.Policy.Classes[i].Effect))
 	}
 	return classes
 }
 
-// describePlatform describes the service that the platform's settings tell of.
+// describePlatform describes the service defined by the platform's settings.
 func (s *Sidecar) describePlatform(c *core.ServiceConfig) {
 	set := &s.config.Settings
 	c.Kinds, c.Zones, c.Report = set.Kinds, set.Zones, set.Report
 	c.Settings, c.Seed = s.platformSettings(set), s.config.Seed
 }
 
-// platformSettings are those of the platform's service.
-func (s *Sidecar) platformSettings(set *wire.Settings) core.Settings {
-	c := core.Settings{Tenants: set.Tenants, Classes: set.Classes, Policy: set.Policy}
-	if s.config.Operator != nil { // contracts hold what tenants' shares and one budget of retries stood for
+// platformSettings returns the settings of the platform's service.
+func (s *Sidecar) platformSettings(settings *wire.Settings) core.Settings {
+	c := core.Settings{Tenants: settings.Tenants, Classes: settings.Classes, Policy: settings.Policy}
+	if s.config.Operator != nil { // contracts replace the tenants' shares and the host's retry budget
 		c.Tenants, c.Policy.Tenants, c.Policy.HostRetryBudget = nil, nil, true
 	}
 	return c
 }
 
-// describe describes a service of the operator's. What its part of the file
-// does not tell of endpoints, such as how long they are cold, is as the
-// platform has it.
+// describe describes a service of the operator's file. What the file does not define for
+// endpoints, such as their warmup time, is taken from the platform's settings.
 func (s *Sidecar) describe(c *core.ServiceConfig, d *operator.Service) {
 	set := &s.config.Settings
 	p := set.Policy
@@ -203,8 +202,8 @@
 	}
 }
 
-// entries are endpoints that stand in the file. Nothing tells which of them
-// drop one another's repeats, so each is a pod of its own.
+// entries returns the endpoints listed in the file. It is unknown which of them share a
+// deduplication window, so each one is a pod of its own.
 func entries(addrs []string) (all []discovery.Entry) {
 	for _, addr := range addrs {
 		h := fnv.New32a()
@@ -214,67 +213,66 @@
 	return all
 }
 
-// start has the service follow its list until ctx ends. It is to be called
-// again after each reload, which changes nothing in what runs.
-func (r *running) start(ctx context.Context) {
+// start makes the service follow its list until ctx ends. It is called after each reload too,
+// and does nothing for a service that runs.
+func (r *runningService) start(ctx context.Context) {
 	if r.started {
 		return
 	}
 	r.started = true
 	ctx, r.stop = context.WithCancel(ctx)
-	r.service.UpdateEndpoints(r.known, true)
+	r.service.UpdateEndpoints(r.initial, true)
 	if r.watcher != nil {
-		go r.watcher.Run(ctx, r.way)
+		go r.watcher.Run(ctx, r.mode)
 	}
 }
 
-// hear waits until an agent that lists are pushed to has been asked, or ctx ends: what it
-// has counts as told from the first moment of this process, whose own list may be old. The
-// agent answers at once or is silent. Clients who connect meanwhile wait, and their time runs
-// before their requests are read, so this takes little.
-func (r *running) hear(ctx context.Context) {
-	if r.watcher == nil || r.way != discovery.LocalAgent {
+// awaitAgent waits until the agent that pushes lists has answered the first call, or ctx ends,
+// so that its list counts from the first moment of this process, whose own list may be old. The
+// agent answers at once or not at all. Clients that connect meanwhile wait, and their deadlines
+// run before their requests are read, so the wait is short.
+func (r *runningService) awaitAgent(ctx context.Context) {
+	if r.watcher == nil || r.mode != discovery.LocalAgent {
 		return
 	}
-	patience := time.NewTimer(hearWithin)
-	defer patience.Stop()
+	timer := time.NewTimer(agentTimeout)
+	defer timer.Stop()
 	select {
 	case <-r.watcher.FirstCallDone():
-	case <-patience.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// hearWithin is how long an agent is waited for: endpoints are told of a deadline what is left
-// of it, but for 0.15 s, and the time that a request waits unread is not known.
-const hearWithin = 75 * time.Millisecond
+// agentTimeout bounds the wait for an agent: the deadline sent to an endpoint is the request's
+// remaining time less 0.15 s, and the time that a request waits unread is unknown.
+const agentTimeout = 75 * time.Millisecond
 
-// adopt takes over what a definition may change in a service that runs.
-func (r *running) adopt(d operator.Service) {
+// reconfigure applies what a definition may change in a running service.
+func (r *runningService) reconfigure(d operator.Service) {
 	if !d.Platform && d.Registry == "" && !slices.Equal(r.definition.Endpoints, d.Endpoints) {
-		if r.known = entries(d.Endpoints); r.started { // else it begins with them
-			r.service.UpdateEndpoints(r.known, true)
+		if r.initial = entries(d.Endpoints); r.started { // otherwise it starts with them
+			r.service.UpdateEndpoints(r.initial, true)
 		}
 	}
 	if d.Weight != r.definition.Weight {
-		for _, p := range r.parts {
+		for _, p := range r.partitions {
 			p.SetWeight(d.Weight)
 		}
 	}
 	r.definition = d
 }
 
-// retire ends a service. What is under way goes on, and gives back its parts of
-// the budgets as it ends.
-func (r *running) retire() {
+// retire ends a service. Open requests continue and release their budgets as they end.
+func (r *runningService) retire() {
 	r.stop()
-	for _, p := range r.parts {
+	for _, p := range r.partitions {
 		p.Leave()
 	}
 	if r.pool != nil {
 		r.pool.Close()
 	}
-	if r.watches != nil {
-		r.watches.Release(1)
+	if r.watchSlots != nil {
+		r.watchSlots.Release(1)
 	}
 }
--- a/internal/sidecar/running_test.go
+++ b/internal/sidecar/running_test.go
@@ -6,13 +6,13 @@
 	"spokegw/internal/operator"
 )
 
-// A reload that comes before a service follows its list has it begin with the new one.
+// A service that has not been started yet starts with the endpoints of the last reload.
 func TestReloadBeforeStart(t *testing.T) {
 	d := operator.Service{Name: "weather", Endpoints: []string{"127.0.0.1:1"}}
-	r := &running{definition: d, known: entries(d.Endpoints)}
+	r := &runningService{definition: d, initial: entries(d.Endpoints)}
 	d.Endpoints = []string{"127.0.0.1:2"}
-	r.adopt(d)
-	if len(r.known) != 1 || r.known[0].Addr != "127.0.0.1:2" {
-		t.Errorf("it begins with %v", r.known)
+	r.reconfigure(d)
+	if len(r.initial) != 1 || r.initial[0].Addr != "127.0.0.1:2" {
+		t.Errorf("the service starts with %v", r.initial)
 	}
 }
--- a/internal/sidecar/shedder.go
+++ b/internal/sidecar/shedder.go
@@ -16,47 +16,49 @@
 	"spokegw/internal/stall"
 )
 
-// brakeLook is how often it is looked how long ready work waits for the processor.
-const brakeLook = 10 * time.Millisecond
+// delaySampleInterval is the interval between measurements of the processor's scheduling delay.
+const delaySampleInterval = 10 * time.Millisecond
 
-// brake looks how long ready work waits for the processor, and holds the sidecar to what
-// that can do where an operator wants it to. Without an operator's file it is nil.
-type brake struct {
+// shedder measures how long runnable goroutines wait for the processor and, where the
+// operator's file has an overload section, sheds load accordingly. Without an operator's file
+// it is nil.
+type shedder struct {
 	core    *core.Core
-	on      atomic.Bool   // some may be refused
-	refused atomic.Uint64 // in all
+	active  atomic.Bool   // some requests may be refused
+	refused atomic.Uint64 // total
 
-	waited atomic.Int64 // ready work, of late
-	due    atomic.Int64 // the next look, since begun
-	stalls stall.Record // of the process
+	recentDelay atomic.Int64 // recent scheduling delay, ns
+	nextSample  atomic.Int64 // time of the next sample, ns since started
+	stalls      stall.Record // of the process
 
-	mu    sync.Mutex
-	brake *overload.Shedder // nil: all are let in
-	begun time.Time
+	mu      sync.Mutex
+	limiter *overload.Shedder // nil: all requests are admitted
+	started time.Time
 }
 
-func newBrake(set *overload.Settings, c *core.Core) *brake {
-	b := &brake{core: c, begun: time.Now()}
-	if set != nil {
-		b.brake = overload.New(0, *set)
+func newShedder(settings *overload.Settings, c *core.Core) *shedder {
+	s := &shedder{core: c, started: time.Now()}
+	if settings != nil {
+		s.limiter = overload.New(0, *settings)
 	}
-	return b
+	return s
 }
 
-// look watches until ctx ends. How late its timer is tells of a processor that is taken
-// away; how long it takes to come round once more, of the work that is ready here. A
-// goroutine that yields goes behind all of that, while one that a timer wakes goes first.
-func (b *brake) look(ctx context.Context) {
-	if b == nil {
+// monitor samples the scheduling delay until ctx ends. The delay of its timer shows a processor
+// that is taken away from the process; the time a yield takes shows the work queued in this
+// process. A goroutine that yields goes behind all runnable ones, while one that a timer wakes
+// goes ahead of them, so both are needed.
+func (s *shedder) monitor(ctx context.Context) {
+	if s == nil {
 		return
 	}
-	timer := time.NewTimer(brakeLook)
+	timer := time.NewTimer(delaySampleInterval)
 	defer timer.Stop()
 	for {
-		due := time.Now().Add(brakeLook)
-		b.due.Store(int64(due.Sub(b.begun)))
-		b.stalls.Expect(due)
-		timer.Reset(brakeLook)
+		due := time.Now().Add(delaySampleInterval)
+		s.nextSample.Store(int64(due.Sub(s.started)))
+		s.stalls.Expect(due)
+		timer.Reset(delaySampleInterval)
 		select {
 		case <-ctx.Done():
 			return
@@ -64,75 +66,76 @@
 		}
 		runtime.Gosched()
 		now := time.Now()
-		b.stalls.Done(now)
-		b.tell(now.Sub(due))
+		s.stalls.Done(now)
+		s.record(now.Sub(due))
 	}
 }
 
-// delay is how long ready work waits for the processor, of late or by now: while the next
-// look is overdue itself, as long as that.
-func (b *brake) delay() time.Duration {
-	if b == nil {
+// delay returns the recent scheduling delay, or the time by which the next sample is overdue if
+// that is longer.
+func (s *shedder) delay() time.Duration {
+	if s == nil {
 		return 0
 	}
-	overdue := time.Since(b.begun) - time.Duration(b.due.Load())
-	return max(time.Duration(b.waited.Load()), overdue, 0)
+	overdue := time.Since(s.started) - time.Duration(s.nextSample.Load())
+	return max(time.Duration(s.recentDelay.Load()), overdue, 0)
 }
 
-// stalledSince is for how long the process got no processor between a time and now.
-func (b *brake) stalledSince(from, now time.Time) time.Duration {
-	if b == nil {
+// stalledSince returns how long the process was stalled between from and now.
+func (s *shedder) stalledSince(from, now time.Time) time.Duration {
+	if s == nil {
 		return 0
 	}
-	return b.stalls.StalledBetween(from, now)
+	return s.stalls.StalledBetween(from, now)
 }
 
-func (b *brake) tell(waited time.Duration) {
-	b.waited.Store(int64(max(waited, time.Duration(b.waited.Load())*3/4)))
-	if b.brake == nil {
+func (s *shedder) record(delay time.Duration) {
+	s.recentDelay.Store(int64(max(delay, time.Duration(s.recentDelay.Load())*3/4)))
+	if s.limiter == nil {
 		return
 	}
-	b.mu.Lock()
-	now := time.Since(b.begun)
-	_, since := b.brake.Shedding()
-	changed := b.brake.ObserveDelay(now, waited)
-	on, _ := b.brake.Shedding()
-	level := b.brake.AdmitFraction()
-	b.mu.Unlock()
+	s.mu.Lock()
+	now := time.Since(s.started)
+	_, started := s.limiter.Shedding()
+	changed := s.limiter.ObserveDelay(now, delay)
+	on, _ := s.limiter.Shedding()
+	level := s.limiter.AdmitFraction()
+	s.mu.Unlock()
 	if !changed {
 		return
 	}
-	if b.on.Store(on); on {
-		slog.Warn("overloaded: this sidecar's own processor is short, and what is worth least is refused", "waited", waited, "let_in", level)
+	if s.active.Store(on); on {
+		slog.Warn("overloaded: the sidecar is short of CPU; refusing the requests of least worth", "waited", delay, "let_in", level)
 		return
 	}
-	slog.Info("no longer overloaded", "lasted", now-since, "refused_in_all", b.refused.Load())
+	slog.Info("no longer overloaded", "lasted", now-started, "refused_in_all", s.refused.Load())
 }
 
-// Active reports whether some may be refused.
-func (b *brake) Active() bool { return b.on.Load() }
+// Active reports whether requests may be refused.
+func (s *shedder) Active() bool { return s.active.Load() }
 
-// Refuse judges a request by its target; after is when a refused one is best sent again.
-func (b *brake) Refuse(target string) (refused bool, after time.Duration) {
-	worth, count := b.core.AdmissionInfo(target)
+// Refuse decides on a request by its target; after is the delay before a refused request should
+// be retried.
+func (s *shedder) Refuse(target string) (refused bool, after time.Duration) {
+	worth, count := s.core.AdmissionInfo(target)
 	if count == nil {
-		return false, 0 // what is none of ours is answered as ever
+		return false, 0 // not a path of a service: answered as usual
 	}
-	b.mu.Lock()
-	in, after := b.brake.Admit(overload.Rank(worth), rand.Float64())
-	b.mu.Unlock()
-	if !in {
-		b.refused.Add(1)
+	s.mu.Lock()
+	admitted, after := s.limiter.Admit(overload.Rank(worth), rand.Float64())
+	s.mu.Unlock()
+	if !admitted {
+		s.refused.Add(1)
 		count.Begin()
 		count.End(figures.Rejected)
 	}
-	return !in, after
+	return !admitted, after
 }
 
-// door is what the front for HTTP/1.1 asks; nil: nothing.
-func (b *brake) door() http1.Admission {
-	if b == nil || b.brake == nil {
+// admission returns the admission check for the HTTP/1.1 front; nil if there is none.
+func (s *shedder) admission() http1.Admission {
+	if s == nil || s.limiter == nil {
 		return nil
 	}
-	return b
+	return s
 }
--- a/internal/sidecar/shedder_test.go
+++ b/internal/sidecar/shedder_test.go
@@ -9,65 +9,65 @@
 	"spokegw/internal/overload"
 )
 
-// Where ready work waits for long the worthiest are let in, what is refused is told when to
-// come back and counted, paths that are nobody's are left to the usual way, and all are let
-// in again when it waits no more.
-func TestBrake(t *testing.T) {
+// Under a scheduling delay, requests of greater worth are admitted more often, refused ones get
+// a retry delay and are counted, unknown paths are answered as usual, and once the delay is
+// gone all requests are admitted.
+func TestShedding(t *testing.T) {
 	s := start(t, scene.Config{Operator: maps + contract("kiosks", 0.5, "service = 'maps'")})
-	set := overload.Settings{Target: time.Millisecond, Interval: 2 * time.Millisecond}
-	b := s.Sidecar.NewBrake(set)
-	tell := func(waited time.Duration, times int) {
+	settings := overload.Settings{Target: time.Millisecond, Interval: 2 * time.Millisecond}
+	shedder := s.Sidecar.NewShedder(settings)
+	record := func(delay time.Duration, times int) {
 		for range times {
-			<-time.After(set.Interval) // its own clock
-			b.Tell(waited)
+			<-time.After(settings.Interval) // the shedder reads the real clock
+			shedder.Record(delay)
 		}
 	}
-	if b.Active() {
-		t.Error("it judges before anything waits")
+	if shedder.Active() {
+		t.Error("shedding is active before any delay")
 	}
-	tell(time.Second, 2)
-	let := map[string]int{}
+	record(time.Second, 2)
+	admitted := map[string]int{}
 	var refused int
 	for range 20 {
 		for range 100 {
 			for _, target := range []string{"/map-tile/1?user=k", "/status-report", "/nobody"} {
-				if no, after := b.Refuse(target); !no {
-					let[target]++
+				if refuse, after := shedder.Refuse(target); !refuse {
+					admitted[target]++
 				} else if refused++; after <= 0 || after > 10*time.Second {
-					t.Fatalf("come back after %v", after)
+					t.Fatalf("a refused request has a retry delay of %v", after)
 				}
 			}
 		}
-		tell(time.Second, 1)
+		record(time.Second, 1)
 	}
-	if let["/nobody"] != 2000 || let["/status-report"] < 2*let["/map-tile/1?user=k"] || refused < 1000 {
-		t.Errorf("let in are %v, refused %d", let, refused)
+	if admitted["/nobody"] != 2000 || admitted["/status-report"] < 2*admitted["/map-tile/1?user=k"] || refused < 1000 {
+		t.Errorf("admitted %v, refused %d", admitted, refused)
 	}
-	if b.Delay() < 500*time.Millisecond {
-		t.Errorf("ready work is said to wait for %v", b.Delay())
+	if shedder.Delay() < 500*time.Millisecond {
+		t.Errorf("the scheduling delay is reported as %v", shedder.Delay())
 	}
 	if text := must(t, s, "show-stat"); strings.Count(text, ".rejected:0|c") > 0 {
-		t.Errorf("what is refused at the door is not counted:\n%s", text)
+		t.Errorf("requests refused at admission are not counted:\n%s", text)
 	}
-	for until := time.Now().Add(patience); b.Active(); tell(0, 1) {
+	for until := time.Now().Add(testTimeout); shedder.Active(); record(0, 1) {
 		if time.Now().After(until) {
-			t.Fatal("it judges still")
+			t.Fatal("shedding is still active")
 		}
 	}
 }
 
-// Without the section it is seen how long ready work waits, and nobody is refused for it.
-func TestLookWithoutBrake(t *testing.T) {
+// Without an overload section, the scheduling delay is measured but no request is refused.
+func TestDelayWithoutShedding(t *testing.T) {
 	s := start(t, scene.Config{Operator: maps + contract("kiosks", 0.5, "service = 'maps'")})
-	b := s.Sidecar.NewLook()
-	b.Tell(time.Second)
-	if b.Refuses() || b.Active() || b.Delay() < 500*time.Millisecond {
-		t.Errorf("a door %v, judges %v, ready work is said to wait for %v", b.Refuses(), b.Active(), b.Delay())
+	sampler := s.Sidecar.NewSampler()
+	sampler.Record(time.Second)
+	if sampler.HasAdmission() || sampler.Active() || sampler.Delay() < 500*time.Millisecond {
+		t.Errorf("admission check %v, shedding %v, reported scheduling delay %v", sampler.HasAdmission(), sampler.Active(), sampler.Delay())
 	}
 }
 
-// The settings are checked, and can't be changed by a reload.
-func TestBrakeSettings(t *testing.T) {
+// The settings are validated, and a reload can't change them.
+func TestOverloadSettings(t *testing.T) {
 	s := start(t, scene.Config{Operator: maps + contract("kiosks", 0.5, "service = 'maps'") + "[overload]\n"})
 	for text, want := range map[string]string{
 		"":                               "overload",
@@ -77,7 +77,7 @@
 		"[overload]\nsoon = true\n":      "overload.soon",
 	} {
 		if err := s.Reload(maps + contract("kiosks", 0.5, "service = 'maps'") + text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, something of %q is expected", text, err, want)
+			t.Errorf("%q: error %v, want one containing %q", text, err, want)
 		}
 	}
 	if a := ask(t, s, tile("kiosks")); a.status != 200 {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -23,61 +23,61 @@
 	"spokegw/internal/state/keeper"
 )
 
-// budgets are what all services have together.
-type budgets struct{ slots, long, bodies, places *budget.Budget }
+// budgets are shared by all services.
+type budgets struct{ slots, longAnswers, bodies, requests *budget.Budget }
 
-// Sidecar is a sidecar that listens.
+// Sidecar is a running sidecar.
 type Sidecar struct {
-	config  Config
-	begun   *operator.File // that it was started with; what can't be changed while it runs is read here
-	budgets budgets
-	front   *http1.Server
-	http3   *http3.Server // nil: off
-	fronts  int           // that there are, by number
-	core    *core.Core
-	figures *figures.Figures
-	upgrade *upgrade
-	brake   *brake // nil: off
+	config      Config
+	initialFile *operator.File // at the start: settings that can't change while the sidecar runs are read from it
+	budgets     budgets
+	front       *http1.Server
+	http3       *http3.Server // nil: off
+	fronts      int           // number of fronts
+	core        *core.Core
+	figures     *figures.Figures
+	upgrade     *upgrade
+	shedder     *shedder // nil: off
 
-	keptMoves, keptImage *keeper.Keeper
-	keptFile             *keeper.Keeper // the operator's
-	keys                 keys
-	yielded              atomic.Bool // another process serves
+	movesKeeper, imageKeeper *keeper.Keeper
+	fileKeeper               *keeper.Keeper // of the operator's file
+	keys                     keyState
+	handedOver               atomic.Bool // another process serves
 
 	management *management.Server // nil: off
 	metrics    *metrics.Server    // nil: off
 	serving    atomic.Bool
 	drained    atomic.Bool // by an operator
 
-	shared *shared // nil: this process decides alone
+	membership *fleetMember // nil: not part of a fleet
 
-	retake    chan struct{}       // the console is to take its path again
-	reload    func() ReloadResult // reads the files again; nil: nothing can
-	reloading sync.Mutex
-	log       *logging.Log // nil: it is not ours
+	consoleReopen chan struct{}       // requests to open the console's socket again
+	reload        func() ReloadResult // reads the files again; nil: not supported
+	reloading     sync.Mutex
+	log           *logging.Log // nil: the log is not the sidecar's own
 
 	mu       sync.Mutex
-	services []*running // by their order in the operator's file
-	retired  []*running // that have requests under way still
-	context  context.Context
+	services []*runningService // in the order of the operator's file
+	retired  []*runningService // with open requests
+	watchCtx context.Context
 }
 
-// New makes a sidecar and opens its address.
+// New creates a sidecar and opens its addresses.
 func New(c Config) (*Sidecar, error) {
-	s := &Sidecar{config: c, begun: c.Operator, fronts: 1, retake: make(chan struct{}, 1), figures: figures.New(), budgets: budgets{
-		slots: budget.New(0), long: budget.New(0), bodies: budget.New(0), places: budget.New(0),
+	s := &Sidecar{config: c, initialFile: c.Operator, fronts: 1, consoleReopen: make(chan struct{}, 1), figures: figures.New(), budgets: budgets{
+		slots: budget.New(0), longAnswers: budget.New(0), bodies: budget.New(0), requests: budget.New(0),
 	}}
-	s.keptMoves, s.keptImage = newKeeper(&s.config, "moves"), newKeeper(&s.config, "state")
-	s.keptFile = newKeeper(&s.config, acceptedKind)
-	s.upgrade = s.join()
-	s.resizeBudgets(s.upgrade.part())
+	s.movesKeeper, s.imageKeeper = newKeeper(&s.config, "moves"), newKeeper(&s.config, "state")
+	s.fileKeeper = newKeeper(&s.config, acceptedKind)
+	s.upgrade = s.joinUpgrade()
+	s.resizeBudgets(s.upgrade.share())
 	if c.OwnProcess {
-		limitMemory(c.Limits, s.upgrade.part())
+		limitMemory(c.Limits, s.upgrade.share())
 	}
 	if err := s.open(); err != nil {
 		s.upgrade.abandon()
-		s.keptImage.Close()
-		s.closeKeys()
+		s.imageKeeper.Close()
+		s.closeKeyStore()
 		return nil, err
 	}
 	return s, nil
@@ -90,19 +90,19 @@
 		s.fronts = http3Front + 1
 	}
 	var err error
-	if s.services, err = s.plan(c.Operator); err != nil {
+	if s.services, err = s.planServices(c.Operator); err != nil {
 		return err
 	}
-	table, terms, err := s.table(c.Operator, s.services, nil)
+	table, terms, err := s.buildTable(c.Operator, s.services, nil)
 	if err != nil {
 		return err
 	}
 	s.core = core.New(table)
 	s.upgrade.adoptIDs(s.core)
-	longest := s.core.MaxDeadline()
+	maxWait := s.core.MaxDeadline()
 	if c.Operator != nil {
 		s.core.SetTableAndTerms(table, terms)
-		longest = operator.MaxDeadline // a reload may bring a class that waits longer
+		maxWait = operator.MaxDeadline // a reload may add a class with a longer deadline
 	}
 	if s.upgrade.predecessor == nil {
 		if s.http3, err = s.listenHTTP3(); err != nil {
@@ -110,7 +110,7 @@
 		}
 	}
 	if c.Operator != nil {
-		s.brake = newBrake(c.Operator.Overload, s.core)
+		s.shedder = newShedder(c.Operator.Overload, s.core)
 	}
 	if s.upgrade.predecessor == nil {
 		if s.metrics, err = s.listenMetrics(); err != nil {
@@ -123,20 +123,20 @@
 	if err := s.joinFleet(); err != nil {
 		return err
 	}
-	return s.listenHTTP1(longest)
+	return s.listenHTTP1(maxWait)
 }
 
-// plan makes the services of an operator's file, out of those there are where
-// they stay. Without a file there is the platform's own.
-func (s *Sidecar) plan(f *operator.File) (services []*running, err error) {
+// planServices returns the services of an operator's file, reusing running ones where possible.
+// Without a file, there is only the platform's service.
+func (s *Sidecar) planServices(f *operator.File) (services []*runningService, err error) {
 	definitions := []operator.Service{{Platform: true, Weight: 1}}
 	if f != nil {
 		definitions = f.Services
 	}
 	for _, d := range definitions {
-		r := s.standing(&d)
+		r := s.existingService(&d)
 		if r == nil {
-			if r, err = s.make(d); err != nil {
+			if r, err = s.newService(d); err != nil {
 				discard(services, s.services)
 				return nil, err
 			}
@@ -146,9 +146,9 @@
 	return services, nil
 }
 
-// table makes the core's table of services, and their contracts. retuned is the
-// change of settings that comes with it to the platform's service; nil: none.
-func (s *Sidecar) table(f *operator.File, services []*running, retuned *retuned) (*core.Table, []broker.Terms, error) {
+// buildTable makes the core's table of services, and their contracts. change is the change of
+// the platform's settings that is applied with it; nil if there is none.
+func (s *Sidecar) buildTable(f *operator.File, services []*runningService, change *settingsChange) (*core.Table, []broker.Terms, error) {
 	var all []core.Mount
 	var terms []broker.Terms
 	for i, r := range services {
@@ -158,8 +158,8 @@
 		}
 		m := core.Mount{Service: r.service, Classes: s.classes(d)}
 		names := r.service.ClassNames()
-		if retuned != nil && r.definition.Platform {
-			m.Classes, m.Update, names = retuned.classes, retuned.to, retuned.to.ClassNames()
+		if change != nil && r.definition.Platform {
+			m.Classes, m.Update, names = change.classes, change.update, change.update.ClassNames()
 		}
 		all = append(all, m)
 		if f != nil {
@@ -170,79 +170,78 @@
 	return t, terms, err
 }
 
-// Addr is where the sidecar listens.
+// Addr returns the address at which the sidecar listens.
 func (s *Sidecar) Addr() net.Addr { return s.front.Addr() }
 
-// Run serves until ctx ends, then finishes what it has taken.
+// Run serves until ctx ends, then finishes open requests.
 func (s *Sidecar) Run(ctx context.Context) error {
-	watching, stopWatch := context.WithCancel(context.Background())
+	watchCtx, stopWatch := context.WithCancel(context.Background())
 	defer stopWatch()
 	s.mu.Lock()
-	s.context = watching
+	s.watchCtx = watchCtx
 	for _, r := range s.services {
-		r.start(watching)
+		r.start(watchCtx)
 	}
 	s.mu.Unlock()
-	var running sync.WaitGroup
-	defer running.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	defer stopWatch()
-	running.Go(func() { s.sweep(watching) })
-	running.Go(func() { s.brake.look(watching) })
+	goroutines.Go(func() { s.sweep(watchCtx) })
+	goroutines.Go(func() { s.shedder.monitor(watchCtx) })
 	if s.management != nil {
-		running.Go(func() { s.management.Serve(watching) })
+		goroutines.Go(func() { s.management.Serve(watchCtx) })
 	}
-	running.Go(func() { s.serveMetrics(watching) })
-	running.Go(func() { s.serveFleet(watching) })
-	s.upgrade.run(watching, &running)
-	s.keep()
-	defer s.keepNoMore()
-	if c := s.listenConsole(); s.begun != nil {
-		running.Go(func() { s.serveConsole(watching, c) })
+	goroutines.Go(func() { s.serveMetrics(watchCtx) })
+	goroutines.Go(func() { s.serveFleet(watchCtx) })
+	s.upgrade.run(watchCtx, &goroutines)
+	s.startPersistence()
+	defer s.stopPersistence()
+	if c := s.listenConsole(); s.initialFile != nil {
+		goroutines.Go(func() { s.serveConsole(watchCtx, c) })
 	}
-	for _, r := range s.running() {
-		r.hear(ctx)
+	for _, r := range s.currentServices() {
+		r.awaitAgent(ctx)
 	}
 	s.serving.Store(true)
 	slog.Info("ready", "name", s.config.Name, "listen", s.Addr().String(), "endpoints", len(s.config.Known.Servers))
 	return s.serve(ctx)
 }
 
-// serve runs the fronts until ctx ends or one of them fails, and waits until
-// each has finished what it has taken.
+// serve runs the fronts until ctx ends or one of them fails, and waits until each has finished
+// its open requests.
 func (s *Sidecar) serve(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	second := make(chan error, 1)
+	http3Err := make(chan error, 1)
 	go func() {
 		err := s.serveHTTP3(ctx)
 		if err != nil {
 			stop()
 		}
-		second <- err
+		http3Err <- err
 	}()
-	first := s.front.Serve(ctx)
-	if first != nil {
+	http1Err := s.front.Serve(ctx)
+	if http1Err != nil {
 		stop()
 	}
-	if err := errors.Join(first, <-second); err != nil {
+	if err := errors.Join(http1Err, <-http3Err); err != nil {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
 }
 
-// ReloadOperator takes over another operator's file, at one instant. Requests
-// under way end under the contract and by the service that they were taken by.
-// On an error nothing has changed.
+// ReloadOperator applies another operator's file atomically. Open requests end under the
+// contract and at the service that accepted them. If it returns an error, nothing has changed.
 func (s *Sidecar) ReloadOperator(f *operator.File) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.config.Operator == nil || f == nil {
-		return fmt.Errorf("an operator's file can't be put in or taken away while the sidecar runs")
+		return fmt.Errorf("an operator's file can't be added or removed while the sidecar runs")
 	}
 	if err := s.config.CheckOperator(f); err != nil {
 		return err
 	}
-	if f.Console != s.begun.Console {
+	if f.Console != s.initialFile.Console {
 		return fmt.Errorf("console: its socket can't be changed while the sidecar runs")
 	}
 	if f.State != s.config.Operator.State || f.Keys != s.config.Operator.Keys {
@@ -254,44 +253,44 @@
 	if !reflect.DeepEqual(f.Overload, s.config.Operator.Overload) {
 		return fmt.Errorf("overload: its settings can't be changed while the sidecar runs")
 	}
-	if err := s.checkShared(f); err != nil {
+	if err := s.checkFleetReload(f); err != nil {
 		return err
 	}
 	if f.HTTP1 != s.config.Operator.HTTP1 {
 		return fmt.Errorf("http1: its settings can't be changed while the sidecar runs")
 	}
 	if !reflect.DeepEqual(f.HTTP3, s.config.Operator.HTTP3) {
-		return fmt.Errorf("http3: its settings can't be changed while the sidecar runs; only what the files of certificate and key hold is taken over")
+		return fmt.Errorf("http3: its settings can't be changed while the sidecar runs; only the contents of the certificate and key files can")
 	}
 	if s.http3 != nil {
 		if err := s.http3.ReloadCertificate(); err != nil {
 			return err
 		}
 	}
-	services, err := s.plan(f)
+	services, err := s.planServices(f)
 	if err != nil {
 		return err
 	}
-	table, terms, err := s.table(f, services, nil)
+	table, terms, err := s.buildTable(f, services, nil)
 	if err != nil {
 		discard(services, s.services)
 		return err
 	}
 	old := s.services
 	s.services, s.config.Operator = services, f
-	s.keepFile()
+	s.saveOperatorFile()
 	for i, r := range services {
-		r.adopt(f.Services[i])
+		r.reconfigure(f.Services[i])
 		r.service.SetMoves(s.movePlans(f, f.Services[i].Name))
-		if s.context != nil {
-			r.start(s.context)
+		if s.watchCtx != nil {
+			r.start(s.watchCtx)
 		}
 	}
 	s.core.SetTableAndTerms(table, terms)
-	s.useShared(services)
-	s.replaceFleet(f)
+	s.bindAccounts(services)
+	s.reconfigureFleet(f)
 	for _, r := range old {
-		if !holds(services, r) {
+		if !contains(services, r) {
 			r.retire()
 			s.retired = append(s.retired, r)
 			slog.Info("service retired", "service", r.definition.Name)
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -20,7 +20,7 @@
 	"spokegw/internal/sidecar"
 )
 
-// site is the part of a deployment's description that reaches a sidecar in its settings.
+// site is the part of a deployment's description that reaches a sidecar through its settings.
 type site struct {
 	Name string
 	Net  struct{ Zones []string }
@@ -63,10 +63,10 @@
 	Window    float64 `toml:"window_ms"`
 }
 
-// effectNames are the settings' names of the effects that a description names.
+// effectNames maps the effects' names in a description to those in the settings.
 var effectNames = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
-// configuration is what a sidecar of the site would be told.
+// configuration returns the configuration of a sidecar at the site.
 func (s *site) configuration(t *testing.T, registry string, listed []discovery.Entry) []byte {
 	t.Helper()
 	var classes []scene.Class
@@ -113,7 +113,8 @@
 	return text
 }
 
-// request is one of a class, by a tenant, in the form that its effect asks for.
+// request returns a request of a class by a tenant, in the form that the class's effect
+// requires.
 func (s *site) request(t *testing.T, addr string, class siteClass, tenant string) *http.Request {
 	t.Helper()
 	method := http.MethodPost
@@ -134,12 +135,12 @@
 	return r
 }
 
-// Classes, tenants, kinds, zones and limits come from the settings alone: each deployment
-// under deploy/sites has a request of each of its classes served, once, and in its own form.
-func TestSitesOfOtherCustomers(t *testing.T) {
+// Classes, tenants, kinds, zones and limits come from the settings alone: for each deployment
+// under deploy/sites, a request of each class is served exactly once, in the form of its class.
+func TestDeploymentSites(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("two descriptions or more are expected under deploy/sites, found %v, %v", files, err)
+		t.Fatalf("want two or more descriptions under deploy/sites, found %v, %v", files, err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".toml"), func(t *testing.T) {
@@ -168,7 +169,7 @@
 	}
 	defer endpoint.Close()
 	var listed []discovery.Entry
-	for i, kind := range s.Tier[0].Kind { // one process behind several names, in a zone that no setting names too
+	for i, kind := range s.Tier[0].Kind { // one process under several names, one of them in a zone that no setting names
 		zone := "a zone that the settings do not name"
 		if i < len(s.Net.Zones) {
 			zone = s.Net.Zones[i]
@@ -210,14 +211,14 @@
 			t.Errorf("class %q: answered %d", class.Name, answer.StatusCode)
 			continue
 		}
-		came := <-seen
-		if want := r.Method + " /" + class.Name; came.Get("Request-Line") != want {
-			t.Errorf("class %q: an endpoint got %q, %q is expected", class.Name, came.Get("Request-Line"), want)
+		got := <-seen
+		if want := r.Method + " /" + class.Name; got.Get("Request-Line") != want {
+			t.Errorf("class %q: an endpoint got %q, want %q", class.Name, got.Get("Request-Line"), want)
 		}
-		if came.Get("Idempotency-Key") != r.Header.Get("Idempotency-Key") {
-			t.Errorf("class %q: an endpoint got the key %q", class.Name, came.Get("Idempotency-Key"))
+		if got.Get("Idempotency-Key") != r.Header.Get("Idempotency-Key") {
+			t.Errorf("class %q: an endpoint got the key %q", class.Name, got.Get("Idempotency-Key"))
 		}
-		// A form that the class does not have is turned down: nothing of it is sent on.
+		// A request in a form that its class does not allow is refused and reaches no endpoint.
 		wrong := r.Clone(r.Context())
 		wrong.Method, wrong.Header = http.MethodPost, r.Header.Clone()
 		wrong.Header.Set("Req-Id", r.Header.Get("Req-Id")+"-wrong")
@@ -239,6 +240,6 @@
 		}
 	}
 	if len(seen) > 0 {
-		t.Errorf("%d requests more reached an endpoint than there were", len(seen))
+		t.Errorf("%d extra requests reached an endpoint", len(seen))
 	}
 }
--- a/internal/sidecar/sweep.go
+++ b/internal/sidecar/sweep.go
@@ -17,15 +17,15 @@
 		case <-tick.C:
 			s.sweepOnce()
 			s.tickMoves()
-			s.retryKeys()
-			if n%imageEvery == 0 {
-				s.keepImage(false)
+			s.retryKeyStore()
+			if n%sweepsPerImage == 0 {
+				s.saveImage(false)
 			}
 		}
 	}
 }
 
-// RetiredServices counts the services that have gone and still have something open.
+// RetiredServices counts the removed services that still have open connections.
 func (s *Sidecar) RetiredServices() int {
 	s.sweepOnce()
 	s.mu.Lock()
@@ -40,7 +40,7 @@
 	for _, r := range s.services {
 		r.pool.Sweep()
 	}
-	var left []*running
+	var left []*runningService
 	for _, r := range s.retired {
 		if r.pool.Sweep(); r.pool.OpenConns() > 0 {
 			left = append(left, r)
@@ -49,10 +49,10 @@
 	s.retired = left
 }
 
-// tickMoves lets time pass for the moves, and keeps where they are.
+// tickMoves advances the moves and saves their progress.
 func (s *Sidecar) tickMoves() {
-	for _, r := range s.running() {
+	for _, r := range s.currentServices() {
 		r.service.TickMoves()
 	}
-	s.keepMoves()
+	s.saveMoves()
 }
