--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -17,31 +17,31 @@
 	"spokegw/internal/state"
 )
 
-// upgrade is the standing of this process between the one before it and the one
-// after it. What is decided about it is handover.Division's.
+// upgrade is the state of this process between its predecessor and its successor in a graceful
+// restart. handover.Division makes the decisions about it.
 type upgrade struct {
-	sidecar     *Sidecar
-	ended       chan struct{}         // closed when the predecessor has ended, or there was none
-	predecessor *handover.Predecessor // nil: there was none
-	before      *handover.State       // what it told, or what was kept of it; nil: nothing, or it has been taken over
-	offerer     *handover.Offerer     // nil: no successor can ask
+	sidecar          *Sidecar
+	predecessorEnded chan struct{}         // closed when the predecessor has ended, or if there was none
+	predecessor      *handover.Predecessor // nil: there was none
+	inherited        *handover.State       // received from the predecessor or saved by it; nil: nothing, or already restored
+	offerer          *handover.Offerer     // nil: no successor can connect
 
 	mu       sync.Mutex
 	division handover.Division
-	resize   sync.Mutex // one division is applied at a time
+	resizing sync.Mutex // serializes changes of the division
 
-	keys chan handedOn // that wait to be told
-	kept chan keptKey  // words on keys that wait to be told
+	relays  chan relayedKey // keys to relay
+	results chan keyResult  // confirmations to send
 }
 
-// join asks the process that serves, if there is one, to hand over.
-func (s *Sidecar) join() *upgrade {
-	u := &upgrade{sidecar: s, division: handover.FullDivision(), ended: make(chan struct{}), keys: make(chan handedOn, keysWaiting), kept: make(chan keptKey, keysWaiting)}
+// joinUpgrade asks the serving process, if there is one, to hand over.
+func (s *Sidecar) joinUpgrade() *upgrade {
+	u := &upgrade{sidecar: s, division: handover.FullDivision(), predecessorEnded: make(chan struct{}), relays: make(chan relayedKey, maxQueuedKeys), results: make(chan keyResult, maxQueuedKeys)}
 	defer func() {
 		if u.predecessor == nil {
-			close(u.ended)
-			u.before = s.lastImage()
-			s.lastKeys()
+			close(u.predecessorEnded)
+			u.inherited = s.loadImage()
+			s.loadKeys()
 		}
 	}()
 	c := &s.config
@@ -50,20 +50,20 @@
 		return u
 	}
 	u.offerer = handover.NewOfferer(path, c.Name, c.Listen, u)
-	keeps := s.begun != nil && s.begun.Keys == operator.KeysBeforeSend
-	p, err := handover.Request(path, c.Name, c.Listen, keeps)
+	persistsKeys := s.initialFile != nil && s.initialFile.Keys == operator.KeysBeforeSend
+	p, err := handover.Request(path, c.Name, c.Listen, persistsKeys)
 	if err != nil {
 		if !errors.Is(err, handover.ErrNoProcess) {
-			slog.Warn("starting from nothing: the process before this one hands nothing over", "error", err)
+			slog.Warn("starting without handed-over state: the predecessor process did not hand over", "error", err)
 		}
 		return u
 	}
-	u.predecessor, u.before, u.division = p, p.State, handover.SuccessorDivision(p.Share)
+	u.predecessor, u.inherited, u.division = p, p.State, handover.SuccessorDivision(p.Share)
 	p.State = nil
 	return u
 }
 
-// listener is the predecessor's; nil: it gave none.
+// listener returns the predecessor's listener; nil if there is none.
 func (u *upgrade) listener() *net.TCPListener {
 	if u.predecessor == nil {
 		return nil
@@ -72,13 +72,13 @@
 }
 
 func (u *upgrade) adoptIDs(c *core.Core) {
-	if u.before != nil {
-		if ids := &u.before.IDs; ids.Key != 0 { // of what was kept it may be lost; anybody could look for ids that meet under none
+	if u.inherited != nil {
+		if ids := &u.inherited.IDs; ids.Key != 0 { // 0: lost from a saved state; without a secret key, anybody could search for ids with equal hashes
 			c.AdoptIDs(ids.Key, ids.Hashes)
 			return
 		}
 	}
-	if k := &u.sidecar.keys; k.hashed {
+	if k := &u.sidecar.keys; k.hasHash {
 		c.AdoptIDs(k.hash, nil)
 	}
 }
@@ -91,109 +91,109 @@
 	}
 }
 
-// run takes over what the predecessor has told, offers the same to a successor,
-// and tells the predecessor that this process serves. It does not wait: what goes
-// on until watching ends is in goroutines of going.
-func (u *upgrade) run(watching context.Context, going *sync.WaitGroup) {
-	if before := u.before; before != nil {
-		for _, r := range u.sidecar.running() {
-			if k := before.Find(r.of); k != nil {
-				for i, n := range k.Keys { // the start has taken some time
-					k.Keys[i] = handover.AgeNote(n, before.At, state.Now().Since)
+// run restores the state received from the predecessor, offers the same to a successor, and
+// notifies the predecessor that this process serves. It does not wait: what runs until watchCtx
+// ends is added to goroutines.
+func (u *upgrade) run(watchCtx context.Context, goroutines *sync.WaitGroup) {
+	if inherited := u.inherited; inherited != nil {
+		for _, r := range u.sidecar.currentServices() {
+			if k := inherited.Find(r.ref); k != nil {
+				for i, n := range k.Keys { // the start took time
+					k.Keys[i] = handover.AgeNote(n, inherited.At, state.Now().Since)
 				}
 				r.service.Adopt(core.Snapshot{Classes: k.Classes, Learnt: k.Learnt, ContractUsage: k.Standing, Keys: k.Keys, Disabled: k.Disabled, Moves: k.Moves})
 			}
 		}
-		if before.Drained {
+		if inherited.Drained {
 			u.sidecar.drain(true)
 		}
-		u.before = nil // it is of no more use, and some 100 KB
+		u.inherited = nil // no longer needed, and some 100 KB
 	}
 	if u.offerer != nil {
-		if err := u.offerer.Offer(watching, going); err != nil {
+		if err := u.offerer.Offer(watchCtx, goroutines); err != nil {
 			slog.Warn("no further process can take over from this one", "error", err)
 			u.offerer = nil
 		} else {
-			going.Go(func() { u.handOnKeys(watching) })
+			goroutines.Go(func() { u.relayKeys(watchCtx) })
 		}
 	}
 	if u.predecessor != nil {
-		going.Go(func() { u.follow(watching) })
-		going.Go(func() { u.tellKept(watching) })
+		goroutines.Go(func() { u.follow(watchCtx) })
+		goroutines.Go(func() { u.confirmKeys(watchCtx) })
 		if err := u.predecessor.ReportServing(); err != nil {
-			slog.Warn("the process before this one was not told that this one serves", "error", err)
+			slog.Warn("the predecessor process could not be notified that this one serves", "error", err)
 		}
-		slog.Info("taken over", "part", u.part())
+		slog.Info("taken over", "part", u.share())
 	}
 }
 
-// follow hears the predecessor until it ends.
-func (u *upgrade) follow(watching context.Context) {
+// follow handles the predecessor's messages until it ends.
+func (u *upgrade) follow(watchCtx context.Context) {
 	p := u.predecessor
-	stop := context.AfterFunc(watching, p.Close)
+	stop := context.AfterFunc(watchCtx, p.Close)
 	defer stop()
 	p.Follow(func(m handover.Members) {
-		if r := u.sidecar.find(m.ServiceRef); r != nil && r.watcher != nil {
+		if r := u.sidecar.findService(m.ServiceRef); r != nil && r.watcher != nil {
 			r.service.UpdateEndpoints(m.Entries, m.Full)
 			r.watcher.SetKnownVersion(m.Version)
-			u.tell(m) // a successor may be there already
+			u.relayMembers(m) // there may already be a successor
 		}
 	}, func(k handover.Key, number uint64) {
 		k = k.Aged(state.Now().Since)
-		if r := u.sidecar.find(k.ServiceRef); r != nil {
+		if r := u.sidecar.findService(k.ServiceRef); r != nil {
 			r.service.AdoptKey(k.Note)
-			u.handOnKey(k, u.offerer != nil && u.offerer.HasSuccessor(), u.tellSuccessor)
+			u.relayKey(k, u.offerer != nil && u.offerer.HasSuccessor(), u.sendKeyToSuccessor)
 		}
-		u.sidecar.keepTold(told{k, number})
-	}, func(part float64) { u.change(false, func(d *handover.Division) { d.SetPredecessorShare(part) }) })
-	close(u.ended)
-	if watching.Err() != nil {
+		u.sidecar.persistPredecessorKey(predecessorKey{k, number})
+	}, func(share float64) { u.redivide(false, func(d *handover.Division) { d.SetPredecessorShare(share) }) })
+	close(u.predecessorEnded)
+	if watchCtx.Err() != nil {
 		return
 	}
-	u.change(false, (*handover.Division).PredecessorEnded)
-	slog.Info("the process before this one has ended", "part", u.part())
-	for _, r := range u.sidecar.running() {
+	u.redivide(false, (*handover.Division).PredecessorEnded)
+	slog.Info("the process before this one has ended", "part", u.share())
+	for _, r := range u.sidecar.currentServices() {
 		if r.watcher != nil {
-			r.watcher.Subscribe() // nobody watches for this one any more
+			r.watcher.Subscribe() // the predecessor's watch has ended
 		}
 	}
 }
 
-// keptKey is a word on a key that the predecessor waits for, by its number.
-type keptKey struct {
+// keyResult is the confirmation of a key that the predecessor waits for, by its number.
+type keyResult struct {
 	number uint64
 	ok     bool
 }
 
-// keysWaiting bounds the notes of keyed requests that wait to be handed on. What comes
-// while so many wait is not: who is to be told hangs then, and is given up soon.
-const keysWaiting = 1024
+// maxQueuedKeys bounds the keyed requests that wait to be relayed. Further ones are dropped:
+// the receiver then hangs, and its connection is abandoned soon.
+const maxQueuedKeys = 1024
 
-// peers are the processes before and after this one, for a service.
+// peers are the processes before and after this one, for one service.
 type peers struct {
 	upgrade *upgrade
-	of      handover.ServiceRef
+	ref     handover.ServiceRef
 }
 
-// Exist reports whether there are some, or were.
+// Exist reports whether there are, or were, peers.
 func (p peers) Exist() bool {
 	u := p.upgrade
 	return u.predecessor != nil || u.offerer != nil && u.offerer.HadSuccessor()
 }
 
-// Publish has both know of a key.
+// Publish notifies both peers of a key.
 func (p peers) Publish(n keyed.Note) error {
-	u, k := p.upgrade, handover.Key{ServiceRef: p.of, Note: n, At: state.Now().Since}
-	if err := u.tellPredecessor(k); err != nil {
+	u, k := p.upgrade, handover.Key{ServiceRef: p.ref, Note: n, At: state.Now().Since}
+	if err := u.sendKeyToPredecessor(k); err != nil {
 		return err
 	}
-	return u.tellSuccessor(k.Aged(state.Now().Since))
+	return u.sendKeyToSuccessor(k.Aged(state.Now().Since))
 }
 
-// CatchUp has all adopted that they have told of keys.
+// CatchUp waits until all keys sent by the peers have been received.
 func (p peers) CatchUp() error {
 	u := p.upgrade
-	if u.hearsPredecessor() {
+	if u.hasPredecessor() {
 		if err := u.predecessor.CatchUp(); err != nil {
 			return err
 		}
@@ -204,261 +204,260 @@
 	return u.offerer.CatchUp()
 }
 
-// hearsPredecessor reports whether there is a predecessor that may tell something yet.
-func (u *upgrade) hearsPredecessor() bool {
+// hasPredecessor reports whether there is a predecessor that may still send messages.
+func (u *upgrade) hasPredecessor() bool {
 	select {
-	case <-u.ended:
+	case <-u.predecessorEnded:
 		return false
 	default:
 		return u.predecessor != nil
 	}
 }
 
-// SuccessorKey is called when the successor is to send a keyed request.
+// SuccessorKey is called when the successor is about to send a keyed request.
 func (u *upgrade) SuccessorKey(k handover.Key) {
-	if r := u.sidecar.find(k.ServiceRef); r != nil {
+	if r := u.sidecar.findService(k.ServiceRef); r != nil {
 		k = k.Aged(state.Now().Since)
 		r.service.AdoptKey(k.Note)
-		u.handOnKey(k, u.hearsPredecessor(), u.tellPredecessor)
+		u.relayKey(k, u.hasPredecessor(), u.sendKeyToPredecessor)
 	}
 }
 
-// handedOn is a key that one of the processes beside this one has told, for the other.
-type handedOn struct {
+// relayedKey is a key received from one peer process, to be sent to the other.
+type relayedKey struct {
 	key  handover.Key
-	tell func(handover.Key) error
+	send func(handover.Key) error
 }
 
-// handOnKey has a key told to the process on the other side, if that is there. It does not wait.
-func (u *upgrade) handOnKey(k handover.Key, there bool, tell func(handover.Key) error) {
-	if !there {
+// relayKey queues a key for the peer process on the other side, if there is one. It does not
+// wait.
+func (u *upgrade) relayKey(k handover.Key, connected bool, send func(handover.Key) error) {
+	if !connected {
 		return
 	}
 	select {
-	case u.keys <- handedOn{k, tell}:
+	case u.relays <- relayedKey{k, send}:
 	default:
 	}
 }
 
-func (u *upgrade) tellPredecessor(k handover.Key) error {
-	if !u.hearsPredecessor() {
+func (u *upgrade) sendKeyToPredecessor(k handover.Key) error {
+	if !u.hasPredecessor() {
 		return nil
 	}
 	return u.predecessor.SendKey(k)
 }
 
-func (u *upgrade) tellSuccessor(k handover.Key) error {
+func (u *upgrade) sendKeyToSuccessor(k handover.Key) error {
 	if u.offerer == nil {
 		return nil
 	}
 	return u.offerer.SendKey(k)
 }
 
-// tellKept tells the predecessor which of the keys that it waits for are on the disk,
-// until ctx ends.
-func (u *upgrade) tellKept(ctx context.Context) {
+// confirmKeys sends the predecessor the results of persisting keys until ctx ends.
+func (u *upgrade) confirmKeys(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case k := <-u.kept:
+		case k := <-u.results:
 			u.predecessor.ConfirmKey(k.number, k.ok)
 		}
 	}
 }
 
-// keptKey has the predecessor told what came of a key that it waits for. It does not
-// wait; a word that is left out is a request that is refused when its time is over.
-func (u *upgrade) keptKey(number uint64, ok bool) {
+// confirmKey queues the result of persisting a key that the predecessor waits for. It does not
+// wait; a dropped result means that the request is refused at its timeout.
+func (u *upgrade) confirmKey(number uint64, ok bool) {
 	if number == 0 {
 		return
 	}
 	select {
-	case u.kept <- keptKey{number, ok}:
+	case u.results <- keyResult{number, ok}:
 	default:
 	}
 }
 
-// handOnKeys tells each of the processes beside this one what the other told of keys, until ctx ends.
-func (u *upgrade) handOnKeys(ctx context.Context) {
+// relayKeys sends each peer process the keys received from the other, until ctx ends.
+func (u *upgrade) relayKeys(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case k := <-u.keys:
-			k.tell(k.key)
+		case k := <-u.relays:
+			k.send(k.key)
 		}
 	}
 }
 
-func (u *upgrade) part() float64 {
+func (u *upgrade) share() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.division.Share()
 }
 
-// change changes the division, applies it and tells those whom it concerns. A
-// successor that it is split for is told with the state.
-func (u *upgrade) change(splits bool, how func(*handover.Division)) {
-	u.resize.Lock()
-	defer u.resize.Unlock()
-	before := u.part()
+// redivide changes the division, applies it and notifies the processes concerned. A
+// successor that the limits are split for receives its share with the state.
+func (u *upgrade) redivide(split bool, apply func(*handover.Division)) {
+	u.resizing.Lock()
+	defer u.resizing.Unlock()
+	oldShare := u.share()
 	u.mu.Lock()
-	handed := u.division.HasSuccessor()
-	how(&u.division)
-	toldAnew := handed != u.division.HasSuccessor()
-	handed = u.division.HasSuccessor()
+	hasSuccessor := u.division.HasSuccessor()
+	apply(&u.division)
+	successorChanged := hasSuccessor != u.division.HasSuccessor()
+	hasSuccessor = u.division.HasSuccessor()
 	u.mu.Unlock()
-	part := u.part()
-	if u.predecessor != nil && (part != before || toldAnew) {
-		u.predecessor.SendShare(part, handed)
+	newShare := u.share()
+	if u.predecessor != nil && (newShare != oldShare || successorChanged) {
+		u.predecessor.SendShare(newShare, hasSuccessor)
 	}
-	if part == before {
+	if newShare == oldShare {
 		return
 	}
-	u.sidecar.resize(part)
-	if u.offerer != nil && !splits {
-		u.offerer.SendShare(part)
+	u.sidecar.resize(newShare)
+	if u.offerer != nil && !split {
+		u.offerer.SendShare(newShare)
 	}
 }
 
-// Offer is called when a successor asks.
+// Offer is called when a successor connects.
 func (u *upgrade) Offer() (*handover.State, float64, *os.File, error) {
 	file, err := u.sidecar.front.File()
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	state := u.state()
-	u.change(true, func(d *handover.Division) { d.Split() })
-	slog.Info("another process takes over", "part", u.part())
-	return state, u.part(), file, nil
+	st := u.state()
+	u.redivide(true, func(d *handover.Division) { d.Split() })
+	slog.Info("another process takes over", "part", u.share())
+	return st, u.share(), file, nil
 }
 
-// state is what this process knows that the next should.
+// state returns the state to hand over to the next process.
 func (u *upgrade) state() *handover.State {
 	st := &handover.State{At: state.Now().Since, Drained: u.sidecar.drained.Load()}
 	st.IDs.Key, st.IDs.Hashes = u.sidecar.core.RecentIDs()
-	for _, r := range u.sidecar.running() {
-		of := handover.Service{ServiceRef: r.of}
+	for _, r := range u.sidecar.currentServices() {
+		svc := handover.Service{ServiceRef: r.ref}
 		if r.watcher != nil {
-			// The version first: entries are then as new as it, or newer.
-			of.Members = handover.Members{Version: r.watcher.Version(), Full: true, Entries: r.service.DiscoveryEntries()}
+			// The version is read first: the entries are then at least as new.
+			svc.Members = handover.Members{Version: r.watcher.Version(), Full: true, Entries: r.service.DiscoveryEntries()}
 		}
 		k := r.service.Snapshot(handover.MaxKeys)
-		of.Classes, of.Learnt, of.Standing, of.Keys, of.Disabled, of.Moves = k.Classes, k.Learnt, k.ContractUsage, k.Keys, k.Disabled, k.Moves
-		st.Services = append(st.Services, of)
+		svc.Classes, svc.Learnt, svc.Standing, svc.Keys, svc.Disabled, svc.Moves = k.Classes, k.Learnt, k.ContractUsage, k.Keys, k.Disabled, k.Moves
+		st.Services = append(st.Services, svc)
 	}
 	return st
 }
 
-// SuccessorReady is called when the successor takes all that is new.
+// SuccessorReady is called when the successor accepts all new connections.
 func (u *upgrade) SuccessorReady() {
 	slog.Info("another process has taken over")
-	u.sidecar.yielded.Store(true)
-	u.sidecar.keepNoMore() // the successor does
+	u.sidecar.handedOver.Store(true)
+	u.sidecar.stopPersistence() // the successor saves the state now
 	u.sidecar.yieldFleet()
 	u.sidecar.front.StopAccepting()
 }
 
-// SuccessorShareChanged is called when the successor's part of the limits has changed.
-func (u *upgrade) SuccessorShareChanged(part float64, handed bool) {
+// SuccessorShareChanged is called when the successor's share of the limits has changed.
+func (u *upgrade) SuccessorShareChanged(share float64, hasSuccessor bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.division.SetSuccessorShare(part, handed)
+	u.division.SetSuccessorShare(share, hasSuccessor)
 }
 
-// SuccessorEnded is called when the successor has ended: this process is what
-// there is.
+// SuccessorEnded is called when the successor has ended: this process serves alone again.
 func (u *upgrade) SuccessorEnded() {
 	u.sidecar.front.ResumeAccepting()
-	if s := u.sidecar.shared; s != nil {
+	if s := u.sidecar.membership; s != nil {
 		select {
-		case <-s.yields: // not taken yet
+		case <-s.yield: // not handled yet
 		default:
 		}
 	}
 	if u.sidecar.serving.Load() {
-		u.sidecar.retakeConsole()
-		u.sidecar.keptMoves.Open(diskPatience)
-		u.sidecar.keptImage.Open(diskPatience)
-		u.sidecar.keepImage(false)
-		u.sidecar.yielded.Store(false)
-		u.sidecar.retryKeys() // until it has them on the disk keyed requests are refused
-		u.sidecar.keptFile.Open(diskPatience)
+		u.sidecar.reopenConsole()
+		u.sidecar.movesKeeper.Open(diskTimeout)
+		u.sidecar.imageKeeper.Open(diskTimeout)
+		u.sidecar.saveImage(false)
+		u.sidecar.handedOver.Store(false)
+		u.sidecar.retryKeyStore() // keyed requests are refused until the store is open
+		u.sidecar.fileKeeper.Open(diskTimeout)
 		u.sidecar.mu.Lock()
-		u.sidecar.keepFile()
+		u.sidecar.saveOperatorFile()
 		u.sidecar.mu.Unlock()
 	}
-	u.change(false, (*handover.Division).SuccessorEnded)
-	slog.Warn("the process that was to take over has ended", "part", u.part())
+	u.redivide(false, (*handover.Division).SuccessorEnded)
+	slog.Warn("the process that was to take over has ended", "part", u.share())
 }
 
-// tell relays what discovery told.
-func (u *upgrade) tell(m handover.Members) {
+// relayMembers relays a list from discovery to the successor.
+func (u *upgrade) relayMembers(m handover.Members) {
 	if u.offerer != nil {
 		u.offerer.SendMembers(m)
 	}
 }
 
-// known is the list that the predecessor has of a service, if it has any.
-func (u *upgrade) known(of handover.ServiceRef) (list discovery.List, ok bool) {
-	if u.before == nil {
+// inheritedList returns the predecessor's list of a service, if it has one.
+func (u *upgrade) inheritedList(ref handover.ServiceRef) (list discovery.List, ok bool) {
+	if u.inherited == nil {
 		return list, false
 	}
-	k := u.before.Find(of)
+	k := u.inherited.Find(ref)
 	if k == nil || len(k.Members.Entries) == 0 {
 		return list, false
 	}
 	return discovery.List{Version: k.Members.Version, Full: true, Servers: k.Members.Entries}, true
 }
 
-// running are the services that there are now.
-func (s *Sidecar) running() []*running {
+// currentServices returns the services in force.
+func (s *Sidecar) currentServices() []*runningService {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.services
 }
 
-// find is a service by its name; nil where there is none.
-func (s *Sidecar) find(of handover.ServiceRef) *running {
-	for _, r := range s.running() {
-		if r.of.Is(of) {
+// findService returns the service with a reference; nil if there is none.
+func (s *Sidecar) findService(ref handover.ServiceRef) *runningService {
+	for _, r := range s.currentServices() {
+		if r.ref.Is(ref) {
 			return r
 		}
 	}
 	return nil
 }
 
-// places is how many connections clients may hold, and how many of those may
-// stay, with a part of the limits.
-func (s *Sidecar) places(part float64) (limit, crowd int) {
+// clientLimits returns, for a share of the limits, the limit of client connections and the number
+// of those above which clients are asked to disconnect with their first answer.
+func (s *Sidecar) clientLimits(share float64) (limit, busy int) {
 	l := &s.config.Limits
-	return int(l.sockets(part * clientPart)), int(l.sockets(part * crowdPart))
+	return int(l.sockets(share * clientFraction)), int(l.sockets(share * busyFraction))
 }
 
-// resizeBudgets divides a part of the limits among what needs it.
-func (s *Sidecar) resizeBudgets(part float64) {
+// resizeBudgets divides a share of the limits among the budgets.
+func (s *Sidecar) resizeBudgets(share float64) {
 	l := &s.config.Limits
-	bytes := func(p float64) int64 { return int64(part * p * float64(l.MemoryMB<<20)) }
-	s.budgets.slots.Resize(l.sockets(part * upstreamPart))
-	s.budgets.places.Resize(l.sockets(part * clientPart))
-	s.budgets.long.Resize(bytes(longPart))
-	s.budgets.bodies.Resize(bytes(bodyPart))
+	bytes := func(fraction float64) int64 { return int64(share * fraction * float64(l.MemoryMB<<20)) }
+	s.budgets.slots.Resize(l.sockets(share * upstreamFraction))
+	s.budgets.requests.Resize(l.sockets(share * clientFraction))
+	s.budgets.longAnswers.Resize(bytes(longAnswerFraction))
+	s.budgets.bodies.Resize(bytes(bodyFraction))
 }
 
-// resize has the sidecar use a part of its limits from now on.
-func (s *Sidecar) resize(part float64) {
-	s.resizeBudgets(part)
+// resize makes the sidecar use a share of its limits from now on.
+func (s *Sidecar) resize(share float64) {
+	s.resizeBudgets(share)
 	if s.front != nil {
-		s.front.Resize(s.places(part))
+		s.front.Resize(s.clientLimits(share))
 	}
 	if s.config.OwnProcess {
-		limitMemory(s.config.Limits, part)
+		limitMemory(s.config.Limits, share)
 	}
 	s.shrinkPools()
 }
 
-// shrinkPools closes idle connections to endpoints that are over the budget.
+// shrinkPools closes idle connections to endpoints in excess of the budget.
 func (s *Sidecar) shrinkPools() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -468,15 +467,16 @@
 	}
 }
 
-// EndpointsUpdated takes entries of the service from discovery, and relays them.
-func (r *running) EndpointsUpdated(entries []discovery.Entry, full bool) {
+// EndpointsUpdated passes entries from discovery to the service, and relays them to the
+// successor.
+func (r *runningService) EndpointsUpdated(entries []discovery.Entry, full bool) {
 	r.service.UpdateEndpointsAfter(entries, full, r.watcher.SinceCurrent())
 	if len(entries) > 0 || full {
-		r.upgrade.tell(handover.Members{ServiceRef: r.of, Version: r.watcher.Version(), Full: full, Entries: entries})
+		r.upgrade.relayMembers(handover.Members{ServiceRef: r.ref, Version: r.watcher.Version(), Full: full, Entries: entries})
 	}
 }
 
-// DiscoveryLost tells the service.
-func (r *running) DiscoveryLost(current time.Time, crowded bool) {
-	r.service.DiscoveryLost(current, crowded)
+// DiscoveryLost notifies the service that discovery is unavailable.
+func (r *runningService) DiscoveryLost(current time.Time, overloaded bool) {
+	r.service.DiscoveryLost(current, overloaded)
 }
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -16,8 +16,8 @@
 	"spokegw/internal/sidecar"
 )
 
-// address is one that is the test's up to its end.
-func address(t *testing.T) string {
+// reserveAddr reserves an address for the duration of the test.
+func reserveAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := process.TakeAddr()
 	if err != nil {
@@ -27,22 +27,22 @@
 	return addr
 }
 
-// A successor knows what the one before it was told and did: a drain that only
-// that one heard of, what operators disabled, the ids of late.
+// A successor inherits the state of its predecessor: an endpoint that only the predecessor was
+// notified is draining, endpoints disabled by operators, and recent request ids.
 func TestHandoverState(t *testing.T) {
-	addr := address(t)
+	addr := reserveAddr(t)
 	c := scene.Config{Listen: addr, Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: 8}, {Workers: 8}, {Workers: 8}}}
 	old := startReady(t, c)
 	must(t, old, "disable-server maps-1")
 	entries := scene.Entries(old.Maps...)
 	entries[0].State = "leaving"
 	old.Registry.Set(entries)
-	for !strings.Contains(must(t, old, "show-members"), "state=leaving") { // it is told by the watch
+	for !strings.Contains(must(t, old, "show-members"), "state=leaving") { // the watch delivers it
 	}
 	if resp := ask(t, old, withID("once")).status; resp != 200 {
 		t.Fatalf("status %d", resp)
 	}
-	c.Maps, c.Beside = nil, old // its own configuration knows nothing of that
+	c.Maps, c.Beside = nil, old // the successor's own configuration has none of that
 	next := startReady(t, c)
 	if text := must(t, next, "show-members"); !strings.Contains(text, "avoided=leaving") || !strings.Contains(text, "avoided=disabled") {
 		t.Errorf("%s", text)
@@ -52,31 +52,31 @@
 		t.Error(err)
 	}
 	if resp := ask(t, old, withID("once")).status; resp != 409 {
-		t.Errorf("an id that the process before took is answered %d", resp)
+		t.Errorf("an id that the predecessor accepted is answered %d", resp)
 	}
 	if resp := ask(t, old, withID("twice")).status; resp != 200 {
 		t.Errorf("status %d", resp)
 	}
 	if old.Maps[0].Served()+old.Maps[1].Served() != 0 {
-		t.Error("an endpoint that leaves, or is disabled, got a request")
+		t.Error("a draining or disabled endpoint got a request")
 	}
 }
 
-// withID is a request for a tile with an id of its own.
+// withID returns a tile request with the given id.
 func withID(id string) *lab.Load {
 	l := tile("")
 	l.Headers = http.Header{"Req-Id": {id}}
 	return l
 }
 
-// reports is what endpoints have seen of keyed requests: by key, the cells.
+// reports records the cells of the endpoints that received keyed requests, by key.
 type reports struct {
-	mu    sync.Mutex
-	cells map[string][]int
-	came  chan string // keys
+	mu      sync.Mutex
+	cells   map[string][]int
+	arrived chan string // keys of arrived requests
 }
 
-// endpoints are eight in two cells, that tell of what they see.
+// endpoints returns eight endpoints in two cells that record their requests.
 func (r *reports) endpoints() (all []lab.EndpointConfig) {
 	for i := range 8 {
 		all = append(all, lab.EndpointConfig{Workers: 100, Seen: func(req *http.Request) {
@@ -84,7 +84,7 @@
 			r.mu.Lock()
 			r.cells[key] = append(r.cells[key], i/4)
 			r.mu.Unlock()
-			r.came <- key
+			r.arrived <- key
 		}})
 	}
 	return all
@@ -96,7 +96,7 @@
 	return append([]int(nil), r.cells[key]...)
 }
 
-// sendReport sends a keyed request on a connection and does not wait for its answer.
+// sendReport sends a keyed request on a connection without waiting for its answer.
 func sendReport(t *testing.T, c net.Conn, id, key string) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "POST /status-report?user=k HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 9000m\r\nIdempotency-Key: %s\r\nContent-Length: 1\r\n\r\nx", id, key); err != nil {
@@ -114,14 +114,14 @@
 	return c
 }
 
-// A keyed request is out in the old process, taken before the new one was there
-// or after, when the client sends it again to the new one: the repeat reaches
-// only endpoints that drop it. Twenty keys would else all do so once in a million
+// A keyed request is in flight in the old process, accepted before or after the new one
+// started, when the client repeats it at the new one: the repeat reaches only endpoints that
+// deduplicate it. Without that, all of twenty keys would do so by chance once in a million
 // runs.
 func TestKeyedRepeatAcrossProcesses(t *testing.T) {
 	const keys = 20
-	r := &reports{cells: map[string][]int{}, came: make(chan string, 16*keys)}
-	c := scene.Config{Listen: address(t), Folder: t.TempDir(), Maps: r.endpoints(), Aim: 9 * time.Second, Deadline: 9 * time.Second, Window: 30 * time.Second}
+	r := &reports{cells: map[string][]int{}, arrived: make(chan string, 16*keys)}
+	c := scene.Config{Listen: reserveAddr(t), Folder: t.TempDir(), Maps: r.endpoints(), Aim: 9 * time.Second, Deadline: 9 * time.Second, Window: 30 * time.Second}
 	old := startReady(t, c)
 	for _, e := range old.Maps {
 		e.Silence()
@@ -130,29 +130,29 @@
 		t.Helper()
 		for range n {
 			select {
-			case <-r.came:
+			case <-r.arrived:
 			case <-time.After(10 * time.Second):
 				t.Fatal("a request does not reach an endpoint")
 			}
 		}
 	}
-	kept := make([]net.Conn, keys) // to the old one, as it alone accepts yet
-	for i := range kept {
-		kept[i] = connect(t, old.Addr())
+	conns := make([]net.Conn, keys) // to the old process, as only that accepts connections yet
+	for i := range conns {
+		conns[i] = connect(t, old.Addr())
 		if i%2 == 0 {
-			sendReport(t, kept[i], fmt.Sprint("first-", i), fmt.Sprint("key-", i))
+			sendReport(t, conns[i], fmt.Sprint("first-", i), fmt.Sprint("key-", i))
 		}
 	}
 	await(keys / 2)
 	c.Maps, c.Beside = nil, old
 	next := startReady(t, c)
-	for i := range kept {
-		if i%2 == 1 { // the old one takes it although the new one is there
-			sendReport(t, kept[i], fmt.Sprint("first-", i), fmt.Sprint("key-", i))
+	for i := range conns {
+		if i%2 == 1 { // sent through the old process although the new one serves
+			sendReport(t, conns[i], fmt.Sprint("first-", i), fmt.Sprint("key-", i))
 		}
 	}
 	await(keys / 2)
-	for next.Sidecar.KeysKnown() < keys { // what the old one tells is on its way
+	for next.Sidecar.KeysKnown() < keys { // the old process's messages may still be in flight
 		must(t, next, "ready")
 	}
 	for i := range keys {
@@ -169,108 +169,108 @@
 	}
 }
 
-// upgraded is an old process and its successor, whose endpoints run keyed requests and do not
-// answer. kept are connections to the old one.
-type upgraded struct {
+// upgradedPair is an old process and its successor, whose endpoints receive keyed requests and
+// do not answer. conns are connections to the old one.
+type upgradedPair struct {
 	*reports
 	t         *testing.T
 	config    scene.Config // of a further process
 	old, next *scene.Scene
-	kept      []net.Conn
+	conns     []net.Conn
 }
 
-func upgrade(t *testing.T, keys int) *upgraded {
+func upgrade(t *testing.T, keys int) *upgradedPair {
 	t.Helper()
-	u := &upgraded{reports: &reports{cells: map[string][]int{}, came: make(chan string, 16*keys)}, t: t}
-	c := scene.Config{Listen: address(t), Folder: t.TempDir(), Maps: u.endpoints(), Aim: 9 * time.Second, Deadline: 9 * time.Second, Window: 30 * time.Second}
+	u := &upgradedPair{reports: &reports{cells: map[string][]int{}, arrived: make(chan string, 16*keys)}, t: t}
+	c := scene.Config{Listen: reserveAddr(t), Folder: t.TempDir(), Maps: u.endpoints(), Aim: 9 * time.Second, Deadline: 9 * time.Second, Window: 30 * time.Second}
 	u.old = startReady(t, c)
 	for _, e := range u.old.Maps {
 		e.Silence()
 		t.Cleanup(e.Speak)
 	}
 	for range keys {
-		u.kept = append(u.kept, connect(t, u.old.Addr()))
+		u.conns = append(u.conns, connect(t, u.old.Addr()))
 	}
 	c.Maps, c.Beside = nil, u.old
 	u.next, u.config = startReady(t, c), c
 	return u
 }
 
-// send sends each key on a connection, and waits until the endpoints have them all.
-func (u *upgraded) send(id string, on func(i int) net.Conn) {
+// send sends each key on a connection, and waits until the endpoints have received them all.
+func (u *upgradedPair) send(id string, on func(i int) net.Conn) {
 	u.t.Helper()
-	for i := range u.kept {
+	for i := range u.conns {
 		sendReport(u.t, on(i), fmt.Sprint(id, i), fmt.Sprint("key-", i))
 	}
-	for range u.kept {
+	for range u.conns {
 		select {
-		case <-u.came:
+		case <-u.arrived:
 		case <-time.After(10 * time.Second):
 			u.t.Fatal("a request does not reach an endpoint")
 		}
 	}
 }
 
-func (u *upgraded) toOld(i int) net.Conn { return u.kept[i] }
-func (u *upgraded) toNext(int) net.Conn  { return connect(u.t, u.next.Addr()) }
+func (u *upgradedPair) toOld(i int) net.Conn { return u.conns[i] }
+func (u *upgradedPair) toNext(int) net.Conn  { return connect(u.t, u.next.Addr()) }
 
-// inOneCell checks that each key came twice, to endpoints that drop the repeat.
-func (u *upgraded) inOneCell() {
+// checkSameCell checks that each key arrived twice, at endpoints that deduplicate it.
+func (u *upgradedPair) checkSameCell() {
 	u.t.Helper()
 	wrong := 0
-	for i := range u.kept {
+	for i := range u.conns {
 		if cells := u.of(fmt.Sprint("key-", i)); len(cells) != 2 || cells[0] != cells[1] {
 			wrong++
 		}
 	}
 	if wrong > 0 {
-		u.t.Errorf("%d of %d keys ran in two cells", wrong, len(u.kept))
+		u.t.Errorf("%d of %d keys did not arrive twice in one cell", wrong, len(u.conns))
 	}
 }
 
-// The successor is asked for a key that the old process has sent, and has not handled what
-// that one tells.
-func TestKeyAskedForBeforeItIsHeardOf(t *testing.T) {
+// A key sent by the old process is repeated at the successor before that has handled the old
+// process's message about it.
+func TestKeyRepeatBeforeSuccessorHandlesMessage(t *testing.T) {
 	u := upgrade(t, 20)
-	defer u.next.Sidecar.HoldBack(u.old.Sidecar)()
+	defer u.next.Sidecar.PauseMessages(u.old.Sidecar)()
 	u.send("first-", u.toOld)
 	u.send("again-", u.toNext)
-	u.inOneCell()
+	u.checkSameCell()
 }
 
-// The old process is asked, on a connection that a client has kept, for a key that its successor
-// has sent, while that is there or after an upgrade that is undone.
-func TestKeyAskedForOfTheOldProcess(t *testing.T) {
+// A key sent by the successor is repeated at the old process on a kept connection, while the
+// successor runs or after it has died.
+func TestKeyRepeatAtPredecessor(t *testing.T) {
 	for _, undone := range []bool{false, true} {
 		u := upgrade(t, 20)
 		u.send("first-", u.toNext)
 		if undone {
-			u.next.Sidecar.Die()
+			u.next.Sidecar.Disconnect()
 		}
 		u.send("again-", u.toOld)
-		u.inOneCell()
+		u.checkSameCell()
 	}
 }
 
-// Of three processes in a row the first is asked for a key that the third has sent, once the one
-// between them has handed that back.
-func TestKeyIsHandedBackToTheFirstOfThree(t *testing.T) {
+// Of three processes in a chain, a key sent by the third is repeated at the first, after the
+// second has relayed it.
+func TestKeyRelayedToFirstOfThree(t *testing.T) {
 	u := upgrade(t, 20)
 	startReady(t, u.config)
 	u.send("first-", u.toNext)
-	for until := time.Now().Add(patience); u.old.Sidecar.KeysKnown() < len(u.kept); must(t, u.old, "ready") {
+	for until := time.Now().Add(testTimeout); u.old.Sidecar.KeysKnown() < len(u.conns); must(t, u.old, "ready") {
 		if time.Now().After(until) {
-			t.Fatalf("the first process knows of %d keys", u.old.Sidecar.KeysKnown())
+			t.Fatalf("the first process knows only %d keys", u.old.Sidecar.KeysKnown())
 		}
 	}
 	u.send("again-", u.toOld)
-	u.inOneCell()
+	u.checkSameCell()
 }
 
-// A team that has used up its burst has no other one by an upgrade.
-func TestContractsAcrossProcesses(t *testing.T) {
+// A team that has used up its burst gets no new one through an upgrade.
+func TestBurstAcrossUpgrade(t *testing.T) {
 	const burst = 10
-	c := scene.Config{Listen: address(t), Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: 8}},
+	c := scene.Config{Listen: reserveAddr(t), Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: 8}},
 		Operator: maps + contract("kiosks", 0.5, fmt.Sprintf("service = 'maps'\nrate = 0.001\nburst = %d", burst))}
 	old := startReady(t, c)
 	for i := range burst {
@@ -289,24 +289,24 @@
 	}
 }
 
-// A process that can't start, as another of its addresses is taken, has not opened the one
-// that clients come to: beside a process that it can't take over from, clients would get to
-// it, and nobody answers them there.
+// A process that fails to start because another of its addresses is in use must not open the
+// clients' address: beside a process that it can't take over from, the kernel would route
+// clients to it, and nobody would answer them.
 func TestFailedStartTakesNoClients(t *testing.T) {
 	const clients = 32
-	taken, err := net.Listen("tcp", address(t))
+	listener, err := net.Listen("tcp", reserveAddr(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	at := taken.Addr().String()
+	defer listener.Close()
+	inUse := listener.Addr().String()
 	const service = "[[service]]\nname = 'maps'\n[[team]]\nname = 'a'\n[[team.allow]]\nservice = 'maps'\n"
-	old := startReady(t, scene.Config{Listen: address(t), Maps: []lab.EndpointConfig{{Workers: 8}}}) // in no folder: nobody can ask it
+	old := startReady(t, scene.Config{Listen: reserveAddr(t), Maps: []lab.EndpointConfig{{Workers: 8}}}) // without a folder no process can take over from it
 	for name, c := range map[string]struct{ management, operator string }{
-		"the second address":         {at, ""},
-		"the address of the figures": {"", service + fmt.Sprintf("[metrics]\nlisten = %q\n", at)},
+		"the second address":         {inUse, ""},
+		"the address of the figures": {"", service + fmt.Sprintf("[metrics]\nlisten = %q\n", inUse)},
 		"the fleet's address": {"", service + "rate = 10\nburst = 10\nquota = 'fleet'\n" + fmt.Sprintf("[fleet]\nname = 'g0'\nlisten = %q\nlease = '500ms'\nperiod = '50ms'\n"+
-			"[[fleet.partner]]\nname = 'p'\npart = 1\n[[fleet.gateway]]\nname = 'g0'\npartner = 'p'\naddress = %q\n", at, at)},
+			"[[fleet.partner]]\nname = 'p'\npart = 1\n[[fleet.gateway]]\nname = 'g0'\npartner = 'p'\naddress = %q\n", inUse, inUse)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			config, err := sidecar.ParseConfig("platform", scene.Configuration(scene.Platform{
@@ -320,8 +320,8 @@
 					t.Fatal(err)
 				}
 			}
-			if _, err := sidecar.New(config); err == nil || !strings.Contains(err.Error(), at) {
-				t.Fatalf("it starts though %s is taken: %v", name, err)
+			if _, err := sidecar.New(config); err == nil || !strings.Contains(err.Error(), inUse) {
+				t.Fatalf("the start succeeded although %s is in use: %v", name, err)
 			}
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 			for i := range clients {
