--- a/internal/sidecar/retune_test.go
+++ b/internal/sidecar/retune_test.go
@@ -151,7 +151,7 @@
 	if grown := int64(heapAtRest()) - int64(before); grown > 600<<10 {
 		t.Errorf("200 changes leaked %d bytes", grown)
 	}
-	if places := s.Sidecar.ClassSlots(); places > 12 {
-		t.Errorf("%d slots for 3 classes", places)
+	if slots := s.Sidecar.ClassSlots(); slots > 12 {
+		t.Errorf("%d slots for 3 classes", slots)
 	}
 }
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -27,8 +27,8 @@
 	return addr
 }
 
-// A successor inherits the state of its predecessor: an endpoint that only the predecessor was
-// notified is draining, endpoints disabled by operators, and recent request ids.
+// A successor inherits the state of its predecessor: the drain of an endpoint that only the
+// predecessor knows of, endpoints disabled by operators, and recent request ids.
 func TestHandoverState(t *testing.T) {
 	addr := reserveAddr(t)
 	c := scene.Config{Listen: addr, Folder: t.TempDir(), Maps: []lab.EndpointConfig{{Workers: 8}, {Workers: 8}, {Workers: 8}}}
@@ -303,8 +303,8 @@
 	const service = "[[service]]\nname = 'maps'\n[[team]]\nname = 'a'\n[[team.allow]]\nservice = 'maps'\n"
 	old := startReady(t, scene.Config{Listen: reserveAddr(t), Maps: []lab.EndpointConfig{{Workers: 8}}}) // without a folder no process can take over from it
 	for name, c := range map[string]struct{ management, operator string }{
-		"the second address":         {inUse, ""},
-		"the address of the figures": {"", service + fmt.Sprintf("[metrics]\nlisten = %q\n", inUse)},
+		"the management address": {inUse, ""},
+		"the metrics address":    {"", service + fmt.Sprintf("[metrics]\nlisten = %q\n", inUse)},
 		"the fleet's address": {"", service + "rate = 10\nburst = 10\nquota = 'fleet'\n" + fmt.Sprintf("[fleet]\nname = 'g0'\nlisten = %q\nlease = '500ms'\nperiod = '50ms'\n"+
 			"[[fleet.partner]]\nname = 'p'\npart = 1\n[[fleet.gateway]]\nname = 'g0'\npartner = 'p'\naddress = %q\n", inUse, inUse)},
 	} {
