--- a/internal/sidecar/export_test.go
+++ b/internal/sidecar/export_test.go
@@ -30,13 +30,11 @@
 // Shedder is a sidecar's shedder whose delays the test supplies.
 type Shedder struct{ *shedder }
 
-func (s *Sidecar) NewShedder(settings overload.Settings) Shedder {
-	return Shedder{newShedder(&settings, s.core)}
-}
-func (s *Sidecar) NewSampler() Shedder       { return Shedder{newShedder(nil, s.core)} }
-func (s Shedder) HasAdmission() bool         { return s.admission() != nil }
-func (s Shedder) Record(delay time.Duration) { s.record(delay) }
-func (s Shedder) Delay() time.Duration       { return s.delay() }
+func (s *Sidecar) NewShedder(set overload.Settings) Shedder { return Shedder{newShedder(&set, s.core)} }
+func (s *Sidecar) NewSampler() Shedder                      { return Shedder{newShedder(nil, s.core)} }
+func (s Shedder) HasAdmission() bool                        { return s.admission() != nil }
+func (s Shedder) Record(delay time.Duration)                { s.record(delay) }
+func (s Shedder) Delay() time.Duration                      { return s.delay() }
 
 // PauseMessages blocks the sidecar's handling of its predecessor's messages until resume is
 // called.
