--- a/cmd/spokegw/console.go
+++ b/cmd/spokegw/console.go
@@ -21,24 +21,25 @@
 	"spokegw/internal/sidecar"
 )
 
-// consoleCommands are those that speak to a sidecar's socket.
+// consoleCommands returns the commands that use a sidecar's console socket.
 func (c *cli) consoleCommands() []*cobra.Command {
-	members := c.command(&cobra.Command{Use: "members", Short: "every endpoint, why one is avoided, and what was learnt of it"}, nil, c.members)
-	teams := c.command(&cobra.Command{Use: "teams", Short: "how every team stands with each service",
+	members := c.newCommand(&cobra.Command{Use: "members", Short: "every endpoint, why one is avoided, and what was learnt of it"}, nil, c.members)
+	teams := c.newCommand(&cobra.Command{Use: "teams", Short: "how every team stands with each service",
 		Long: "How every team stands with each service: attempts beyond the first that it may make (RETRIES), the work that it is ahead of its share, and by call how far it is ahead of its rate. A burst is spent where AHEAD is as long as it takes at the rate."}, nil, c.teams)
-	reload := c.command(&cobra.Command{Use: "reload", Short: "read the files again, as on SIGHUP, and tell the faults or what changes"}, nil, c.reload)
-	diff := c.command(&cobra.Command{Use: "diff", Short: "tell what an operator's file would change, and do nothing", Example: "  spokegw diff next.toml"}, []string{"FILE"}, c.diff)
+	reload := c.newCommand(&cobra.Command{Use: "reload", Short: "read the files again, as on SIGHUP, and tell the faults or what changes"}, nil, c.reload)
+	diff := c.newCommand(&cobra.Command{Use: "diff", Short: "tell what an operator's file would change, and do nothing", Example: "  spokegw diff next.toml"}, []string{"FILE"}, c.diff)
 	all := []*cobra.Command{members, teams, reload, diff, c.explainCommand(), c.traceCommand(), c.logCommand()}
 	for _, cmd := range all {
-		c.speaking(cmd, true)
+		c.addConnectionFlags(cmd, true)
 	}
 	return all
 }
 
-// rows asks for rows and prints each: as JSON, or as line makes it of one.
-func rows[T any](c *cli, ctx context.Context, call string, args any, heading string, line func(w io.Writer, row *T)) error {
+// printRows makes a console call and prints each row of its answer, as JSON or
+// through line.
+func printRows[T any](c *cli, ctx context.Context, call string, args any, heading string, line func(w io.Writer, row *T)) error {
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
-	err := c.ask(ctx, c.timeout, call, args, func(raw json.RawMessage) error {
+	err := c.callConsole(ctx, c.timeout, call, args, func(raw json.RawMessage) error {
 		if c.json {
 			return c.print(raw)
 		}
@@ -48,7 +49,7 @@
 		}
 		if heading != "" {
 			fmt.Fprintln(w, heading)
-			heading = "" // once, and not over a refusal
+			heading = "" // printed once, and only if there is a row
 		}
 		line(w, &row)
 		return nil
@@ -57,13 +58,13 @@
 }
 
 func (c *cli) members(cmd *cobra.Command, _ []string) error {
-	return rows(c, cmd.Context(), "members", nil, "ENDPOINT\tSERVICE\tADDRESS\tKIND\tSTATE\tAVOIDED\tIN FLIGHT\tPART\tHEALTH\tWARMTH\tSPEED",
+	return printRows(c, cmd.Context(), "members", nil, "ENDPOINT\tSERVICE\tADDRESS\tKIND\tSTATE\tAVOIDED\tIN FLIGHT\tPART\tHEALTH\tWARMTH\tSPEED",
 		func(w io.Writer, m *sidecar.MemberRow) {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.0f\t%.3f\t%.2f\t%.2f\t%.2f\n", m.ID, m.Service, m.Addr, dash(m.Kind), m.State, dash(m.Avoided), m.InFlight, m.Part, m.Health, m.Warmth, m.Speed)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.0f\t%.3f\t%.2f\t%.2f\t%.2f\n", m.ID, m.Service, m.Addr, orDash(m.Kind), m.State, orDash(m.Avoided), m.InFlight, m.Part, m.Health, m.Warmth, m.Speed)
 		})
 }
 
-func dash(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
@@ -72,10 +73,10 @@
 
 func (c *cli) teams(cmd *cobra.Command, _ []string) error {
 	tight := false
-	err := rows(c, cmd.Context(), "teams", nil, "TEAM\tSERVICE\tRETRIES\tAHEAD OF SHARE\tCALLS, AHEAD OF RATE AND WORK", func(w io.Writer, t *sidecar.TeamRow) {
+	err := printRows(c, cmd.Context(), "teams", nil, "TEAM\tSERVICE\tRETRIES\tAHEAD OF SHARE\tCALLS, AHEAD OF RATE AND WORK", func(w io.Writer, t *sidecar.TeamRow) {
 		var calls []string
 		for _, a := range t.Calls {
-			calls = append(calls, fmt.Sprintf("%s %v %v", dash(a.Class), a.Requests.Round(time.Millisecond), a.Work.Round(time.Millisecond)))
+			calls = append(calls, fmt.Sprintf("%s %v %v", orDash(a.Class), a.Requests.Round(time.Millisecond), a.Work.Round(time.Millisecond)))
 		}
 		name := t.Team
 		if name == "" {
@@ -90,8 +91,8 @@
 	return err
 }
 
-// told prints what came of reading files.
-func (c *cli) told(raw json.RawMessage, none string) error {
+// printReload prints the result of a reload or a diff.
+func (c *cli) printReload(raw json.RawMessage, unchanged string) error {
 	if c.json {
 		return c.print(raw)
 	}
@@ -106,13 +107,15 @@
 		return errors.New("it is not used:\n" + strings.Join(r.Faults, "\n"))
 	}
 	if len(r.Changes) == 0 {
-		fmt.Fprintln(c.out, none)
+		fmt.Fprintln(c.out, unchanged)
 	}
 	return nil
 }
 
 func (c *cli) reload(cmd *cobra.Command, _ []string) error {
-	return c.ask(cmd.Context(), c.timeout, "reload", nil, func(raw json.RawMessage) error { return c.told(raw, "taken over; the operator's file changes nothing") })
+	return c.callConsole(cmd.Context(), c.timeout, "reload", nil, func(raw json.RawMessage) error {
+		return c.printReload(raw, "taken over; the operator's file changes nothing")
+	})
 }
 
 func (c *cli) diff(cmd *cobra.Command, args []string) error {
@@ -120,14 +123,14 @@
 	if err != nil {
 		return err
 	}
-	return c.ask(cmd.Context(), c.timeout, "diff", map[string]string{"Name": args[0], "Text": string(text)}, func(raw json.RawMessage) error { return c.told(raw, "nothing changes") })
+	return c.callConsole(cmd.Context(), c.timeout, "diff", map[string]string{"Name": args[0], "Text": string(text)}, func(raw json.RawMessage) error { return c.printReload(raw, "nothing changes") })
 }
 
 func (c *cli) explainCommand() *cobra.Command {
 	var team, key, deadline string
 	var fields []string
 	var length int64
-	cmd := c.command(&cobra.Command{
+	cmd := c.newCommand(&cobra.Command{
 		Use: "explain", Short: "what would become of a request now, and why; nothing is sent, and nothing charged",
 		Example: "  spokegw explain GET '/map-tile/3/7?user=k' --team kiosks\n  spokegw explain POST /status-report --key k1 --length 200",
 	}, []string{"METHOD", "PATH"}, func(cmd *cobra.Command, args []string) error {
@@ -145,7 +148,7 @@
 			}
 		}
 		a := sidecar.ExplainRequest{Method: args[0], Target: args[1], Header: header, Length: length}
-		return c.ask(cmd.Context(), c.timeout, "explain", a, c.explained)
+		return c.callConsole(cmd.Context(), c.timeout, "explain", a, c.printExplanation)
 	})
 	cmd.Flags().StringVar(&team, "team", "", "Req-Owner: the `team` that asks")
 	cmd.Flags().StringVar(&key, "key", "", "Idempotency-Key: the request's `key`")
@@ -155,7 +158,7 @@
 	return cmd
 }
 
-func (c *cli) explained(raw json.RawMessage) error {
+func (c *cli) printExplanation(raw json.RawMessage) error {
 	if c.json {
 		return c.print(raw)
 	}
@@ -169,7 +172,7 @@
 	}
 	if e.Class != "" {
 		row("class", "%s of service %s, %s to repeat; aim %v, deadline %v", e.Class, e.Service, e.Effect, e.Aim, e.Deadline)
-		row("contract", "of %s: %s", dash(e.Team), e.Contract)
+		row("contract", "of %s: %s", orDash(e.Team), e.Contract)
 	}
 	if e.Key != "" {
 		row("key", "%s", e.Key)
@@ -189,19 +192,19 @@
 		fmt.Fprintln(w, "\nENDPOINT\tPART\tNOT, SINCE\tAVOIDED")
 	}
 	for _, m := range e.Candidates {
-		fmt.Fprintf(w, "%s\t%.3f\t%s\t%s\n", m.ID, m.Part, dash(m.Not), dash(m.Avoid))
+		fmt.Fprintf(w, "%s\t%.3f\t%s\t%s\n", m.ID, m.Part, orDash(m.Not), orDash(m.Avoid))
 	}
 	return w.Flush()
 }
 
 func (c *cli) traceCommand() *cobra.Command {
 	var t sidecar.TraceRequest
-	cmd := c.command(&cobra.Command{
+	cmd := c.newCommand(&cobra.Command{
 		Use: "trace", Short: "the next requests, with every decision on each",
 		Long:    "The next requests that fit, as they end, with every decision on each. Who serves waits for nobody: what is not read in time is left out, and counted at the end.",
 		Example: "  spokegw trace --count 5 --status 500\n  spokegw trace --team kiosks --took 400ms --for 1m",
 	}, nil, func(cmd *cobra.Command, _ []string) error {
-		return c.ask(cmd.Context(), t.For+c.timeout, "trace", t, c.traced)
+		return c.callConsole(cmd.Context(), t.For+c.timeout, "trace", t, c.printTrace)
 	})
 	cmd.Flags().IntVar(&t.Count, "count", 10, "end after so many; 0: when the time is over")
 	cmd.Flags().DurationVar(&t.For, "for", time.Minute, "end after so long")
@@ -213,59 +216,59 @@
 	return cmd
 }
 
-func (c *cli) traced(raw json.RawMessage) error {
+func (c *cli) printTrace(raw json.RawMessage) error {
 	if c.json {
 		return c.print(raw)
 	}
-	var missed sidecar.DroppedTraces
-	if json.Unmarshal(raw, &missed) == nil && missed.Missed > 0 {
-		fmt.Fprintf(c.out, "%d more fitted and were not read in time\n", missed.Missed)
+	var dropped sidecar.DroppedTraces
+	if json.Unmarshal(raw, &dropped) == nil && dropped.Missed > 0 {
+		fmt.Fprintf(c.out, "%d more fitted and were not read in time\n", dropped.Missed)
 		return nil
 	}
 	var t core.Trace
 	if err := json.Unmarshal(raw, &t); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out, "%s %s %s %s class=%s team=%s status=%d took=%v\n", t.At.Format("15:04:05.000"), t.ID, t.Method, t.Path, dash(t.Class), dash(t.Team), t.Status, t.Took.Round(time.Microsecond))
+	fmt.Fprintf(c.out, "%s %s %s %s class=%s team=%s status=%d took=%v\n", t.At.Format("15:04:05.000"), t.ID, t.Method, t.Path, orDash(t.Class), orDash(t.Team), t.Status, t.Took.Round(time.Microsecond))
 	for _, s := range t.Steps {
 		fmt.Fprintf(c.out, "  %10v  %s: %s\n", s.After.Round(time.Microsecond), s.What, s.Detail)
 	}
 	return nil
 }
 
-// logCommand tells the levels of the log, and sets one.
+// logCommand prints the log levels or sets one.
 func (c *cli) logCommand() *cobra.Command {
-	var lasts time.Duration
-	cmd := c.command(&cobra.Command{
+	var duration time.Duration
+	cmd := c.newCommand(&cobra.Command{
 		Use: "log [[PART=]LEVEL]", Short: "the levels of the log by part, or set one",
 		Long:    "The levels of the log by part, or set one: debug, info, warn or error, of a part such as core or http1, and without a part of all others.",
 		Example: "  spokegw log\n  spokegw log core=debug --for 5m\n  spokegw log warn",
 	}, nil, func(cmd *cobra.Command, args []string) error {
-		a := logging.Level{For: lasts}
+		a := logging.Level{For: duration}
 		if len(args) > 0 {
 			var ok bool
 			if a.Part, a.Level, ok = strings.Cut(args[0], "="); !ok {
 				a.Part, a.Level = "", args[0]
 			}
 		}
-		return rows(c, cmd.Context(), "log", a, "PART\tLEVEL\tFOR", func(w io.Writer, l *logging.Level) {
-			part, lasts := l.Part, "good"
+		return printRows(c, cmd.Context(), "log", a, "PART\tLEVEL\tFOR", func(w io.Writer, l *logging.Level) {
+			part, duration := l.Part, "good"
 			if part == "" {
 				part = "(all others)"
 			}
 			if l.For > 0 {
-				lasts = l.For.Round(time.Second).String()
+				duration = l.For.Round(time.Second).String()
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\n", part, l.Level, lasts)
+			fmt.Fprintf(w, "%s\t%s\t%s\n", part, l.Level, duration)
 		})
 	})
 	cmd.Args = cobra.MaximumNArgs(1)
-	cmd.Flags().DurationVar(&lasts, "for", 0, "as before after so long; 0: for good")
+	cmd.Flags().DurationVar(&duration, "for", 0, "as before after so long; 0: for good")
 	return cmd
 }
 
 func (c *cli) versionCommand() *cobra.Command {
-	cmd := c.command(&cobra.Command{Use: "version", Short: "what this program was built of"}, nil, func(*cobra.Command, []string) error {
+	cmd := c.newCommand(&cobra.Command{Use: "version", Short: "what this program was built of"}, nil, func(*cobra.Command, []string) error {
 		v := struct {
 			Go       string `json:"go"`
 			Revision string `json:"revision"`
@@ -299,9 +302,9 @@
 	return cmd
 }
 
-// manCommand writes the manual's pages, made of the same definitions.
+// manCommand writes manual pages generated from the command definitions.
 func (c *cli) manCommand(root *cobra.Command) *cobra.Command {
-	return c.command(&cobra.Command{Use: "man", Short: "write the manual's pages into a folder", Example: "  spokegw man /usr/local/share/man/man1"}, []string{"FOLDER"}, func(_ *cobra.Command, args []string) error {
+	return c.newCommand(&cobra.Command{Use: "man", Short: "write the manual's pages into a folder", Example: "  spokegw man /usr/local/share/man/man1"}, []string{"FOLDER"}, func(_ *cobra.Command, args []string) error {
 		if err := os.MkdirAll(args[0], 0o755); err != nil {
 			return err
 		}
--- a/cmd/spokegw/examples.go
+++ b/cmd/spokegw/examples.go
@@ -2,8 +2,8 @@
 
 import "github.com/spf13/cobra"
 
-// examplesOf are the examples of commands that tell none of their own, by their path.
-var examplesOf = map[string]string{
+// defaultExamples maps the paths of commands that define no example to one.
+var defaultExamples = map[string]string{
 	"spokegw run":           "  spokegw run --operator deploy/operator.toml --log json",
 	"spokegw check":         "  spokegw check --operator deploy/operator.toml",
 	"spokegw lab":           "  spokegw lab --surge 3\n  spokegw lab --move failing --seconds 60",
@@ -32,10 +32,10 @@
 	"spokegw version":       "  spokegw version --json",
 }
 
-// addExamples gives an example to each command that has none.
+// addExamples adds the default example to each command that has none.
 func addExamples(cmd *cobra.Command) {
 	if cmd.Example == "" {
-		cmd.Example = examplesOf[cmd.CommandPath()]
+		cmd.Example = defaultExamples[cmd.CommandPath()]
 	}
 	for _, sub := range cmd.Commands() {
 		addExamples(sub)
--- a/cmd/spokegw/lab.go
+++ b/cmd/spokegw/lab.go
@@ -21,11 +21,11 @@
 	"spokegw/internal/lab/scene"
 )
 
-const labAbout = `spokegw lab starts, on loopback and with nothing else installed, a sidecar with
+const labHelp = `spokegw lab starts, on loopback and with nothing else installed, a sidecar with
 stand-in endpoints, a registry, a second service and two teams that ask steadily,
 and prints each second what became of their requests. Ctrl-C ends it whole.`
 
-// What the lab's endpoints can do, in seconds of work a second.
+// The capacity of the lab's endpoints, in seconds of work per second.
 const (
 	labEndpoints = 3
 	labWorkers   = 4
@@ -43,8 +43,8 @@
 
 func (c *cli) labCommand() *cobra.Command {
 	var o labOptions
-	cmd := c.command(&cobra.Command{Use: "lab", Short: "try it: a sidecar with stand-ins and traffic, on loopback", Long: labAbout}, nil, func(cmd *cobra.Command, _ []string) error {
-		if err := o.check(); err != nil {
+	cmd := c.newCommand(&cobra.Command{Use: "lab", Short: "try it: a sidecar with stand-ins and traffic, on loopback", Long: labHelp}, nil, func(cmd *cobra.Command, _ []string) error {
+		if err := o.validate(); err != nil {
 			return &usageError{cmd, err}
 		}
 		ctx := cmd.Context()
@@ -54,7 +54,7 @@
 			defer cancel()
 		}
 		slog.SetDefault(slog.New(slog.NewTextHandler(c.errOut, &slog.HandlerOptions{Level: slog.LevelWarn})))
-		return playLab(ctx, o, c.out)
+		return runLab(ctx, o, c.out)
 	})
 	f := cmd.Flags()
 	f.StringVar(&o.listen, "listen", "", "`address` where the sidecar listens; a free port of 127.0.0.1 without it")
@@ -67,8 +67,8 @@
 	return cmd
 }
 
-// check tells what can't be played.
-func (o *labOptions) check() error {
+// validate reports an option that is out of range or conflicts with another.
+func (o *labOptions) validate() error {
 	switch {
 	case !(o.load > 0 && o.load <= 20 && o.surge > 0 && o.surge <= 20):
 		return errors.New("--load and --surge are over 0 and up to 20")
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// labFile is the lab's operator's file.
-func labFile(weather string) string {
+// labOperatorFile returns the operator's file of the lab.
+func labOperatorFile(weather string) string {
 	return fmt.Sprintf(`[[service]]
 name = "maps"
 
@@ -118,8 +118,8 @@
 `, weather)
 }
 
-// playLab runs the lab until ctx ends.
-func playLab(ctx context.Context, o labOptions, out io.Writer) error {
+// runLab runs the lab until ctx ends, then drains it.
+func runLab(ctx context.Context, o labOptions, out io.Writer) error {
 	weather, err := lab.StartEndpoint(lab.EndpointConfig{Workers: labWorkers, Work: 10 * time.Millisecond, Body: 512})
 	if err != nil {
 		return err
@@ -136,20 +136,20 @@
 		config.Maps = append(config.Maps, lab.EndpointConfig{Workers: labWorkers, Work: 20 * time.Millisecond, Body: 4096})
 	}
 	if !o.noBroker {
-		config.Operator = labFile(weather.Addr())
+		config.Operator = labOperatorFile(weather.Addr())
 	}
 	if !o.noBroker {
 		config.Operator += fmt.Sprintf("\n[console]\nsocket = %q\n", socket)
 	}
 	if o.move != "" {
-		config.Operator += labMove
+		config.Operator += labMoveConfig
 		config.Maps = movePools(o.move)
 	}
 	s, err := scene.Start(config)
 	if err != nil {
 		return err
 	}
-	printLab(out, s.Addr(), config.Operator)
+	printIntro(out, s.Addr(), config.Operator)
 	printCommands(out, s.Sidecar.AddrManagement(), socket, !o.noBroker)
 	if addr := s.Sidecar.AddrHTTP3(); addr != nil {
 		fmt.Fprintf(out, "By HTTP/3, with a curl that has it:\n\n  curl --http3-only -k -i https://%s/map-tile/3/7 -H \"Req-Id: $RANDOM$RANDOM\" -H 'Req-Deadline: 1000m' -H 'Req-Owner: kiosks'\n\n", addr)
@@ -162,13 +162,13 @@
 	if o.move != "" {
 		running.Go(func() { reportMove(ctx, s.Sidecar.AddrManagement(), out) })
 	}
-	report(ctx, out, loads)
+	reportLoads(ctx, out, loads)
 	running.Wait()
 	fmt.Fprintln(out, "ending: what was taken is finished")
 	return s.Close()
 }
 
-func printLab(out io.Writer, addr, file string) {
+func printIntro(out io.Writer, addr, file string) {
 	fmt.Fprintf(out, "The sidecar listens at %s. Try, from another shell:\n\n", addr)
 	curl := func(more, path, team string) {
 		fmt.Fprintf(out, "  curl -i http://%s%s -H \"Req-Id: $RANDOM$RANDOM\" -H 'Req-Deadline: 1000m' -H 'Req-Owner: %s'%s\n", addr, path, team, more)
@@ -184,7 +184,7 @@
 	fmt.Fprintln(out)
 }
 
-// printCommands tells how to look on and to steer.
+// printCommands prints commands to observe and control the sidecar with.
 func printCommands(out io.Writer, management, socket string, console bool) {
 	fmt.Fprintf(out, "To look on, in another shell:\n\n  export NODE_MANAGEMENT=%s\n", management)
 	commands := []string{"top", "disable maps-1", "members"}
@@ -200,7 +200,7 @@
 	fmt.Fprintln(out)
 }
 
-// labLoads is the lab's traffic.
+// labLoads returns the lab's traffic, one load per team.
 func labLoads(o labOptions) []*lab.Load {
 	const cost = 30 * time.Millisecond
 	rate := func(share float64) float64 { return o.load * share * labCapacity / cost.Seconds() }
@@ -219,8 +219,8 @@
 	return loads
 }
 
-// labMove is the lab's move: quick, and judged as by default.
-const labMove = `
+// labMoveConfig is the lab's move, with short steps and the default guards.
+const labMoveConfig = `
 [[move]]
 name = "new"
 service = "maps"
@@ -234,17 +234,17 @@
 to.pod = 1
 `
 
-// movePools are four endpoints as usual, in one pod, and four in another that are
-// good, slow or failing.
-func movePools(how string) (all []lab.EndpointConfig) {
+// movePools returns four normal endpoints in one pod and four in another whose
+// behaviour is good, slow or failing.
+func movePools(behaviour string) (all []lab.EndpointConfig) {
 	for i := range 8 {
 		c := lab.EndpointConfig{Workers: labWorkers, Work: 20 * time.Millisecond, Body: 4096}
 		if i >= 4 {
 			c.Answer = func(w http.ResponseWriter, _ *http.Request) bool {
 				switch {
-				case how == "slow":
+				case behaviour == "slow":
 					time.Sleep(10 * time.Millisecond)
-				case how == "failing" && rand.IntN(10) == 0:
+				case behaviour == "failing" && rand.IntN(10) == 0:
 					w.WriteHeader(http.StatusInternalServerError)
 					return true
 				}
@@ -256,7 +256,7 @@
 	return all
 }
 
-// reportMove prints where the move is, every three seconds.
+// reportMove prints the state of the move every three seconds.
 func reportMove(ctx context.Context, addr string, out io.Writer) {
 	tick := time.NewTicker(3 * time.Second)
 	defer tick.Stop()
@@ -266,7 +266,7 @@
 			return
 		case <-tick.C:
 			var text bytes.Buffer
-			c := &cli{out: &text, management: addr, timeout: callPatience}
+			c := &cli{out: &text, management: addr, timeout: defaultTimeout}
 			if err := c.moves(ctx); err == nil {
 				fmt.Fprintf(out, "\n%s\n", text.String())
 			}
@@ -274,8 +274,8 @@
 	}
 }
 
-// report prints a line for each team each second.
-func report(ctx context.Context, out io.Writer, loads []*lab.Load) {
+// reportLoads prints a line per team every second.
+func reportLoads(ctx context.Context, out io.Writer, loads []*lab.Load) {
 	const heading = "second  team      asked  in time  late  refused  other  p50 ms  p99 ms"
 	begun := time.Now()
 	tick := time.NewTicker(time.Second)
@@ -287,7 +287,7 @@
 		case <-tick.C:
 		}
 		if second < 1 {
-			continue // what was sent in the last second may still be open
+			continue // requests of the last second may still be in flight
 		}
 		if (second-1)%10 == 0 {
 			fmt.Fprintln(out, heading)
--- a/cmd/spokegw/main.go
+++ b/cmd/spokegw/main.go
@@ -1,5 +1,5 @@
-// Command spokegw is the sidecar: it spreads an application's requests over the
-// endpoints of the services behind it, and holds teams to their contracts.
+// Command spokegw is the sidecar: it balances an application's requests over the
+// endpoints of the services behind it, and enforces the contracts of teams.
 package main
 
 import (
@@ -16,19 +16,19 @@
 	"spokegw/internal/sidecar"
 )
 
-// Exit codes: what was asked is not so, or went wrong; a command line that can't be
-// read; a sidecar that can't be reached.
+// Exit codes: a negative result or a failure; an invalid command line; an unreachable
+// sidecar.
 const (
-	exitNo          = 1
+	exitFailure     = 1
 	exitUsage       = 2
 	exitUnreachable = 3
 )
 
-// errUsage tells that the command line can't be read; it has been said why.
+// errUsage reports an invalid command line whose fault has already been printed.
 var errUsage = errors.New("usage")
 
 func main() {
-	err := command(os.Args[1:], os.Stdout, os.Stderr)
+	err := execute(os.Args[1:], os.Stdout, os.Stderr)
 	switch {
 	case err == nil:
 		return
@@ -39,12 +39,12 @@
 	if errors.Is(err, errUnreachable) {
 		os.Exit(exitUnreachable)
 	}
-	os.Exit(exitNo)
+	os.Exit(exitFailure)
 }
 
-// check checks the files that a sidecar would start with, and prints every
-// fault. Without a configuration the operator's file is checked by itself.
-func check(path string, getenv func(string) string, out io.Writer) error {
+// checkFiles validates the files that a sidecar would start with and prints every
+// fault. Without a configuration the operator's file is validated by itself.
+func checkFiles(path string, getenv func(string) string, out io.Writer) error {
 	var faults []error
 	var config sidecar.Config
 	checked := getenv("NODE_CONFIG") != ""
@@ -79,18 +79,18 @@
 	return nil
 }
 
-// run runs the sidecar until it is told to stop.
-func run(path, folder, record string, log *logging.Log) error {
+// runSidecar runs the sidecar until SIGTERM or SIGINT.
+func runSidecar(operatorPath, stateDir, record string, log *logging.Log) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// Before anything else: an unhandled SIGHUP ends the process.
+	// Handled before anything else, as an unhandled SIGHUP ends the process.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	config, err := sidecar.LoadConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
-	if err := config.LoadOperator(path, folder); err != nil {
+	if err := config.LoadOperator(operatorPath, stateDir); err != nil {
 		return err
 	}
 	sidecar.ApplyLimits(config.Limits)
@@ -106,8 +106,8 @@
 		defer end()
 	}
 	var file func() (*operator.File, error)
-	if path != "" {
-		file = func() (*operator.File, error) { return operator.Load(path) }
+	if operatorPath != "" {
+		file = func() (*operator.File, error) { return operator.Load(operatorPath) }
 	}
 	read := func() sidecar.ReloadResult {
 		return s.ReloadFiles(func() (sidecar.Config, error) { return sidecar.LoadConfig(os.Getenv) }, file)
@@ -118,12 +118,12 @@
 	return s.Run(ctx)
 }
 
-// reload reads the files anew at every SIGHUP until ctx ends.
+// reload reads the files again at every SIGHUP until ctx ends.
 func reload(ctx context.Context, hangup <-chan os.Signal, read func() sidecar.ReloadResult) {
 	for {
 		select {
 		case <-ctx.Done():
-			return // SIGHUP stays caught: it must not cut the drain short
+			return // SIGHUP stays handled, so that it does not interrupt the drain
 		case <-hangup:
 			read()
 		}
--- a/cmd/spokegw/moves.go
+++ b/cmd/spokegw/moves.go
@@ -18,25 +18,25 @@
 	"spokegw/internal/sidecar"
 )
 
-// moveCommand is spokegw move, with what can be said on a move.
+// moveCommand returns spokegw move with its subcommands.
 func (c *cli) moveCommand() *cobra.Command {
 	move := &cobra.Command{Use: "move", Short: "a word on a move between pools, or what one would do"}
 	for _, w := range []struct{ use, short string }{
 		{"begin", "begin a move"}, {"hold", "keep it at its step; it may still be undone"},
 		{"go-on", "let it go on that is held or has halted"}, {"undo", "have it go back, also when it is done"},
 	} {
-		move.AddCommand(c.speaking(c.wordCommand(w.use, w.short, w.use+"-move", []string{"NAME"}), false))
+		move.AddCommand(c.addConnectionFlags(c.managementCommand(w.use, w.short, w.use+"-move", []string{"NAME"}), false))
 	}
-	asked := rates{}
-	plan := c.command(&cobra.Command{Use: "plan", Short: "what the moves of an operator's file would do, against the list of NODE_CONFIG", Example: "  spokegw move plan --rate map-tile=300 next.toml"},
-		[]string{"FILE"}, func(_ *cobra.Command, args []string) error { return movePlan(args[0], asked, c.out) })
-	plan.Flags().Var(asked, "rate", "requests a second of a class, `CLASS=N`; again for more")
+	classRates := rates{}
+	plan := c.newCommand(&cobra.Command{Use: "plan", Short: "what the moves of an operator's file would do, against the list of NODE_CONFIG", Example: "  spokegw move plan --rate map-tile=300 next.toml"},
+		[]string{"FILE"}, func(_ *cobra.Command, args []string) error { return planMoves(args[0], classRates, c.out) })
+	plan.Flags().Var(classRates, "rate", "requests a second of a class, `CLASS=N`; again for more")
 	move.AddCommand(plan)
 	return move
 }
 
-// fieldsOf are the names and values of a line.
-func fieldsOf(line string) map[string]string {
+// parseFields returns the name=value fields of a line.
+func parseFields(line string) map[string]string {
 	m := map[string]string{}
 	for _, f := range strings.Fields(line) {
 		name, value, _ := strings.Cut(f, "=")
@@ -45,24 +45,24 @@
 	return m
 }
 
-// moves prints the moves of a sidecar and the evidence on them.
+// moves prints the moves of a sidecar and the evidence for their guards.
 func (c *cli) moves(ctx context.Context) error {
-	lines, err := c.call(ctx, "show-moves")
+	lines, err := c.callManagement(ctx, "show-moves")
 	if err != nil {
 		return err
 	}
 	if c.json {
 		for _, line := range lines {
-			if err := c.print(fieldsOf(line)); err != nil {
+			if err := c.print(parseFields(line)); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	return showMoves(lines, c.out)
+	return printMoves(lines, c.out)
 }
 
-func showMoves(lines []string, out io.Writer) error {
+func printMoves(lines []string, out io.Writer) error {
 	if len(lines) == 0 {
 		fmt.Fprintln(out, "there are no moves")
 		return nil
@@ -72,7 +72,7 @@
 	plain := func(text string) string { return strings.ReplaceAll(text, "_", " ") }
 	var evidence []map[string]string
 	for _, line := range lines {
-		f := fieldsOf(line)
+		f := parseFields(line)
 		if f["evidence"] != "" {
 			evidence = append(evidence, f)
 			continue
@@ -100,7 +100,7 @@
 	return strconv.FormatFloat(100*x, 'g', 4, 64) + "%"
 }
 
-// rates are requests a second by class, as flags tell them.
+// rates is a flag value: requests per second by class.
 type rates map[string]float64
 
 func (r rates) String() string { return "" }
@@ -115,10 +115,10 @@
 	return nil
 }
 
-// movePlan tells what the moves of an operator's file would do, against the list
-// that the configuration knows: which endpoints, how long at least, and how much
-// has to be seen. It does nothing.
-func movePlan(path string, asked rates, out io.Writer) error {
+// planMoves prints what the moves of an operator's file would do with the endpoints
+// that the configuration lists: which endpoints each pool has, and how long each step
+// takes at least for its guards to have enough evidence. It changes nothing.
+func planMoves(path string, classRates rates, out io.Writer) error {
 	f, err := operator.Load(path)
 	if err != nil {
 		return err
@@ -134,12 +134,12 @@
 		fmt.Fprintln(out, "the file has no moves")
 	}
 	for i := range f.Moves {
-		planMove(out, &f.Moves[i], f, &config, asked)
+		printMovePlan(out, &f.Moves[i], f, &config, classRates)
 	}
 	return nil
 }
 
-func planMove(out io.Writer, m *operator.Move, f *operator.File, config *sidecar.Config, asked rates) {
+func printMovePlan(out io.Writer, m *operator.Move, f *operator.File, config *sidecar.Config, classRates rates) {
 	service := f.Services[slices.IndexFunc(f.Services, func(s operator.Service) bool { return s.Name == m.Service })]
 	fmt.Fprintf(out, "move %s of %s: from %s to %s\n", m.Name, m.Service, m.From.String(), m.To.String())
 	if !service.Platform {
@@ -159,10 +159,10 @@
 			}
 		}
 		for _, l := range []struct {
-			what string
-			ids  []string
+			label string
+			ids   []string
 		}{{"old pool", from}, {"new pool", to}, {"in both, so in neither", both}, {"not concerned", neither}} {
-			fmt.Fprintf(out, "  %s: %d %s\n", l.what, len(l.ids), shortList(l.ids))
+			fmt.Fprintf(out, "  %s: %d %s\n", l.label, len(l.ids), abbreviate(l.ids))
 		}
 	}
 	classes := config.Settings.Classes
@@ -176,7 +176,7 @@
 	for _, share := range m.Steps {
 		need, slowest := m.StepTime, "its time"
 		for _, c := range classes {
-			rate := asked[c] * share
+			rate := classRates[c] * share
 			if rate <= 0 {
 				continue
 			}
@@ -194,16 +194,16 @@
 		total += need
 	}
 	fmt.Fprintf(out, "  in all %v, and a watch of %v\n", total.Round(time.Second), m.Watch)
-	if len(asked) == 0 {
+	if len(classRates) == 0 {
 		fmt.Fprintln(out, "  --rate CLASS=N tells the requests a second, and with them how long evidence takes")
 	}
 }
 
-// shortList are some of the names of a list.
-func shortList(ids []string) string {
-	const most = 8
-	if len(ids) <= most {
+// abbreviate joins the first names of a list.
+func abbreviate(ids []string) string {
+	const maxShown = 8
+	if len(ids) <= maxShown {
 		return strings.Join(ids, " ")
 	}
-	return strings.Join(ids[:most], " ") + " ..."
+	return strings.Join(ids[:maxShown], " ") + " ..."
 }
--- a/cmd/spokegw/state.go
+++ b/cmd/spokegw/state.go
@@ -20,17 +20,17 @@
 	"spokegw/internal/state/plan"
 )
 
-// stateCommand is spokegw state: what sidecars have kept in a folder, read from the
-// files themselves. A sidecar that runs need not be asked, and is not disturbed but by
-// compact.
+// stateCommand returns spokegw state, which shows the state that sidecars have stored
+// in a directory. It reads the files themselves, without a call to a running sidecar;
+// only compact must not run beside one.
 func (c *cli) stateCommand() *cobra.Command {
 	st := &cobra.Command{Use: "state", Short: "what sidecars have kept on a disk ([state] of the operator's file)"}
 	var folder string
 	for _, sub := range []*cobra.Command{
-		c.command(&cobra.Command{Use: "show", Short: "each file, how old it is, and what of it would be used now"}, nil, func(*cobra.Command, []string) error { return c.stateShow(folder) }),
-		c.command(&cobra.Command{Use: "verify", Short: "read each file, and tell what is torn or spoilt; exits with 1 if something is"}, nil, func(*cobra.Command, []string) error { return c.stateVerify(folder) }),
-		c.command(&cobra.Command{Use: "export", Short: "the last record of each file, or its parts, as JSON in a line"}, nil, func(*cobra.Command, []string) error { return c.stateExport(folder) }),
-		c.command(&cobra.Command{Use: "compact", Short: "write each file anew with its last record; no sidecar may be using it"}, nil, func(*cobra.Command, []string) error { return c.stateCompact(folder) }),
+		c.newCommand(&cobra.Command{Use: "show", Short: "each file, how old it is, and what of it would be used now"}, nil, func(*cobra.Command, []string) error { return c.stateShow(folder) }),
+		c.newCommand(&cobra.Command{Use: "verify", Short: "read each file, and tell what is torn or spoilt; exits with 1 if something is"}, nil, func(*cobra.Command, []string) error { return c.stateVerify(folder) }),
+		c.newCommand(&cobra.Command{Use: "export", Short: "the last record of each file, or its parts, as JSON in a line"}, nil, func(*cobra.Command, []string) error { return c.stateExport(folder) }),
+		c.newCommand(&cobra.Command{Use: "compact", Short: "write each file anew with its last record; no sidecar may be using it"}, nil, func(*cobra.Command, []string) error { return c.stateCompact(folder) }),
 	} {
 		sub.Flags().StringVar(&folder, "directory", ".", "the `folder`")
 		sub.Flags().BoolVar(&c.json, "json", false, "JSON, one object a line")
@@ -39,31 +39,31 @@
 	return st
 }
 
-// keptFile is a file of a folder as it is read.
+// keptFile is the content of a state file.
 type keptFile struct {
 	Name  string `json:"name"`
 	Kind  string `json:"kind"` // state, moves or accepted
 	Bytes int    `json:"bytes"`
-	Whole int    `json:"whole"` // of its bytes; what follows is torn or spoilt
+	Whole int    `json:"whole"` // size of the valid prefix; the bytes after it are torn or corrupted
 	Error string `json:"error,omitempty"`
 
-	Damaged int `json:"damaged"` // records before that, left out alone
+	Damaged int `json:"damaged"` // corrupted records within the valid prefix, which are skipped
 
 	last, tail []byte
 }
 
-// mostFiles bounds the files of a folder that are read.
-const mostFiles = 1024
+// maxStateFiles bounds the files of each kind that are read from a directory.
+const maxStateFiles = 1024
 
-// keptFiles reads the files of a folder.
-func keptFiles(folder string) (all []keptFile, err error) {
+// readStateFiles reads the state files of a directory.
+func readStateFiles(folder string) (all []keptFile, err error) {
 	for _, kind := range []string{"state", "moves", "accepted"} {
 		paths, err := filepath.Glob(filepath.Join(folder, "spokegw-*."+kind))
 		if err != nil {
 			return nil, err
 		}
-		for _, p := range paths[:min(len(paths), mostFiles)] {
-			all = append(all, readKept(p, kind))
+		for _, p := range paths[:min(len(paths), maxStateFiles)] {
+			all = append(all, readStateFile(p, kind))
 		}
 	}
 	if len(all) == 0 {
@@ -73,7 +73,7 @@
 	return all, nil
 }
 
-func readKept(path, kind string) keptFile {
+func readStateFile(path, kind string) keptFile {
 	f := keptFile{Name: path, Kind: kind}
 	file, err := os.Open(path)
 	if err != nil {
@@ -95,7 +95,7 @@
 }
 
 func (c *cli) stateShow(folder string) error {
-	files, err := keptFiles(folder)
+	files, err := readStateFiles(folder)
 	if err != nil {
 		return err
 	}
@@ -104,28 +104,28 @@
 		fmt.Fprintln(w, "FILE\tSIDECAR\tKEPT\tWOULD BE USED NOW")
 	}
 	for _, f := range files {
-		row := showKept(&f)
+		row := describeFile(&f)
 		if c.json {
 			if err := c.print(row); err != nil {
 				return err
 			}
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", row.Name, dash(row.Sidecar), dash(row.Kept), row.Usable)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", row.Name, orDash(row.Sidecar), orDash(row.Kept), row.Usable)
 	}
 	return w.Flush()
 }
 
-// shownKept is a file as an operator is shown it.
-type shownKept struct {
+// fileRow is a row of spokegw state show.
+type fileRow struct {
 	keptFile
 	Sidecar string `json:"sidecar,omitempty"`
-	Kept    string `json:"kept,omitempty"` // how long ago
+	Kept    string `json:"kept,omitempty"` // age
 	Usable  string `json:"usable"`
 }
 
-func showKept(f *keptFile) shownKept {
-	row := shownKept{keptFile: *f}
+func describeFile(f *keptFile) fileRow {
+	row := fileRow{keptFile: *f}
 	switch {
 	case f.Error != "":
 		row.Usable = "no: " + f.Error
@@ -134,7 +134,7 @@
 		row.Usable = "nothing is in it"
 		return row
 	case f.Kind == "accepted":
-		showAccepted(f, &row)
+		describeAccepted(f, &row)
 		return row
 	case f.Kind == "moves":
 		services, err := state.DecodeMoves(f.last, f.tail)
@@ -148,7 +148,7 @@
 				all = append(all, m.Name+" "+string(m.Phase))
 			}
 		}
-		row.Usable = dash(strings.Join(all, ", "))
+		row.Usable = orDash(strings.Join(all, ", "))
 		return row
 	}
 	all, err := state.Parts(f.last, f.tail)
@@ -159,18 +159,18 @@
 		}
 		return row
 	}
-	youngest := all[len(all)-1]
-	ago, sure := plan.Elapsed(youngest.At, state.Now())
-	row.Sidecar, row.Kept = youngest.Name, ago.Round(time.Second).String()+" ago"
-	if !sure {
+	newest := all[len(all)-1]
+	ago, exact := plan.Elapsed(newest.At, state.Now())
+	row.Sidecar, row.Kept = newest.Name, ago.Round(time.Second).String()+" ago"
+	if !exact {
 		row.Kept += ", by the clock of the day"
 	}
-	row.Usable = usablePart(all, youngest.Name)
+	row.Usable = describeUsable(all, newest.Name)
 	return row
 }
 
-// showAccepted shows the operator's file that was taken over last, and those before.
-func showAccepted(f *keptFile, row *shownKept) {
+// describeAccepted fills the row of a file of accepted operator's files, the newest first.
+func describeAccepted(f *keptFile, row *fileRow) {
 	var a state.Accepted
 	err := json.Unmarshal(f.last, &a)
 	if err == nil {
@@ -184,23 +184,23 @@
 	row.Usable = fmt.Sprintf("operator's file of %d bytes, sha256 %.12s, the last of %d", a.Marks[0].Bytes, a.Marks[0].SHA256, len(a.Marks))
 }
 
-// usablePart tells what of an image's parts would be used now.
-func usablePart(all []plan.Part, name string) string {
+// describeUsable summarizes the parts of an image that a sidecar would restore now.
+func describeUsable(all []plan.Part, name string) string {
 	st, why := plan.Merge(all, name, state.Now())
 	if st == nil {
 		return "no: " + why
 	}
-	var learnt, standing, entries, keys, disabled int
+	var learnt, teams, entries, keys, disabled int
 	for _, s := range st.Services {
 		learnt += len(s.Learnt)
 		entries += len(s.Members.Entries)
 		keys += len(s.Keys)
 		disabled += len(s.Disabled)
 		if s.Standing != nil {
-			standing += len(s.Standing.Teams)
+			teams += len(s.Standing.Teams)
 		}
 	}
-	text := fmt.Sprintf("%d endpoints, %d disabled, %d rows learnt, %d teams, %d keys, %d ids", entries, disabled, learnt, standing, keys, len(st.IDs.Hashes))
+	text := fmt.Sprintf("%d endpoints, %d disabled, %d rows learnt, %d teams, %d keys, %d ids", entries, disabled, learnt, teams, keys, len(st.IDs.Hashes))
 	if st.Drained {
 		text += ", drained"
 	}
@@ -208,53 +208,53 @@
 }
 
 func (c *cli) stateVerify(folder string) error {
-	files, err := keptFiles(folder)
+	files, err := readStateFiles(folder)
 	if err != nil {
 		return err
 	}
-	bad := 0
+	damaged := 0
 	for _, f := range files {
-		said := "whole"
+		verdict := "whole"
 		switch {
 		case f.Error != "":
-			said = f.Error
-			bad++
+			verdict = f.Error
+			damaged++
 		case f.Whole < f.Bytes:
-			said = fmt.Sprintf("%d of %d bytes are whole: what follows is torn or spoilt; of it the parts are used that are whole", f.Whole, f.Bytes)
-			bad++
+			verdict = fmt.Sprintf("%d of %d bytes are whole: what follows is torn or spoilt; of it the parts are used that are whole", f.Whole, f.Bytes)
+			damaged++
 		case f.Damaged > 0:
-			said = fmt.Sprintf("%d records are spoilt and left out, and the last is whole", f.Damaged)
-			bad++
+			verdict = fmt.Sprintf("%d records are spoilt and left out, and the last is whole", f.Damaged)
+			damaged++
 		}
 		if c.json {
 			err = c.print(f)
 		} else {
-			_, err = fmt.Fprintf(c.out, "%s: %s\n", f.Name, said)
+			_, err = fmt.Fprintf(c.out, "%s: %s\n", f.Name, verdict)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d files are not whole", bad, len(files))
+	if damaged > 0 {
+		return fmt.Errorf("%d of %d files are not whole", damaged, len(files))
 	}
 	return nil
 }
 
 func (c *cli) stateExport(folder string) error {
-	files, err := keptFiles(folder)
+	files, err := readStateFiles(folder)
 	if err != nil {
 		return err
 	}
 	for _, f := range files {
 		record := json.RawMessage(f.last)
-		if !json.Valid(record) { // in parts, or verify tells of it
-			whole, _ := parts.Read(slices.Concat(f.last, f.tail))
-			if len(whole) == 0 {
+		if !json.Valid(record) { // stored in parts, or corrupted, which verify reports
+			intact, _ := parts.Read(slices.Concat(f.last, f.tail))
+			if len(intact) == 0 {
 				continue
 			}
 			var err error
-			if record, err = json.Marshal(whole); err != nil {
+			if record, err = json.Marshal(intact); err != nil {
 				return err
 			}
 		}
@@ -266,7 +266,7 @@
 }
 
 func (c *cli) stateCompact(folder string) error {
-	files, err := keptFiles(folder)
+	files, err := readStateFiles(folder)
 	if err != nil {
 		return err
 	}
@@ -275,7 +275,7 @@
 		if f.Error != "" || f.last == nil {
 			continue
 		}
-		if whole, _ := parts.Read(f.tail); len(whole) > 0 {
+		if intact, _ := parts.Read(f.tail); len(intact) > 0 {
 			failed = errors.Join(failed, fmt.Errorf("%s: left as it is: what is whole of its end would be lost; start the sidecar, which reads it", f.Name))
 			continue
 		}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost drives the decision module from the bench's line protocol
-// on standard input and output.
+// Command wirehost serves the bench's line protocol for the decision module on
+// standard input and output.
 package main
 
 import (
