--- a/cmd/spokegw/drain_test.go
+++ b/cmd/spokegw/drain_test.go
@@ -9,13 +9,14 @@
 	"spokegw/internal/lab/trial"
 )
 
-// Report 1e8dc4: a watch falls silent, an endpoint begins to drain, and the calls after that are
-// refused, cut off or answered late: nothing goes to the endpoint after the grace.
-func TestDrainIsHeardThoughTheWatchIsSilentAndCallsFail(t *testing.T) {
+// A discovery watch falls silent, an endpoint begins to drain, and the following discovery calls are
+// refused, cut off or slow (report 1e8dc4). No request must be sent to the endpoint after the drain
+// grace period.
+func TestDrainWithSilentWatchAndFailingCalls(t *testing.T) {
 	refused, cut := trial.Refused, trial.Cut
 	for i, c := range []struct {
 		name   string
-		asked  bool
+		polled bool
 		faults []trial.CallFault
 		slow   time.Duration
 	}{
@@ -30,7 +31,7 @@
 			t.Parallel()
 			r, err := trial.Run(context.Background(), trial.Config{
 				Program: os.Args[0], Env: []string{"RUN_SPOKEGW=1"}, Dir: t.TempDir(), Sidecars: 1, Endpoints: 4, Clients: 2,
-				Asked: c.asked, Grace: time.Second, Lasts: 14 * time.Second, Seed: uint64(101 + i),
+				Asked: c.polled, Grace: time.Second, Lasts: 14 * time.Second, Seed: uint64(101 + i),
 				Scene: &trial.Scene{Faults: c.faults, Slow: c.slow},
 			})
 			if err != nil {
@@ -43,7 +44,7 @@
 				}
 			}
 			if r.Served < 100 || r.Unheard > 0 {
-				t.Errorf("%d served, %d drains were never written to the sidecar", r.Served, r.Unheard)
+				t.Errorf("%d requests served, want at least 100; %d drains were never written to the sidecar", r.Served, r.Unheard)
 			}
 		})
 	}
--- a/cmd/spokegw/keys_test.go
+++ b/cmd/spokegw/keys_test.go
@@ -17,28 +17,28 @@
 	"spokegw/internal/lab/scene"
 )
 
-// effects holds the first attempt of each request until it is released, and ends it then as its
-// id says.
-type effects struct {
-	held    chan string
+// blockingEndpoints blocks the first attempt of each request until release is closed, and then
+// answers, closes or resets it according to the request's id.
+type blockingEndpoints struct {
+	blocked chan string
 	release chan struct{}
 
-	mu  sync.Mutex
-	met map[string][]meeting // by key
+	mu    sync.Mutex
+	byKey map[string][]attempt // by key
 }
 
-// serve is the answer of an endpoint of a cell.
-func (e *effects) serve(cell int) func(http.ResponseWriter, *http.Request) bool {
+// serve returns the handler of an endpoint of a cell.
+func (e *blockingEndpoints) serve(cell int) func(http.ResponseWriter, *http.Request) bool {
 	return func(w http.ResponseWriter, r *http.Request) bool {
 		key, _, _ := strings.Cut(r.Header.Get("Req-Id"), "+")
 		e.mu.Lock()
-		e.met[key] = append(e.met[key], meeting{cell, time.Now()})
-		first := len(e.met[key]) == 1
+		e.byKey[key] = append(e.byKey[key], attempt{cell, time.Now()})
+		first := len(e.byKey[key]) == 1
 		e.mu.Unlock()
 		if !first {
 			return false
 		}
-		e.held <- key
+		e.blocked <- key
 		<-e.release
 		kind, _, _ := strings.Cut(key, ".")
 		if kind == "answered" {
@@ -54,10 +54,11 @@
 	}
 }
 
-// newEffects has endpoints of two cells, and a site of a keyed and an unsafe class before them.
-func newEffects(t *testing.T, window time.Duration) (*effects, *site) {
-	e := &effects{held: make(chan string, 64), release: make(chan struct{}), met: map[string][]meeting{}}
-	s := &site{t: t, dir: t.TempDir(), program: os.Args[0], listen: freeAddr(t), log: io.Discard}
+// newBlockingEndpoints starts endpoints in two cells, and configures a sidecar for them with a
+// keyed and an unsafe class.
+func newBlockingEndpoints(t *testing.T, window time.Duration) (*blockingEndpoints, *sidecarFixture) {
+	e := &blockingEndpoints{blocked: make(chan string, 64), release: make(chan struct{}), byKey: map[string][]attempt{}}
+	s := &sidecarFixture{t: t, dir: t.TempDir(), program: os.Args[0], listen: freeAddr(t), log: io.Discard}
 	var all []*lab.Endpoint
 	for i := range 8 {
 		at, err := lab.StartEndpoint(lab.EndpointConfig{Workers: 500, Work: time.Millisecond, Body: 10, Answer: e.serve(i / 4)})
@@ -85,8 +86,8 @@
 	return e, s
 }
 
-// ask sends a request of a class on a connection, under an id whose part before + is its key.
-func (e *effects) ask(t *testing.T, c net.Conn, class, id string) {
+// ask sends a request of a class on a connection. The part of its id before + is its key.
+func (e *blockingEndpoints) ask(t *testing.T, c net.Conn, class, id string) {
 	t.Helper()
 	key, _, _ := strings.Cut(id, "+")
 	field := "Idempotency-Key: " + key + "\r\n"
@@ -98,26 +99,26 @@
 	}
 }
 
-// connection is one of the application's.
-func connection(t *testing.T, s *site) net.Conn {
+// dialSidecar opens a connection to the sidecar as the application does.
+func dialSidecar(t *testing.T, s *sidecarFixture) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// The process is stopped while attempts are out, their answers, ends and resets come meanwhile,
-// and it goes on before the window of their keys is over or after. What may have run is sent again
-// within its cell and its window, or not at all, and an unsafe request never is.
+// The process is stopped while attempts are in flight, and their answers, connection closes and
+// resets arrive meanwhile. It resumes before or after the deduplication window of their keys ends.
+// A request that may have run is retried only in its cell and within the window, an unsafe one never.
 func TestEffectsWhileTheProcessIsStopped(t *testing.T) {
 	const window = 600 * time.Millisecond
 	for _, pause := range []time.Duration{0, window + 50*time.Millisecond} {
 		t.Run(pause.String(), func(t *testing.T) {
-			e, s := newEffects(t, window)
+			e, s := newBlockingEndpoints(t, window)
 			p := s.start()
 			p.ready(t)
 			conns := map[string]net.Conn{}
@@ -125,54 +126,55 @@
 				for _, kind := range []string{"answered", "reset", "ended"} {
 					for i := range 3 {
 						key := fmt.Sprintf("%s.%s.%d", kind, class, i)
-						conns[key] = connection(t, s)
+						conns[key] = dialSidecar(t, s)
 						e.ask(t, conns[key], class, key)
 					}
 				}
 			}
 			for range conns {
-				await(t, "requests to be held", e.held)
+				await(t, "requests to be blocked", e.blocked)
 			}
 			stopProcess(t, p.Process.Process)
 			close(e.release)
-			<-time.After(pause) // the fault itself
+			<-time.After(pause) // the injected stall
 			if err := p.Signal(syscall.SIGCONT); err != nil {
 				t.Fatal(err)
 			}
-			again := 0
+			retries := 0
 			for key, c := range conns {
 				status, err := readStatus(c)
 				if err != nil || status == 0 {
-					t.Errorf("%s: %d, %v", key, status, err)
+					t.Errorf("%s: answered %d, %v", key, status, err)
 				}
 				e.mu.Lock()
-				all := e.met[key]
+				all := e.byKey[key]
 				e.mu.Unlock()
-				again += len(all) - 1
+				retries += len(all) - 1
 				for _, m := range all[1:] {
 					if !strings.Contains(key, "keyed") || strings.HasPrefix(key, "answered") || m.cell != all[0].cell || m.at.Sub(all[0].at) > window {
-						t.Errorf("%s: sent again: %v", key, all)
+						t.Errorf("%s: invalid retry: %v", key, all)
 					}
 				}
 			}
-			t.Logf("stopped for %v: %d of %d requests were sent again", pause, again, len(conns))
-			if pause > window && again > 0 || pause == 0 && again == 0 {
-				t.Errorf("%d were sent again", again)
+			t.Logf("stopped for %v: %d of %d requests were retried", pause, retries, len(conns))
+			if pause > window && retries > 0 || pause == 0 && retries == 0 {
+				t.Errorf("%d requests were retried; none is expected after the window, some within it", retries)
 			}
 		})
 	}
 }
 
-// A process that took over is stopped while the one before it sends a keyed request and tells it
-// so: as it goes on it knows how long ago that was, and sends no repeat after the window.
-func TestKeyToldToAStoppedProcess(t *testing.T) {
+// After an upgrade the new process is stopped while its predecessor sends a keyed request and reports
+// the key to it. When the new process resumes it must know the age of that attempt, and not retry the
+// key after the deduplication window.
+func TestKeyReportedToStoppedProcess(t *testing.T) {
 	const window = 600 * time.Millisecond
-	e, s := newEffects(t, window)
+	e, s := newBlockingEndpoints(t, window)
 	old := s.start()
 	old.ready(t)
-	kept := connection(t, s) // to the old one, as it alone accepts yet
+	kept := dialSidecar(t, s) // to the old process, the only one that accepts so far
 	e.ask(t, kept, "keyed", "answered.before")
-	await(t, "the request to be held", e.held)
+	await(t, "the request to be blocked", e.blocked)
 	close(e.release)
 	if status, err := readStatus(kept); status != http.StatusOK {
 		t.Fatal(status, err)
@@ -181,14 +183,14 @@
 	next.ready(t)
 	stopProcess(t, next.Process.Process)
 	e.ask(t, kept, "keyed", "ended.k")
-	await(t, "the request to be held", e.held)
+	await(t, "the request to be blocked", e.blocked)
 	sent := time.Now()
-	<-time.After(window * 3 / 4) // the fault itself
+	<-time.After(window * 3 / 4) // the injected stall
 	if err := next.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	<-time.After(time.Until(sent.Add(window + 50*time.Millisecond)))
-	late := connection(t, s)
+	late := dialSidecar(t, s)
 	e.ask(t, late, "keyed", "ended.k+late")
 	status, err := readStatus(late)
 	if err != nil {
@@ -196,10 +198,10 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	first := e.met["ended.k"][0]
-	for _, m := range e.met["ended.k"][1:] {
+	first := e.byKey["ended.k"][0]
+	for _, m := range e.byKey["ended.k"][1:] {
 		if m.cell != first.cell || m.at.Sub(first.at) > window {
-			t.Errorf("answered %d: sent again in cell %d, %v after the first time in cell %d; the window is %v", status, m.cell, m.at.Sub(first.at), first.cell, window)
+			t.Errorf("answered %d: retried in cell %d, %v after the first attempt in cell %d; the window is %v", status, m.cell, m.at.Sub(first.at), first.cell, window)
 		}
 	}
 }
--- a/cmd/spokegw/kills_test.go
+++ b/cmd/spokegw/kills_test.go
@@ -7,12 +7,11 @@
 	"spokegw/internal/lab/federation"
 )
 
-// Processes are killed and started anew, stand still, and are restarted as planned, one after the
-// other and under load. What was open at a kill is cut off; whatever else is asked for has its
-// answer.
-func TestNothingIsLostBesideKills(t *testing.T) {
+// Under load, processes are in turn killed and restarted, paused, and restarted gracefully. Only
+// requests that were in flight at a kill may be cut off; every other request is answered.
+func TestNoOtherLossDuringKills(t *testing.T) {
 	const rounds, between = 3, 150 * time.Millisecond
-	g := gather(t, federation.Config{Partners: []int{4}, Parts: []float64{1}, Alone: true, Rate: 1e6, Burst: 1e6, Lease: time.Second, Seed: 4})
+	g := startFederation(t, federation.Config{Partners: []int{4}, Parts: []float64{1}, Alone: true, Rate: 1e6, Burst: 1e6, Lease: time.Second, Seed: 4})
 	g.Demand(150)
 	for range rounds {
 		for i, w := range g.Gateways {
@@ -35,5 +34,5 @@
 		}
 	}
 	<-time.After(between)
-	g.check()
+	g.verify()
 }
--- a/cmd/spokegw/main_test.go
+++ b/cmd/spokegw/main_test.go
@@ -21,7 +21,7 @@
 	"spokegw/internal/operator"
 )
 
-// TestMain lets the test's own binary stand in for the program.
+// TestMain runs the program itself where RUN_SPOKEGW is set, so that tests can start it as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("RUN_SPOKEGW") != "" {
 		main()
@@ -30,17 +30,17 @@
 	os.Exit(m.Run())
 }
 
-const patience = 20 * time.Second // bounds a wait that should end at once
+const testTimeout = 20 * time.Second // bounds waits that normally end at once
 
-// registry is a discovery service that tells of its calls.
-func registry(t *testing.T) (addr string, called chan string) {
+// fakeRegistry starts a discovery service that sends the query of each call on called.
+func fakeRegistry(t *testing.T) (addr string, called chan string) {
 	called = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case called <- r.URL.RawQuery:
 		default:
 		}
-		if r.URL.Query().Has("since") { // nothing changes
+		if r.URL.Query().Has("since") { // a watch, without changes
 			select {
 			case <-r.Context().Done():
 			case <-time.After(time.Second):
@@ -57,18 +57,18 @@
 	select {
 	case v = <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatalf("waited in vain for %s", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 		return v
 	}
 }
 
-// A reload under SIGHUP must not end the process, must follow discovery to the
-// address in the file although the environment still names the old one, and
-// must not be thrown off by a file that can't be read. SIGTERM still ends it.
+// A reload on SIGHUP must not end the process, must use the discovery address of
+// the file although the environment still names the old one, and must ignore a
+// file that can't be parsed. SIGTERM still ends the process.
 func TestReload(t *testing.T) {
-	first, firstCalled := registry(t)
-	second, secondCalled := registry(t)
+	first, firstCalled := fakeRegistry(t)
+	second, secondCalled := fakeRegistry(t)
 	const listen = "127.0.0.1:0"
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text []byte) {
@@ -106,7 +106,7 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // a watch takes a second, so the signal has come by then
+	for range 2 { // a watch takes a second, so the signal has been handled by then
 		await(t, "a call to the old address", firstCalled)
 	}
 	write(config(second))
@@ -118,19 +118,19 @@
 	}
 	select {
 	case err := <-ended:
-		t.Fatalf("the program ended: %s", err)
+		t.Fatalf("the program exited: %s", err)
 	default:
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := await(t, "the end", ended); err != "<nil>" {
-		t.Errorf("the program ended with %s", err)
+	if err := await(t, "the program to exit", ended); err != "<nil>" {
+		t.Errorf("the program exited with %s", err)
 	}
 }
 
-// check prints every fault with its place, and the command says by its exit
-// code that there are some; what can't be read as a command is told with help.
+// spokegw check prints every fault with its position and exits with 1 if there is one;
+// an invalid command line exits with 2 and prints the usage.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -183,12 +183,12 @@
 		{[]string{"NODE_CONFIG=" + config}, []string{"--log-level", "core=loud"}, 1, []string{"--log-level", "loud"}},
 		{[]string{"NODE_CONFIG=" + config}, []string{"--log-level", "core=debug, warn", "--record", filepath.Join(dir, "none", "x")}, 1, []string{"record:", "no such file"}},
 	} {
-		commandLine(t, c.env, c.args, c.code, c.want...)
+		runCommand(t, c.env, c.args, c.code, c.want...)
 	}
 }
 
-// commandLine carries out a command line and judges its exit code and what it prints.
-func commandLine(t *testing.T, env, args []string, code int, want ...string) string {
+// runCommand runs a command line and checks its exit code and output.
+func runCommand(t *testing.T, env, args []string, code int, want ...string) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), append(env, "RUN_SPOKEGW=1")...)
@@ -198,18 +198,18 @@
 	}
 	for _, w := range want {
 		if !strings.Contains(string(out), w) {
-			t.Errorf("%v %v: %q is not in\n%s", env, args, w, out)
+			t.Errorf("%v %v: %q is not in the output\n%s", env, args, w, out)
 		}
 	}
 	return string(out)
 }
 
-// Each command has an example, which it can read.
+// Every command has an example that names an existing command.
 func TestExamples(t *testing.T) {
 	var all func(cmd *cobra.Command)
 	all = func(cmd *cobra.Command) {
 		if !strings.Contains(cmd.Example, cmd.CommandPath()) {
-			t.Errorf("%s has no example of it: %q", cmd.CommandPath(), cmd.Example)
+			t.Errorf("%s has no example that uses it: %q", cmd.CommandPath(), cmd.Example)
 		}
 		for line := range strings.Lines(cmd.Example) {
 			words := strings.Fields(line)
@@ -226,12 +226,12 @@
 	all(newCLI(io.Discard, io.Discard))
 }
 
-// The commands that speak to a sidecar, as an operator would use them.
-func TestOperatorsCommands(t *testing.T) {
-	s, folder := keeping(t)
+// The commands that connect to a running sidecar or read its state files.
+func TestOperatorCommands(t *testing.T) {
+	s, folder := newStateFixture(t)
 	p := s.start()
 	p.ready(t)
-	awaitKept(t, folder, `"Name":"n0"`)
+	awaitState(t, folder, `"Name":"n0"`)
 	env := []string{"NODE_MANAGEMENT=" + p.Management, "SPOKEGW_CONSOLE=" + filepath.Join(folder, "console.sock")}
 	bad := filepath.Join(s.dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("[[service]]\nname = 'maps'\n[[team]]\nname = 'a'\nshare = 2\n"), 0o600); err != nil {
@@ -239,7 +239,7 @@
 	}
 	run := func(code int, line string, want ...string) string {
 		t.Helper()
-		return commandLine(t, env, strings.Fields(line), code, want...)
+		return runCommand(t, env, strings.Fields(line), code, want...)
 	}
 	run(0, "ready", "YES")
 	run(0, "explain GET /map-tile/1 --team free", "safe to repeat", "it would be tried", "maps-0")
@@ -291,7 +291,7 @@
 	run(0, "state verify --directory "+folder)
 }
 
-// The example in deploy has every setting and no fault.
+// The example file in deploy, which shows every setting, has no fault.
 func TestExampleFile(t *testing.T) {
 	const example = "../../deploy/operator.toml"
 	f, err := operator.Load(example)
@@ -303,7 +303,7 @@
 	}
 }
 
-// The lab serves, prints its table, and ends whole when it is told to.
+// The lab serves requests, prints its table, and exits cleanly on an interrupt.
 func TestLab(t *testing.T) {
 	cmd := exec.Command(os.Args[0], "lab", "--load", "0.3")
 	cmd.Env = append(os.Environ(), "RUN_SPOKEGW=1")
@@ -332,7 +332,7 @@
 		var team string
 		if n, _ := fmt.Sscan(line, &second, &team, &asked, &inTime); n == 4 {
 			if rows++; inTime == 0 {
-				t.Errorf("nothing is served in time: %s", line)
+				t.Errorf("no request is served in time: %s", line)
 			}
 		}
 	}
@@ -344,9 +344,9 @@
 	if err := cmd.Process.Signal(os.Interrupt); err != nil {
 		t.Fatal(err)
 	}
-	for range lines { // to its end
+	for range lines { // until the output ends
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("the lab ended with %v", err)
+		t.Errorf("the lab exited with %v", err)
 	}
 }
--- a/cmd/spokegw/pause_test.go
+++ b/cmd/spokegw/pause_test.go
@@ -19,16 +19,16 @@
 	"spokegw/internal/lab/scene"
 )
 
-// stopProcess has a process stand still, and waits until it does: the signal
-// takes effect some time after it is sent, and a request that is taken before that
-// is late when the process goes on, and refused.
+// stopProcess stops a process and waits until all its threads have stopped. SIGSTOP
+// takes effect some time after it is sent, and a request that is accepted before that
+// is overdue when the process resumes, and refused.
 func stopProcess(t *testing.T, p *os.Process) {
 	t.Helper()
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	threads := fmt.Sprintf("/proc/%d/task", p.Pid)
-	for until := time.Now().Add(patience); ; {
+	for until := time.Now().Add(testTimeout); ; {
 		entries, err := os.ReadDir(threads)
 		if err != nil {
 			t.Fatal(err)
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, rest, _ := strings.Cut(string(text), ") ") // the state stands behind the name
+			_, rest, _ := strings.Cut(string(text), ") ") // the state follows the name
 			if !strings.HasPrefix(rest, "T") {
 				running++
 			}
@@ -48,21 +48,21 @@
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatalf("%d threads of the process go on after SIGSTOP", running)
+			t.Fatalf("%d threads of the process still run after SIGSTOP", running)
 		}
 	}
 }
 
-// The process stands still for 5 s, as when its machine is short of processors
-// or suspended, while 400 requests come. When it goes on each has one answer,
-// and no more are let out than the burst and what the rate allows meanwhile:
-// five seconds of the rate would be 500.
-func TestProgramPause(t *testing.T) {
+// The process stalls for 5 s, as when its machine is overloaded or suspended, while
+// 400 requests arrive. When it resumes each request is answered once, and no more
+// are admitted than the burst and what the rate allows since then: the rate limiter
+// must not credit the time of the stall, in which the rate would allow 500.
+func TestProcessStall(t *testing.T) {
 	const rate, burst, asked, pause = 100, 20, 400, 5 * time.Second
-	s := newSite(t)
+	s := newSidecarFixture(t)
 	s.memory, s.sockets, s.aim, s.deadline = 512, 4096, 5*time.Second, 10*time.Second
 	s.configure("map-tile")
-	s.operate(fmt.Sprintf(`[[service]]
+	s.writeOperatorFile(fmt.Sprintf(`[[service]]
 name = 'maps'
 [[team]]
 name = 'kiosks'
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		clients[i] = c
 	}
 	stopProcess(t, p.Process.Process)
@@ -93,8 +93,8 @@
 			t.Fatal(err)
 		}
 	}
-	<-time.After(pause) // the fault itself
-	goesOn := time.Now()
+	<-time.After(pause) // the injected stall
+	resumed := time.Now()
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 	for i, c := range clients {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Fatalf("request %d has no answer: %v", i, err)
+			t.Fatalf("request %d: no answer: %v", i, err)
 		}
 		if resp.StatusCode == 503 {
 			text, _ := io.ReadAll(resp.Body)
@@ -111,31 +111,31 @@
 		resp.Body.Close()
 		status[resp.StatusCode]++
 	}
-	allowed := burst + 1 + int(rate*time.Since(goesOn).Seconds())
-	t.Logf("answered %v, in %v; up to %d may be let out", status, time.Since(goesOn), allowed)
+	allowed := burst + 1 + int(rate*time.Since(resumed).Seconds())
+	t.Logf("answered %v, in %v; up to %d may be admitted", status, time.Since(resumed), allowed)
 	if status[200] < burst || status[200] > allowed || status[200]+status[429] != asked {
-		t.Errorf("after the pause %v are answered, from %d to %d of 200 are expected and else 429", status, burst, allowed)
+		t.Errorf("after the pause: answers %v; want 200 for %d to %d requests and 429 for all others", status, burst, allowed)
 	}
 }
 
-// The process stands still for longer than a move takes for granted, in the middle of a
-// step and under load: what came to nothing meanwhile is blamed on neither pool, no step
-// is taken by the time that has passed, and the move goes on.
-func TestMovePaused(t *testing.T) {
+// The process stalls for longer than the gap between ticks that a move tolerates, in the
+// middle of a step and under load. Requests that fail meanwhile count against neither pool,
+// the stall does not count towards the step's time, and the move continues.
+func TestMoveDuringStall(t *testing.T) {
 	const pause = 5500 * time.Millisecond
-	s := newSite(t)
+	s := newSidecarFixture(t)
 	s.memory, s.sockets, s.aim, s.deadline = 512, 8192, 15*time.Second, 20*time.Second
-	for len(s.more) < 7 { // four of each pod
+	for len(s.extraEndpoints) < 7 { // four endpoints in each pod
 		e, err := lab.StartEndpoint(lab.EndpointConfig{Workers: 500, Body: 20, Work: time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(e.Close)
-		s.more = append(s.more, e)
+		s.extraEndpoints = append(s.extraEndpoints, e)
 	}
-	s.registry.Set(scene.Entries(append([]*lab.Endpoint{s.endpoint}, s.more...)...))
+	s.registry.Set(scene.Entries(append([]*lab.Endpoint{s.endpoint}, s.extraEndpoints...)...))
 	s.configure("map-tile")
-	s.operate(`[[service]]
+	s.writeOperatorFile(`[[service]]
 name = "maps"
 [no-contract]
 action = "share"
@@ -170,23 +170,23 @@
 	awaitMove := func(wanted string) {
 		t.Helper()
 		re := regexp.MustCompile(wanted)
-		for until := time.Now().Add(3 * patience); ; <-time.After(5 * time.Millisecond) {
+		for until := time.Now().Add(3 * testTimeout); ; <-time.After(5 * time.Millisecond) {
 			text := p.ask(t, "show-moves")
 			if re.MatchString(text) {
 				return
 			}
 			if time.Now().After(until) || strings.Contains(text, "phase=undone") {
-				t.Fatalf("waited in vain for %v:\n%s", wanted, text)
+				t.Fatalf("timed out waiting for %v:\n%s", wanted, text)
 			}
 		}
 	}
 	p.ask(t, "begin-move new")
-	awaitMove("share=0.2000 .*lacks=5s_of_the_step's_time") // one tick more at most before the process stands still
+	awaitMove("share=0.2000 .*lacks=5s_of_the_step's_time") // at most one more tick before the process stops
 	stopProcess(t, p.Process.Process)
-	<-time.After(pause) // the fault itself
+	<-time.After(pause) // the injected stall
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	awaitMove("share=0.2000 .*lacks=[321]s_of_the_step's_time") // with the pause counted none would be lacking
+	awaitMove("share=0.2000 .*lacks=[321]s_of_the_step's_time") // if the pause counted, nothing would be lacking
 	awaitMove("share=1.0000")
 }
--- a/cmd/spokegw/queue_test.go
+++ b/cmd/spokegw/queue_test.go
@@ -9,85 +9,85 @@
 	"testing"
 )
 
-// In an upgrade two processes hold the listener, and clients stand in its queue while neither
-// accepts: the new one stands still. Whatever becomes of the two then, each client has its
-// answer from the one that is left.
+// During an upgrade two processes share the listener, and connections wait in its accept queue while
+// the new process is stopped. Whichever process then exits or is killed, the remaining one must
+// answer every client.
 func TestQueueAcrossUpgrade(t *testing.T) {
 	const clients = 20
-	goOn := func(t *testing.T, p *running) {
+	resume := func(t *testing.T, p *sidecarProcess) {
 		t.Helper()
 		if err := p.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
 	}
-	kill := func(t *testing.T, p *running) {
+	kill := func(t *testing.T, p *sidecarProcess) {
 		t.Helper()
 		p.Kill()
 		await(t, "the process to end", p.Ended)
 	}
 	for name, order := range map[string]struct {
-		given  bool                                   // the new one stands still when it is given the listener, not when it serves
-		before func(t *testing.T, old, next *running) // clients come
-		after  func(t *testing.T, old, next *running)
+		duringHandover bool                                          // the new process is stopped during the handover, not once it serves
+		beforeConnect  func(t *testing.T, old, next *sidecarProcess) // run before clients connect
+		afterConnect   func(t *testing.T, old, next *sidecarProcess)
 	}{
-		"the new one is killed": {after: func(t *testing.T, _, next *running) { kill(t, next) }},
-		"the new one is told to end": {after: func(t *testing.T, _, next *running) {
+		"the new process is killed": {afterConnect: func(t *testing.T, _, next *sidecarProcess) { kill(t, next) }},
+		"the new process gets SIGTERM": {afterConnect: func(t *testing.T, _, next *sidecarProcess) {
 			next.Signal(syscall.SIGTERM)
-			goOn(t, next)
+			resume(t, next)
 		}},
-		"the old one ends first": {after: func(t *testing.T, old, next *running) {
+		"the old process exits first": {afterConnect: func(t *testing.T, old, next *sidecarProcess) {
 			old.Signal(syscall.SIGTERM)
-			await(t, "the old one to end", old.Ended)
-			goOn(t, next)
+			await(t, "the old process to end", old.Ended)
+			resume(t, next)
 		}},
-		"the old one has ended": {before: func(t *testing.T, old, _ *running) {
+		"the old process has exited": {beforeConnect: func(t *testing.T, old, _ *sidecarProcess) {
 			old.Signal(syscall.SIGTERM)
-			await(t, "the old one to end", old.Ended)
-		}, after: func(t *testing.T, _, next *running) { goOn(t, next) }},
-		"the old one is killed first": {after: func(t *testing.T, old, next *running) {
+			await(t, "the old process to end", old.Ended)
+		}, afterConnect: func(t *testing.T, _, next *sidecarProcess) { resume(t, next) }},
+		"the old process is killed first": {afterConnect: func(t *testing.T, old, next *sidecarProcess) {
 			kill(t, old)
-			goOn(t, next)
+			resume(t, next)
 		}},
-		"the old one is told to end as the new one is killed": {after: func(t *testing.T, old, next *running) {
+		"the old process gets SIGTERM as the new one is killed": {afterConnect: func(t *testing.T, old, next *sidecarProcess) {
 			stopProcess(t, old.Process.Process)
 			old.Signal(syscall.SIGTERM)
 			kill(t, next)
-			goOn(t, old)
+			resume(t, old)
 		}},
-		"given the listener, the new one is killed": {given: true, before: func(t *testing.T, old, _ *running) {
+		"during the handover, the new process is killed": {duringHandover: true, beforeConnect: func(t *testing.T, old, _ *sidecarProcess) {
 			stopProcess(t, old.Process.Process)
-		}, after: func(t *testing.T, old, next *running) {
+		}, afterConnect: func(t *testing.T, old, next *sidecarProcess) {
 			kill(t, next)
-			goOn(t, old)
+			resume(t, old)
 		}},
-		"given the listener, the old one has ended": {given: true, before: func(t *testing.T, old, _ *running) {
+		"during the handover, the old process has exited": {duringHandover: true, beforeConnect: func(t *testing.T, old, _ *sidecarProcess) {
 			old.Signal(syscall.SIGTERM)
-			await(t, "the old one to end", old.Ended)
-		}, after: func(t *testing.T, _, next *running) { goOn(t, next) }},
+			await(t, "the old process to end", old.Ended)
+		}, afterConnect: func(t *testing.T, _, next *sidecarProcess) { resume(t, next) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			asked := &told{text: "another process takes over", came: make(chan struct{})}
+			s := newSidecarFixture(t)
+			asked := &logWatcher{text: "another process takes over", seen: make(chan struct{})}
 			s.log = asked
 			old := s.start()
 			s.log = os.Stderr
 			old.ready(t)
 			next := s.start()
-			await(t, "the old one to be asked", asked.came)
-			if !order.given {
+			await(t, "the old process to get the handover request", asked.seen)
+			if !order.duringHandover {
 				next.ready(t)
 			}
 			stopProcess(t, next.Process.Process)
-			if order.before != nil {
-				order.before(t, old, next)
+			if order.beforeConnect != nil {
+				order.beforeConnect(t, old, next)
 			}
 			var queue []net.Conn
 			for i := range clients {
-				c := s.connect()
-				io.WriteString(c, tileHead(fmt.Sprint("queued-", i))+"\r\n")
+				c := s.dial()
+				io.WriteString(c, requestHead(fmt.Sprint("queued-", i))+"\r\n")
 				queue = append(queue, c)
 			}
-			order.after(t, old, next)
+			order.afterConnect(t, old, next)
 			for i, c := range queue {
 				if status, err := readStatus(c); status != 200 {
 					t.Errorf("client %d: answered %d, %v", i, status, err)
--- a/cmd/spokegw/refused_amd64_test.go
+++ b/cmd/spokegw/refused_amd64_test.go
@@ -24,28 +24,28 @@
 	}
 }
 
-// Where Unix sockets, fork, splice and sendfile are refused, a process starts, serves
-// short answers and long ones, reloads and drains as ever, and says once what is off.
-func TestCallsRefused(t *testing.T) {
+// Where Unix sockets, fork, splice and sendfile are refused, a process must start, serve
+// short and long answers, reload and drain as usual, and log each unavailable feature once.
+func TestRefusedSystemCalls(t *testing.T) {
 	t.Setenv("REFUSE_CALLS", "1")
-	s := newSite(t)
+	s := newSidecarFixture(t)
 	long, err := lab.StartEndpoint(lab.EndpointConfig{Workers: 500, Body: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(long.Close)
-	s.more = append(s.more, long)
+	s.extraEndpoints = append(s.extraEndpoints, long)
 	s.registry.Set(scene.Entries(s.endpoint, long))
 	s.configure("map-tile")
-	s.operate(fmt.Sprintf("[[service]]\nname = \"maps\"\n[no-contract]\naction = \"share\"\nshare = 1.0\n[console]\nsocket = %q\n", s.dir+"/console"))
-	log := &lines{}
+	s.writeOperatorFile(fmt.Sprintf("[[service]]\nname = \"maps\"\n[no-contract]\naction = \"share\"\nshare = 1.0\n[console]\nsocket = %q\n", s.dir+"/console"))
+	log := &logLines{}
 	s.log = log
 	p := s.start()
 	p.ready(t)
 	stop := s.load(8, "map-tile")
-	for until := time.Now().Add(patience); long.Served() < 20 || s.endpoint.Served() < 20; <-time.After(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); long.Served() < 20 || s.endpoint.Served() < 20; <-time.After(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("not both endpoints are met")
+			t.Fatal("not both endpoints receive requests")
 		}
 	}
 	p.Signal(syscall.SIGHUP)
@@ -53,34 +53,34 @@
 	stop()
 	p.Signal(syscall.SIGTERM)
 	await(t, "the process to end", p.Ended)
-	off := append(log.with("level=WARN"), log.with("level=ERROR")...)
-	if len(off) != 2 || !strings.Contains(off[0], `msg="no further process can take over from this one"`) || !strings.Contains(off[1], `msg="no console"`) {
-		t.Errorf("what is off is told as\n%s", strings.Join(off, "\n"))
+	warnings := append(log.containing("level=WARN"), log.containing("level=ERROR")...)
+	if len(warnings) != 2 || !strings.Contains(warnings[0], `msg="no further process can take over from this one"`) || !strings.Contains(warnings[1], `msg="no console"`) {
+		t.Errorf("want one warning and one error about unavailable features, got\n%s", strings.Join(warnings, "\n"))
 	}
 }
 
-// lines is a log that is kept, a line at a time.
-type lines struct {
+// logLines is a log that is retained for inspection by line.
+type logLines struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logLines) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text = append(l.text, b...)
 	return len(b), nil
 }
 
-func (l *lines) all() []string {
+func (l *logLines) split() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Split(strings.TrimSpace(string(l.text)), "\n")
 }
 
-// with are the lines that have a text in them.
-func (l *lines) with(text string) (found []string) {
-	for _, line := range l.all() {
+// containing returns the lines that contain a text.
+func (l *logLines) containing(text string) (found []string) {
+	for _, line := range l.split() {
 		if strings.Contains(line, text) {
 			found = append(found, line)
 		}
@@ -88,11 +88,11 @@
 	return found
 }
 
-func (l *lines) await(t *testing.T, text string) {
+func (l *logLines) await(t *testing.T, text string) {
 	t.Helper()
-	for until := time.Now().Add(patience); len(l.with(text)) == 0; <-time.After(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); len(l.containing(text)) == 0; <-time.After(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("no line has %q:\n%s", text, strings.Join(l.all(), "\n"))
+			t.Fatalf("no log line contains %q:\n%s", text, strings.Join(l.split(), "\n"))
 		}
 	}
 }
--- a/cmd/spokegw/restart_test.go
+++ b/cmd/spokegw/restart_test.go
@@ -18,43 +18,43 @@
 	"spokegw/internal/lab/scene"
 )
 
-// cells counts in which cells, and when, a key was met, and by which request.
-type cells struct {
-	mu  sync.Mutex
-	met map[string][]meeting // by request
+// keyAttempts records the cell and time of every attempt of each request.
+type keyAttempts struct {
+	mu        sync.Mutex
+	byRequest map[string][]attempt // by request id
 }
 
-type meeting struct {
+type attempt struct {
 	cell int
 	at   time.Time
 }
 
-func (c *cells) note(cell int) func(*http.Request) {
+func (c *keyAttempts) recordAttempt(cell int) func(*http.Request) {
 	return func(r *http.Request) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		id := r.Header.Get("Req-Id")
-		c.met[id] = append(c.met[id], meeting{cell, time.Now()})
+		c.byRequest[id] = append(c.byRequest[id], attempt{cell, time.Now()})
 	}
 }
 
-// came reports whether a request has come to any cell.
-func (c *cells) came(id string) bool {
+// arrived reports whether any attempt of a request has reached an endpoint.
+func (c *keyAttempts) arrived(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.met[id]) > 0
+	return len(c.byRequest[id]) > 0
 }
 
-// Of six sidecars four are ended and started anew, two of them killed, while requests
-// with keys are out and one endpoint of each cell is silent. Every request that a
-// sidecar had and was not killed under has one answer; none goes to a second cell, nor
-// out again after the window in which its cell drops repeats.
-func TestRestartedWithKeysOut(t *testing.T) {
+// Of six sidecars two are killed, two are terminated, and these four are restarted, while
+// keyed requests are in flight and one endpoint of each cell is silent. Every request
+// that a sidecar accepted is answered once unless the sidecar was killed; none is sent to a
+// second cell, or retried after its cell's deduplication window.
+func TestRestartWithKeyedRequestsInFlight(t *testing.T) {
 	const window = 2 * time.Second
-	met := &cells{met: map[string][]meeting{}}
+	attempts := &keyAttempts{byRequest: map[string][]attempt{}}
 	var all []*lab.Endpoint
 	for i := range 8 {
-		e, err := lab.StartEndpoint(lab.EndpointConfig{Workers: 500, Work: 20 * time.Millisecond, Body: 10, Seen: met.note(i / 4)})
+		e, err := lab.StartEndpoint(lab.EndpointConfig{Workers: 500, Work: 20 * time.Millisecond, Body: 10, Seen: attempts.recordAttempt(i / 4)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,10 +69,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(registry.Close)
-	var sites []*site
-	var now []*running
+	var sites []*sidecarFixture
+	var processes []*sidecarProcess
 	for i := range 6 {
-		s := &site{t: t, dir: t.TempDir(), program: os.Args[0], listen: freeAddr(t), log: io.Discard}
+		s := &sidecarFixture{t: t, dir: t.TempDir(), program: os.Args[0], listen: freeAddr(t), log: io.Discard}
 		text := scene.Configuration(scene.Platform{
 			Name: fmt.Sprint("n", i), Listen: s.listen, Registry: registry.Addr(), Endpoints: all, SecondCopies: true, ConnectTimeout: 5 * time.Second,
 			Classes: []scene.Class{{"name": "status-report", "effect": "idempotency_key", "key_scope": "cell", "dedup_window_ms": window.Milliseconds(),
@@ -81,10 +81,10 @@
 		if err := os.WriteFile(filepath.Join(s.dir, "config.json"), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		sites, now = append(sites, s), append(now, s.start())
+		sites, processes = append(sites, s), append(processes, s.start())
 	}
 	done := make([]process.Disturbances, len(sites))
-	for _, p := range now {
+	for _, p := range processes {
 		p.ready(t)
 	}
 	var clients sync.WaitGroup
@@ -94,7 +94,7 @@
 	for i, s := range sites {
 		for range 8 {
 			clients.Go(func() {
-				client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+				client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 				defer client.CloseIdleConnections()
 				for {
 					select {
@@ -103,7 +103,7 @@
 					default:
 					}
 					begun := time.Now() // each request has a connection of its own
-					id, status, err := s.report(client)
+					id, status, err := s.postReport(client)
 					over := time.Now()
 					mu.Lock()
 					if status != 0 {
@@ -115,8 +115,8 @@
 						t.Errorf("sidecar %d answered %d", i, status)
 					case err == nil:
 					case errors.Is(err, syscall.ECONNREFUSED) && done[i].ClosedDoor(begun, over):
-						<-time.After(time.Millisecond) // it is not up yet
-					case done[i].Cut(begun, over), done[i].MayShut(begun, begun) && !met.came(id): // with what it had
+						<-time.After(time.Millisecond) // it is not listening yet
+					case done[i].Cut(begun, over), done[i].MayShut(begun, begun) && !attempts.arrived(id): // lost with a killed sidecar, or not yet accepted
 						mu.Lock()
 						lost++
 						mu.Unlock()
@@ -135,17 +135,17 @@
 	for i := range 4 {
 		if i%2 == 0 {
 			done[i].Begins(process.Killed)
-			now[i].Kill()
+			processes[i].Kill()
 		} else {
 			done[i].Begins(process.Told)
-			now[i].Signal(syscall.SIGTERM)
+			processes[i].Signal(syscall.SIGTERM)
 		}
 	}
 	for i := range 4 {
-		await(t, "a sidecar to end", now[i].Ended)
+		await(t, "a sidecar to end", processes[i].Ended)
 		done[i].HasEnded()
-		now[i] = sites[i].start()
-		now[i].ready(t)
+		processes[i] = sites[i].start()
+		processes[i].ready(t)
 		done[i].GoesOn()
 	}
 	for n, from := 0, 0; n < from+500; <-time.After(time.Millisecond) {
@@ -157,10 +157,10 @@
 	}
 	close(stop)
 	clients.Wait()
-	met.mu.Lock()
-	defer met.mu.Unlock()
+	attempts.mu.Lock()
+	defer attempts.mu.Unlock()
 	repeats := 0
-	for id, all := range met.met {
+	for id, all := range attempts.byRequest {
 		for _, m := range all[1:] {
 			repeats++
 			if m.cell != all[0].cell || m.at.Sub(all[0].at) > window {
@@ -168,17 +168,17 @@
 			}
 		}
 	}
-	t.Logf("%d answered, %d lost with a killed sidecar, %d repeats", answered, lost, repeats)
+	t.Logf("%d answered, %d lost with a killed sidecar, %d retries", answered, lost, repeats)
 	if repeats == 0 {
-		t.Error("nothing was sent again")
+		t.Error("no request was retried")
 	}
 }
 
-// report sends a request with a key; a status of 0 is none.
-func (s *site) report(client *http.Client) (id string, status int, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// postReport sends a request with a key; a status of 0 means no answer.
+func (s *sidecarFixture) postReport(client *http.Client) (id string, status int, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	id = fmt.Sprintf("%s-%d", s.listen, s.asked.Add(1))
+	id = fmt.Sprintf("%s-%d", s.listen, s.requestCount.Add(1))
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.listen+"/status-report?user=k", nil)
 	if err != nil {
 		return id, 0, err
--- a/cmd/spokegw/standstill_test.go
+++ b/cmd/spokegw/stall_test.go
@@ -15,35 +15,35 @@
 	"spokegw/internal/lab/scene"
 )
 
-// phases holds requests at an endpoint, each in the phase that its id names, until the
-// process that sent them stands still.
-type phases struct {
-	held    chan string   // ids of those that have come to where they wait
-	release chan struct{} // closed when they go on
+// phaseEndpoints blocks requests at the endpoints, each in the phase that its id names, until
+// the process that sent them is stopped.
+type phaseEndpoints struct {
+	blocked chan string   // ids of requests that have reached their phase
+	release chan struct{} // closed to let them continue
 
-	mu   sync.Mutex
-	sent map[string]int // attempts by id
-	half time.Time      // when the first half answer was written
+	mu          sync.Mutex
+	counts      map[string]int // attempts by id
+	firstHalfAt time.Time      // when the first partial answer was written
 }
 
-func newPhases() *phases {
-	return &phases{held: make(chan string, 64), release: make(chan struct{}), sent: map[string]int{}}
+func newPhaseEndpoints() *phaseEndpoints {
+	return &phaseEndpoints{blocked: make(chan string, 64), release: make(chan struct{}), counts: map[string]int{}}
 }
 
-// attempts counts those that an endpoint got of a request.
-func (p *phases) attempts(id string) int {
+// attempts returns the number of attempts of a request that reached an endpoint.
+func (p *phaseEndpoints) attempts(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sent[id]
+	return p.counts[id]
 }
 
-// answer is an endpoint's: the first attempt of a request waits as its id says, others are
-// answered at once.
-func (p *phases) answer(w http.ResponseWriter, r *http.Request) bool {
+// answer handles a request at an endpoint: the first attempt blocks in the phase that its id
+// names, retries are answered at once.
+func (p *phaseEndpoints) answer(w http.ResponseWriter, r *http.Request) bool {
 	id := r.Header.Get("Req-Id")
 	p.mu.Lock()
-	p.sent[id]++
-	first := p.sent[id] == 1
+	p.counts[id]++
+	first := p.counts[id] == 1
 	p.mu.Unlock()
 	phase, _, _ := strings.Cut(id, ".")
 	if !first {
@@ -51,7 +51,7 @@
 	}
 	switch phase {
 	case "out", "short":
-		p.held <- id
+		p.blocked <- id
 		<-p.release
 		return false
 	case "half":
@@ -59,11 +59,11 @@
 		io.WriteString(w, "half")
 		w.(http.Flusher).Flush()
 		p.mu.Lock()
-		if p.half.IsZero() {
-			p.half = time.Now()
+		if p.firstHalfAt.IsZero() {
+			p.firstHalfAt = time.Now()
 		}
 		p.mu.Unlock()
-		p.held <- id
+		p.blocked <- id
 		<-p.release
 		io.WriteString(w, "more")
 		return true
@@ -72,50 +72,50 @@
 		if err != nil {
 			return false
 		}
-		p.held <- id
+		p.blocked <- id
 		<-p.release
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 		return true
 	case "leaves":
-		p.held <- id
+		p.blocked <- id
 		<-r.Context().Done()
 		return true
 	}
 	return false
 }
 
-// The process stands still with requests in every phase, and what they wait for comes
-// meanwhile. When it goes on each whose client is there has one final answer, none is
-// lost, what came in time is served, and nothing is sent on for clients that have left.
-func TestStandstillInEveryPhase(t *testing.T) {
+// The process stalls with requests in every phase, and the events that they wait for happen
+// meanwhile. When it resumes, every request whose client is still connected gets one final
+// answer, requests that arrived in time are served, and none is sent for disconnected clients.
+func TestStallInEveryPhase(t *testing.T) {
 	for _, pause := range []time.Duration{100 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
 			t.Parallel()
-			standStill(t, pause)
+			testStall(t, pause)
 		})
 	}
 }
 
-func standStill(t *testing.T, pause time.Duration) {
+func testStall(t *testing.T, pause time.Duration) {
 	const (
-		copies  = 3                      // of each phase
-		tooLate = 100 * time.Millisecond // an answer of which nothing more comes for 150 ms has stopped
+		copies     = 3                      // requests per phase
+		stallLimit = 100 * time.Millisecond // below the 150 ms without progress after which an answer counts as stalled
 	)
-	at := newPhases()
-	s := newSite(t)
+	endpoints := newPhaseEndpoints()
+	s := newSidecarFixture(t)
 	s.aim, s.deadline = 8*time.Second, 15*time.Second
 	for range 2 {
-		e, err := lab.StartEndpoint(lab.EndpointConfig{Workers: 500, Body: 20, Work: time.Millisecond, Answer: at.answer})
+		e, err := lab.StartEndpoint(lab.EndpointConfig{Workers: 500, Body: 20, Work: time.Millisecond, Answer: endpoints.answer})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(e.Close)
-		s.more = append(s.more, e)
+		s.extraEndpoints = append(s.extraEndpoints, e)
 	}
 	s.endpoint.Close()
-	s.endpoint, s.more = s.more[0], s.more[1:]
-	s.registry.Set(scene.Entries(s.endpoint, s.more[0]))
+	s.endpoint, s.extraEndpoints = s.extraEndpoints[0], s.extraEndpoints[1:]
+	s.registry.Set(scene.Entries(s.endpoint, s.extraEndpoints[0]))
 	s.configure("map-tile")
 	p := s.start()
 	p.ready(t)
@@ -127,7 +127,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience + pause))
+		c.SetDeadline(time.Now().Add(testTimeout + pause))
 		conns[id] = c
 	}
 	write := func(id, text string) {
@@ -164,13 +164,13 @@
 		})
 	}
 	for range 5 * copies {
-		await(t, "requests to be held", at.held)
+		await(t, "requests to be blocked", endpoints.blocked)
 	}
 	stopProcess(t, p.Process.Process)
-	at.mu.Lock()
-	stoppedAfter := time.Since(at.half)
-	at.mu.Unlock()
-	close(at.release) // answers, their rests and resets come now
+	endpoints.mu.Lock()
+	stopDelay := time.Since(endpoints.firstHalfAt)
+	endpoints.mu.Unlock()
+	close(endpoints.release) // answers, remaining bodies and resets arrive now
 	each("half head", func(id string) { write(id, "\r\n") })
 	each("resting", func(id string) { write(id, head(id, long)+"\r\n") })
 	each("new", func(id string) {
@@ -183,7 +183,7 @@
 		conns[id].Close()
 	})
 	each("leaves", func(id string) { conns[id].Close() })
-	<-time.After(pause) // the fault itself
+	<-time.After(pause) // the injected stall
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
@@ -197,26 +197,27 @@
 			t.Errorf("%s: answered %d, %v", id, status, err)
 		}
 	}
-	// What comes after all of that has been read is answered: nothing more of those is sent.
+	// Once a later request is answered, all earlier input has been processed, and no more
+	// attempts of the requests above follow.
 	dial("last")
 	write("last", head(fmt.Sprint("last.", pause), long)+"\r\n")
 	if status, err := readStatus(conns["last"]); status != 200 {
-		t.Errorf("the last one: answered %d, %v", status, err)
+		t.Errorf("the last request: answered %d, %v", status, err)
 	}
 	each("gone", func(id string) {
-		if n := at.attempts(id); n != 0 {
-			t.Errorf("%s: %d attempts for a client that had left", id, n)
+		if n := endpoints.attempts(id); n != 0 {
+			t.Errorf("%s: %d attempts for a disconnected client", id, n)
 		}
 	})
 	for phase, want := range map[string]int{"leaves": 1, "out": 1, "half": 1, "short": 1, "reset": 2, "resting": 1, "new": 1} {
 		each(phase, func(id string) {
-			n := at.attempts(id)
-			if phase == "half" && n == 2 && stoppedAfter > tooLate {
-				t.Logf("%s: the process was stopped only %v after half of an answer, which had stopped by then", id, stoppedAfter)
+			n := endpoints.attempts(id)
+			if phase == "half" && n == 2 && stopDelay > stallLimit {
+				t.Logf("%s: the process was stopped %v after the partial answer, which already counted as stalled", id, stopDelay)
 				return
 			}
 			if n != want {
-				t.Errorf("%s: %d attempts, %d are expected", id, n, want)
+				t.Errorf("%s: %d attempts, want %d", id, n, want)
 			}
 		})
 	}
--- a/cmd/spokegw/state_test.go
+++ b/cmd/spokegw/state_test.go
@@ -16,11 +16,11 @@
 	"spokegw/internal/lab/scene"
 )
 
-// keeping is a site whose sidecar keeps its state in a folder, and holds those
-// without a contract to three requests in a long time.
-func keeping(t *testing.T) (s *site, folder string) {
-	s, folder = newSite(t), t.TempDir()
-	s.operate(fmt.Sprintf(`
+// newStateFixture returns a fixture whose sidecar stores its state in a directory, and allows
+// teams without a contract a burst of three requests at a negligible rate.
+func newStateFixture(t *testing.T) (s *sidecarFixture, folder string) {
+	s, folder = newSidecarFixture(t), t.TempDir()
+	s.writeOperatorFile(fmt.Sprintf(`
 [[service]]
 name = "maps"
 
@@ -54,15 +54,15 @@
 	return s, folder
 }
 
-// awaitKept waits until the image in a folder tells something.
-func awaitKept(t *testing.T, folder, what string) {
+// awaitState waits until the image in a directory contains a text.
+func awaitState(t *testing.T, folder, what string) {
 	t.Helper()
 	awaitFile(t, folder, "state", what)
 }
 
 func awaitFile(t *testing.T, folder, kind, what string) {
 	t.Helper()
-	for until := time.Now().Add(patience); ; {
+	for until := time.Now().Add(testTimeout); ; {
 		files, _ := filepath.Glob(filepath.Join(folder, "*."+kind))
 		if len(files) == 1 {
 			if text, _ := os.ReadFile(files[0]); bytes.Contains(text, []byte(what)) {
@@ -70,13 +70,13 @@
 			}
 		}
 		if time.Now().After(until) {
-			t.Fatalf("%s is not kept", what)
+			t.Fatalf("%s is not stored", what)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
 }
 
-func (s *site) status(team, id string) int {
+func (s *sidecarFixture) status(team, id string) int {
 	s.t.Helper()
 	req := s.request("map-tile")
 	req.Header.Set("Req-Id", id)
@@ -89,11 +89,11 @@
 	return resp.StatusCode
 }
 
-// A sidecar that is killed, again and again, comes back as it was: drained where an
-// operator said so, with no fresh burst for those who had spent theirs, and with
-// the ids of requests that it had taken.
-func TestKilledAndBack(t *testing.T) {
-	s, folder := keeping(t)
+// A sidecar that is killed repeatedly must restore its state: the operator's drain and
+// disabled endpoints, spent bursts without a refill, and the ids of requests that it had
+// accepted.
+func TestRestoreAfterKill(t *testing.T) {
+	s, folder := newStateFixture(t)
 	p := s.start()
 	p.ready(t)
 	for i := range 5 {
@@ -102,45 +102,45 @@
 			want = 429
 		}
 		if got := s.status("", fmt.Sprint("kept-", i)); got != want {
-			t.Errorf("request %d: status %d, %d is expected", i, got, want)
+			t.Errorf("request %d: status %d, want %d", i, got, want)
 		}
 	}
 	if got := s.status("free", "taken"); got != 200 {
-		t.Errorf("status %d", got)
+		t.Errorf("status %d, want 200", got)
 	}
 	p.ask(t, "drain")
 	p.ask(t, "disable-server maps-0")
 	for round := range 3 {
-		awaitKept(t, folder, `"Drained":true`)
-		awaitKept(t, folder, `"maps-0"]`)
+		awaitState(t, folder, `"Drained":true`)
+		awaitState(t, folder, `"maps-0"]`)
 		p.Kill()
 		await(t, "the killed process to end", p.Ended)
 		http.DefaultClient.CloseIdleConnections()
 		p = s.start()
-		for until := time.Now().Add(patience); !strings.HasPrefix(p.ask(t, "ready"), "NO drained"); {
+		for until := time.Now().Add(testTimeout); !strings.HasPrefix(p.ask(t, "ready"), "NO drained"); {
 			if time.Now().After(until) {
-				t.Fatalf("round %d: it says %q", round, p.ask(t, "ready"))
+				t.Fatalf("round %d: ready answers %q, want NO drained", round, p.ask(t, "ready"))
 			}
 		}
 		if text := p.ask(t, "show-members"); !strings.Contains(text, "avoided=disabled") {
-			t.Errorf("round %d: %s", round, text)
+			t.Errorf("round %d: the endpoint is not disabled: %s", round, text)
 		}
 		if got := s.status("", fmt.Sprint("fresh-", round)); got != 429 {
-			t.Errorf("round %d: those who had spent their burst are answered %d", round, got)
+			t.Errorf("round %d: a request after the spent burst is answered %d, want 429", round, got)
 		}
 	}
 	if got := s.status("free", "taken"); got != 409 {
-		t.Errorf("an id that was taken before the end is answered %d", got)
+		t.Errorf("an id that was accepted before the kill is answered %d, want 409", got)
 	}
 }
 
-// What can't be read changes nothing: it is said, and the sidecar starts as one
-// that was just installed. What is something else is left alone.
-func TestStateThatCantBeUsed(t *testing.T) {
-	s, folder := keeping(t)
+// State that can't be read has no effect: the sidecar starts as a new one. A file that is
+// not a state file is not overwritten.
+func TestUnusableState(t *testing.T) {
+	s, folder := newStateFixture(t)
 	p := s.start()
 	p.ready(t)
-	awaitKept(t, folder, `"Name":"n0"`)
+	awaitState(t, folder, `"Name":"n0"`)
 	p.Kill()
 	await(t, "the killed process to end", p.Ended)
 	files, _ := filepath.Glob(filepath.Join(folder, "*.state"))
@@ -150,17 +150,17 @@
 	p = s.start()
 	p.ready(t)
 	if got := s.status("", "any"); got != 200 {
-		t.Errorf("status %d", got)
+		t.Errorf("status %d, want 200", got)
 	}
 	if text, _ := os.ReadFile(files[0]); !strings.HasPrefix(string(text), "somebody's") {
-		t.Errorf("%q was put in the place of what is not ours", text)
+		t.Errorf("a file that is not the sidecar's was overwritten with %q", text)
 	}
 }
 
-// A sidecar that is started with a file that can't be used goes on with the one that it
-// took over last, and takes the next that can be.
+// A sidecar that is started with an invalid operator's file uses the last one that it
+// accepted, and accepts the next valid one on reload.
 func TestFaultyFileAtStart(t *testing.T) {
-	s, folder := keeping(t)
+	s, folder := newStateFixture(t)
 	good, err := os.ReadFile(s.operator)
 	if err != nil {
 		t.Fatal(err)
@@ -168,56 +168,56 @@
 	p := s.start()
 	p.ready(t)
 	awaitFile(t, folder, "accepted", "burst = 3")
-	again := func(text string) {
+	restartWith := func(text string) {
 		t.Helper()
 		p.Kill()
 		await(t, "the killed process to end", p.Ended)
-		s.operate(text)
+		s.writeOperatorFile(text)
 		p = s.start()
 	}
 	for _, text := range []string{string(good) + "\n[no-such]\n", "[[serv"} {
-		again(text)
+		restartWith(text)
 		p.ready(t)
 		last := 0
 		for i := range 4 {
 			last = s.status("", fmt.Sprint(len(text), "-", i))
 		}
 		if last != 429 {
-			t.Errorf("with %.8q the contracts are not held: %d", text, last)
+			t.Errorf("with %.8q the contracts are not enforced: answered %d, want 429", text, last)
 		}
-		t.Setenv("SPOKEGW_STATE", folder) // the second does not tell it
+		t.Setenv("SPOKEGW_STATE", folder) // the second text is too faulty to name the directory
 	}
 	t.Setenv("SPOKEGW_STATE", "")
-	again("[[serv")
-	await(t, "the process that knows no folder to end", p.Ended)
+	restartWith("[[serv")
+	await(t, "the process without a state directory to end", p.Ended)
 	t.Setenv("SPOKEGW_STATE", folder)
 	p = s.start()
 	p.ready(t)
-	s.operate(strings.Replace(string(good), "burst = 3", "burst = 7", 1))
+	s.writeOperatorFile(strings.Replace(string(good), "burst = 3", "burst = 7", 1))
 	if err := p.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	awaitFile(t, folder, "accepted", "burst = 7")
 }
 
-// A move whose sidecar is killed goes on at the share that it had, at the beginning
-// of that step, and one that was undone stays so.
-func TestMoveKilled(t *testing.T) {
-	s, folder := keeping(t)
-	s.registry.Set(scene.Entries(s.endpoint, s.endpoint)) // two of the list
+// A move whose sidecar is killed continues at the share that it had, from the beginning
+// of that step, and a move that was undone stays undone.
+func TestMoveAfterKill(t *testing.T) {
+	s, folder := newStateFixture(t)
+	s.registry.Set(scene.Entries(s.endpoint, s.endpoint)) // two entries in the list
 	p := s.start()
 	p.ready(t)
 	move := func(phase string) {
 		t.Helper()
-		for until := time.Now().Add(patience); !strings.Contains(p.ask(t, "show-moves"), phase); {
+		for until := time.Now().Add(testTimeout); !strings.Contains(p.ask(t, "show-moves"), phase); {
 			if time.Now().After(until) {
-				t.Fatalf("%s is expected: %s", phase, p.ask(t, "show-moves"))
+				t.Fatalf("want %s, got %s", phase, p.ask(t, "show-moves"))
 			}
 		}
 	}
 	move("ready=1/1")
-	for _, c := range []struct{ word, phase string }{{"begin-move new", "phase=moving step=1/2 share=0.0500"}, {"undo-move new", "phase=undone step=- share=0.0000"}} {
-		if text := p.ask(t, c.word); !strings.HasPrefix(text, "YES") {
+	for _, c := range []struct{ command, phase string }{{"begin-move new", "phase=moving step=1/2 share=0.0500"}, {"undo-move new", "phase=undone step=- share=0.0000"}} {
+		if text := p.ask(t, c.command); !strings.HasPrefix(text, "YES") {
 			t.Fatal(text)
 		}
 		move(c.phase)
@@ -230,12 +230,13 @@
 	}
 }
 
-// Killed at any instant under load, with keys on the disk before they are sent and with
-// files that are faulty put in place now and then: no key runs where a repeat of it is
-// not dropped, no team has more than its rate over all processes together, and nobody is
-// served by a file that was never taken over. bench/kill does so a thousand times.
+// A sidecar is killed at random times under load, with keys stored before their requests
+// are sent, and with faulty operator's files put in place at times. No key may run where its
+// repeat is not deduplicated, no team may exceed its rate over all processes together, and
+// no request may be served under a file that was never accepted. bench/kill does this a
+// thousand times.
 func TestKilledUnderLoad(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), 3*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*testTimeout)
 	defer cancel()
 	r, err := killing.Run(ctx, killing.Config{Program: os.Args[0], Env: []string{"RUN_SPOKEGW=1"}, Dir: t.TempDir(), Kills: 12, Keys: "before", Seed: 1})
 	if err != nil {
--- a/cmd/spokegw/upgrade_more_test.go
+++ b/cmd/spokegw/upgrade_more_test.go
@@ -16,61 +16,61 @@
 	"time"
 )
 
-// A third process while two run, and two upgrades one right after the other.
-func TestUpgradeOfUpgrade(t *testing.T) {
-	s := newSite(t)
+// A third process starts while two run, and a further upgrade follows immediately: no request fails.
+func TestConcurrentUpgrades(t *testing.T) {
+	s := newSidecarFixture(t)
 	first := s.start()
 	first.ready(t)
 	stop := s.load(6, "map-tile")
 	second := s.start()
 	second.ready(t)
-	third := s.start() // the first is there still
+	third := s.start() // the first still runs
 	third.ready(t)
 	second.Signal(syscall.SIGTERM)
 	first.Signal(syscall.SIGTERM)
-	await(t, "the first to end", first.Ended)
-	await(t, "the second to end", second.Ended)
+	await(t, "the first process to end", first.Ended)
+	await(t, "the second process to end", second.Ended)
 	fourth := s.start()
 	fourth.ready(t)
 	third.Signal(syscall.SIGTERM)
-	await(t, "the third to end", third.Ended)
+	await(t, "the third process to end", third.Ended)
 	if status := s.get("map-tile"); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 	stop()
 }
 
-// The old one is told to stop when it has been asked for all that it has, before the
-// new one says yes, and is killed while the new one serves.
-func TestOldEndsEarly(t *testing.T) {
-	s := newSite(t)
-	asked := &told{text: "another process takes over", came: make(chan struct{})}
+// The old process gets SIGTERM right after the handover request, before the new process
+// is ready. In the next upgrade the old process is killed while the new one serves.
+func TestOldProcessEndsEarly(t *testing.T) {
+	s := newSidecarFixture(t)
+	asked := &logWatcher{text: "another process takes over", seen: make(chan struct{})}
 	s.log = asked
 	old := s.start()
 	s.log = os.Stderr
 	old.ready(t)
 	stop := s.load(4, "map-tile")
 	next := s.start()
-	await(t, "the old one to be asked", asked.came)
+	await(t, "the old process to get the handover request", asked.seen)
 	old.Signal(syscall.SIGTERM)
 	next.ready(t)
-	await(t, "the old one to end", old.Ended)
+	await(t, "the old process to end", old.Ended)
 	stop()
 	last := s.start()
 	last.ready(t)
 	next.Kill()
-	await(t, "the one before to end", next.Ended)
+	await(t, "the killed process to end", next.Ended)
 	for range 20 {
 		if status := s.get("map-tile"); status != 200 {
-			t.Errorf("status %d", status)
+			t.Errorf("status %d, want 200", status)
 		}
 	}
 }
 
-// SIGHUP again and again, beside an upgrade: every file that was read is counted,
-// and nothing is lost.
-func TestReloadsBesideUpgrade(t *testing.T) {
-	s := newSite(t)
+// Repeated SIGHUPs during an upgrade: the last file is in force, no reload fails, and no
+// request is lost.
+func TestReloadsDuringUpgrade(t *testing.T) {
+	s := newSidecarFixture(t)
 	old := s.start()
 	old.ready(t)
 	stop := s.load(4, "map-tile")
@@ -85,14 +85,14 @@
 	}
 	next.ready(t)
 	old.Signal(syscall.SIGTERM)
-	await(t, "the old one to end", old.Ended)
+	await(t, "the old process to end", old.Ended)
 	next.Signal(syscall.SIGHUP)
-	for until := time.Now().Add(patience); ; {
+	for until := time.Now().Add(testTimeout); ; {
 		if s.get("class-9") == 200 {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("the last class is not served:\n%s", next.ask(t, "show-stat"))
+			t.Fatalf("the last configured class is not served:\n%s", next.ask(t, "show-stat"))
 		}
 	}
 	if text := next.ask(t, "show-stat"); !strings.Contains(text, "node.config_reload_errors:0|c") {
@@ -101,18 +101,18 @@
 	stop()
 }
 
-// What is at the old process at the instant at which it is told to stop ends as it
-// should: a connection that nobody has accepted yet, a head that is half sent, an
-// answer that is half made, one that is half read.
-func TestInstantOfStop(t *testing.T) {
-	s := newSite(t)
+// Requests in every state when the old process gets SIGTERM must complete: a connection
+// in the accept queue, a partial request head, an answer that the endpoint has not
+// finished, and an answer that the client has read in part.
+func TestStopWithRequestsInEveryState(t *testing.T) {
+	s := newSidecarFixture(t)
 	long := bytes.Repeat([]byte("0123456789abcdef"), 1<<19)
-	s.answer = func(w http.ResponseWriter, r *http.Request) bool {
+	s.answerFunc = func(w http.ResponseWriter, r *http.Request) bool {
 		if r.Header.Get("Req-Id") != "long" {
 			return false
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(len(long)))
-		w.Write(long) // its end shows in what is read
+		w.Write(long) // an incomplete write shows in what the client reads
 		return true
 	}
 	old := s.start()
@@ -123,7 +123,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		return c
 	}
 	request := func(id string) string {
@@ -132,10 +132,10 @@
 	half, slow, kept := dial(), dial(), dial()
 	io.WriteString(half, request("half"))
 	io.WriteString(slow, request("slow")+"Req-Cost: 700000\r\n\r\n") // 0.7 s at the endpoint
-	for round := range 2 {                                           // one that rests
+	for round := range 2 {                                           // becomes an idle connection
 		io.WriteString(kept, request(fmt.Sprint("kept-", round))+"\r\n")
 		if status, _ := readStatus(kept); status != 200 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("status %d, want 200", status)
 		}
 	}
 	reading := dial()
@@ -162,22 +162,22 @@
 	}
 	for i, c := range queued {
 		if status, err := readStatus(c); status != 200 {
-			t.Errorf("connection %d in the queue: status %d, %v", i, status, err)
+			t.Errorf("connection %d in the accept queue: status %d, %v", i, status, err)
 		}
 	}
 	if _, err := io.ReadFull(resp.Body, read[len(long)/2:]); err != nil || !bytes.Equal(read, long) {
-		t.Errorf("an answer half read: %v", err)
+		t.Errorf("the answer that was read in part: %v", err)
 	}
 	io.WriteString(half, "\r\n")
-	for name, c := range map[string]net.Conn{"a head half sent": half, "an answer half made": slow} {
+	for name, c := range map[string]net.Conn{"the partial request head": half, "the unfinished answer": slow} {
 		if status, err := readStatus(c); status != 200 {
 			t.Errorf("%s: status %d, %v", name, status, err)
 		}
 	}
-	await(t, "the old one to end", old.Ended)
+	await(t, "the old process to end", old.Ended)
 }
 
-// readStatus reads an answer.
+// readStatus reads an answer and returns its status.
 func readStatus(c net.Conn) (int, error) {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -188,31 +188,31 @@
 	return resp.StatusCode, err
 }
 
-// A new process whose second address is taken ends, and changes nothing.
+// A new process whose management address is in use exits, and the old one is unaffected.
 func TestUpgradeAddressTaken(t *testing.T) {
-	s := newSite(t)
+	s := newSidecarFixture(t)
 	old := s.start()
 	old.ready(t)
 	next := s.startAt(old.Management)
-	await(t, "the process without a second address to end", next.Ended)
+	await(t, "the process without a management address to end", next.Ended)
 	old.ready(t)
 	if status := s.get("map-tile"); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 }
 
-// 200 clients read answers of 32 MB, at 64 kB a second, from a sidecar that has 48
-// MB: it stays within, and each gets the bytes that its endpoint sends.
+// 200 clients read answers of 32 MB, at 64 kB a second, from a sidecar with 48 MB of
+// memory: it stays within its memory limit, and each client gets the endpoint's bytes.
 func TestLongAnswersInLittleMemory(t *testing.T) {
 	const clients, size, limit = 200, 32 << 20, 48 << 20
 	piece := make([]byte, 64<<10)
 	for i := range piece {
 		piece[i] = byte(i * 7)
 	}
-	s := newSite(t)
+	s := newSidecarFixture(t)
 	s.build()
 	s.memory, s.sockets = limit>>20, 1024
-	s.answer = func(w http.ResponseWriter, r *http.Request) bool {
+	s.answerFunc = func(w http.ResponseWriter, r *http.Request) bool {
 		w.Header().Set("Content-Length", fmt.Sprint(size))
 		for range size / len(piece) {
 			if _, err := w.Write(piece); err != nil {
@@ -255,8 +255,8 @@
 	}
 	reading.Wait()
 	_, peak := p.Memory()
-	t.Logf("%d clients, at most %d MB of %d", whole.Load(), peak>>20, limit>>20)
+	t.Logf("%d clients completed, peak memory %d of %d MB", whole.Load(), peak>>20, limit>>20)
 	if peak == 0 || peak > limit {
-		t.Errorf("it held %d bytes", peak)
+		t.Errorf("peak memory is %d bytes, above the limit or not known", peak)
 	}
 }
--- a/cmd/spokegw/upgrade_test.go
+++ b/cmd/spokegw/upgrade_test.go
@@ -21,33 +21,33 @@
 	"spokegw/internal/lab/scene"
 )
 
-// site is what processes of one sidecar share.
-type site struct {
-	t             *testing.T
-	dir           string
-	program       string // that is started; the test's own binary stands in for it
-	listen        string
-	registry      *lab.Registry
-	endpoint      *lab.Endpoint
-	more          []*lab.Endpoint // beside it
-	operator      string          // file; "": none
-	log           io.Writer       // of processes
-	aim, deadline time.Duration   // of the classes
-	memory        int             // MB, and descriptors, that the configuration tells
-	sockets       int
-	answer        func(http.ResponseWriter, *http.Request) bool // of the endpoint; nil: its own
-	asked         atomic.Int64
-	seen          sync.Map // ids, at the endpoint
+// sidecarFixture is the environment that the successive processes of one sidecar share.
+type sidecarFixture struct {
+	t              *testing.T
+	dir            string
+	program        string // executable; the test binary by default
+	listen         string
+	registry       *lab.Registry
+	endpoint       *lab.Endpoint
+	extraEndpoints []*lab.Endpoint // in addition to endpoint
+	operator       string          // path of the operator's file; "": none
+	log            io.Writer       // of the processes
+	aim, deadline  time.Duration   // of the classes
+	memory         int             // configured limit in MB
+	sockets        int
+	answerFunc     func(http.ResponseWriter, *http.Request) bool // handler of endpoint; nil or false: its default
+	requestCount   atomic.Int64
+	seenIDs        sync.Map // request ids that reached the endpoint
 }
 
-func newSite(t *testing.T) *site {
+func newSidecarFixture(t *testing.T) *sidecarFixture {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), program: os.Args[0], listen: freeAddr(t), log: os.Stderr, aim: 2 * time.Second, deadline: 5 * time.Second, memory: 128, sockets: 512}
+	s := &sidecarFixture{t: t, dir: t.TempDir(), program: os.Args[0], listen: freeAddr(t), log: os.Stderr, aim: 2 * time.Second, deadline: 5 * time.Second, memory: 128, sockets: 512}
 	var err error
 	if s.endpoint, err = lab.StartEndpoint(lab.EndpointConfig{Workers: 500, Body: 20, Work: time.Millisecond, Answer: func(w http.ResponseWriter, r *http.Request) bool {
-		return s.answer != nil && s.answer(w, r)
+		return s.answerFunc != nil && s.answerFunc(w, r)
 	}, Seen: func(r *http.Request) {
-		if _, twice := s.seen.LoadOrStore(r.Header.Get("Req-Id"), true); twice {
+		if _, twice := s.seenIDs.LoadOrStore(r.Header.Get("Req-Id"), true); twice {
 			t.Errorf("request %s was sent twice", r.Header.Get("Req-Id"))
 		}
 	}}); err != nil {
@@ -62,7 +62,7 @@
 	return s
 }
 
-// freeAddr is an address that is the test's up to its end.
+// freeAddr returns an address that is reserved for the test until its end.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := process.TakeAddr()
@@ -74,16 +74,16 @@
 }
 
 // configure writes the configuration with these classes.
-func (s *site) configure(classes ...string) {
+func (s *sidecarFixture) configure(classes ...string) {
 	var all []scene.Class
 	for _, c := range classes {
 		all = append(all, scene.Class{"name": c, "effect": "read_like", "hard_limit_ms": s.deadline.Milliseconds(), "aim_ms": s.aim.Milliseconds()})
 	}
 	text := scene.Configuration(scene.Platform{
-		Name: "n0", Listen: s.listen, Registry: s.registry.Addr(), Endpoints: append([]*lab.Endpoint{s.endpoint}, s.more...),
+		Name: "n0", Listen: s.listen, Registry: s.registry.Addr(), Endpoints: append([]*lab.Endpoint{s.endpoint}, s.extraEndpoints...),
 		MemoryMB: s.memory, Sockets: s.sockets, ConnectTimeout: 5 * time.Second, Classes: all,
 	})
-	// It is put in place whole: a process may be reading it.
+	// Replaced atomically, as a process may be reading it.
 	if err := os.WriteFile(filepath.Join(s.dir, "config.new"), text, 0o600); err != nil {
 		s.t.Fatal(err)
 	}
@@ -92,25 +92,25 @@
 	}
 }
 
-// told is a log that passes on what is written to it, and tells when a text has come.
-type told struct {
+// logWatcher forwards a log to standard error, and signals when a text was logged.
+type logWatcher struct {
 	text string
-	came chan struct{} // closed when it has
-	last []byte        // of what was written, as long as the text
+	seen chan struct{} // closed when text was logged
+	last []byte        // tail of the log, as long as text
 }
 
-func (l *told) Write(b []byte) (int, error) {
+func (l *logWatcher) Write(b []byte) (int, error) {
 	l.last = append(l.last, b...)
 	if l.text != "" && bytes.Contains(l.last, []byte(l.text)) {
-		close(l.came)
+		close(l.seen)
 		l.text = ""
 	}
 	l.last = l.last[max(0, len(l.last)-len(l.text)):]
 	return os.Stderr.Write(b)
 }
 
-// operate writes an operator's file, which processes are started with from now on.
-func (s *site) operate(text string) {
+// writeOperatorFile writes the operator's file that further processes are started with.
+func (s *sidecarFixture) writeOperatorFile(text string) {
 	s.t.Helper()
 	s.operator = filepath.Join(s.dir, "operator.toml")
 	if err := os.WriteFile(s.operator, []byte(text), 0o600); err != nil {
@@ -118,16 +118,16 @@
 	}
 }
 
-// running is a process of the sidecar.
-type running struct{ *process.Process }
+// sidecarProcess is a process of the sidecar.
+type sidecarProcess struct{ *process.Process }
 
-func (s *site) start() *running {
+func (s *sidecarFixture) start() *sidecarProcess {
 	s.t.Helper()
 	return s.startAt("")
 }
 
-// startAt starts a process with a second address; "": one of its own.
-func (s *site) startAt(management string) *running {
+// startAt starts a process with a management address; "": a free one.
+func (s *sidecarFixture) startAt(management string) *sidecarProcess {
 	s.t.Helper()
 	p, err := process.Start(s.program, management, []string{
 		"RUN_SPOKEGW=1", "NODE_CONFIG=" + filepath.Join(s.dir, "config.json"), "TMPDIR=" + s.dir, "SPOKEGW_OPERATOR=" + s.operator,
@@ -139,12 +139,12 @@
 		p.Kill()
 		<-p.Ended
 	})
-	return &running{p}
+	return &sidecarProcess{p}
 }
 
-// build makes the program itself, for a test of its memory: with the race detector
-// the test's own binary holds five times as much.
-func (s *site) build() {
+// build compiles the program for a test of its memory use, as the test binary takes
+// five times as much with the race detector.
+func (s *sidecarFixture) build() {
 	s.t.Helper()
 	s.program = filepath.Join(s.t.TempDir(), "spokegw")
 	if text, err := exec.Command("go", "build", "-o", s.program, ".").CombinedOutput(); err != nil {
@@ -152,10 +152,10 @@
 	}
 }
 
-// ask makes a call on the second address, and again until it is connected.
-func (r *running) ask(t *testing.T, call string) string {
+// ask makes a call on the management address, retried until it connects.
+func (r *sidecarProcess) ask(t *testing.T, call string) string {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	text, err := r.Ask(ctx, call)
 	if err != nil {
@@ -164,25 +164,25 @@
 	return text
 }
 
-func (r *running) ready(t *testing.T) {
+func (r *sidecarProcess) ready(t *testing.T) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if _, err := r.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// load asks without end, each worker on connections that it keeps and on new
-// ones in turn, and fails the test for every request that is not served.
-func (s *site) load(workers int, class string) (stop func() int64) {
+// load sends requests until stop is called, each worker on both persistent and new
+// connections, and fails the test for every request that is not served.
+func (s *sidecarFixture) load(workers int, class string) (stop func() int64) {
 	var asking sync.WaitGroup
 	var served atomic.Int64
 	ending := make(chan struct{})
 	for w := range workers {
 		asking.Go(func() {
-			kept := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: patience}
-			fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+			kept := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: testTimeout}
+			fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 			defer kept.CloseIdleConnections()
 			for i := 0; ; i++ {
 				select {
@@ -214,27 +214,27 @@
 	}
 }
 
-// Upgrades one after another under load: nothing is lost, refused, or sent twice.
+// Successive upgrades under load: no request is lost, refused, or sent twice.
 func TestUpgrades(t *testing.T) {
-	s := newSite(t)
-	now := s.start()
-	now.ready(t)
+	s := newSidecarFixture(t)
+	current := s.start()
+	current.ready(t)
 	stop := s.load(8, "map-tile")
 	for range 5 {
 		next := s.start()
 		next.ready(t)
-		now.Signal(syscall.SIGTERM)
-		await(t, "the old process to end", now.Ended)
-		now = next
+		current.Signal(syscall.SIGTERM)
+		await(t, "the old process to end", current.Ended)
+		current = next
 	}
 	if served := stop(); served < 100 {
-		t.Errorf("%d requests were served", served)
+		t.Errorf("%d requests were served, want at least 100", served)
 	}
 }
 
-// A new process that is killed, at whatever point, leaves the old one as it was.
-func TestUpgradeDies(t *testing.T) {
-	s := newSite(t)
+// A new process that is killed at any point of the upgrade does not affect the old one.
+func TestKillDuringUpgrade(t *testing.T) {
+	s := newSidecarFixture(t)
 	old := s.start()
 	old.ready(t)
 	for i := range 8 {
@@ -242,25 +242,24 @@
 		if i%2 == 0 {
 			next.ready(t)
 		} else {
-			<-time.After(time.Duration(i) * 3 * time.Millisecond) // somewhere in its start
+			<-time.After(time.Duration(i) * 3 * time.Millisecond) // during its start
 		}
 		next.Kill()
 		await(t, "the new process to end", next.Ended)
-		s.load(4, "map-tile")() // what the dead one had taken is lost, nothing after that
+		s.load(4, "map-tile")() // requests that the killed process had accepted are lost, later ones are not
 		for range 20 {
 			http.DefaultClient.CloseIdleConnections()
 			if status := s.get("map-tile"); status != 200 {
-				t.Errorf("after a new process that was killed: status %d", status)
+				t.Errorf("after the new process was killed: status %d, want 200", status)
 			}
 		}
 	}
 	old.ready(t)
 }
 
-// One that can't start, for its configuration or its second address, ends with an
-// error and changes nothing.
-func TestUpgradeRefused(t *testing.T) {
-	s := newSite(t)
+// A new process with an invalid configuration exits, and the old one is unaffected.
+func TestUpgradeWithInvalidConfig(t *testing.T) {
+	s := newSidecarFixture(t)
 	old := s.start()
 	old.ready(t)
 	stop := s.load(4, "map-tile")
@@ -269,20 +268,20 @@
 		t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(s.dir, "config.json"), good[:len(good)/2], 0o600)
-	await(t, "the process with half a configuration to end", s.start().Ended)
+	await(t, "the process with a truncated configuration to end", s.start().Ended)
 	os.WriteFile(filepath.Join(s.dir, "config.json"), good, 0o600)
 	stop()
 	old.ready(t)
 }
 
-// What lies in the folder from others, and from processes that were killed, is
-// no hindrance, and what is not ours is left alone.
-func TestUpgradeLeavings(t *testing.T) {
-	s := newSite(t)
+// Files of others and sockets of killed processes in the directory do not prevent a start,
+// and files that are not the sidecar's are left unchanged.
+func TestUpgradeWithLeftoverFiles(t *testing.T) {
+	s := newSidecarFixture(t)
 	for i := range 3 {
 		p := s.start()
 		p.ready(t)
-		p.Kill() // its socket stays
+		p.Kill() // its socket file remains
 		await(t, "the process to end", p.Ended)
 		os.WriteFile(filepath.Join(s.dir, fmt.Sprint("leaving-", i)), []byte("x"), 0o600)
 	}
@@ -296,25 +295,25 @@
 	}
 	p := s.start()
 	p.ready(t)
-	next := s.start() // by SO_REUSEPORT, as there is nobody to ask
+	next := s.start() // binds with SO_REUSEPORT, as no process answers a handover request
 	next.ready(t)
 	if text, _ := os.ReadFile(sockets[0]); string(text) != "somebody's" {
-		t.Errorf("the file that is not ours is %q", text)
+		t.Errorf("the file of another program was changed to %q", text)
 	}
 }
 
-// A new class is served soon after SIGHUP, a dropped one no more; a broken file
-// changes nothing and is counted.
-func TestRetune(t *testing.T) {
-	s := newSite(t)
+// After SIGHUP a new class is served and a removed one is rejected; an invalid file changes
+// nothing and is counted.
+func TestReloadClasses(t *testing.T) {
+	s := newSidecarFixture(t)
 	p := s.start()
 	p.ready(t)
 	stop := s.load(4, "map-tile")
 	figure := func(line string) {
 		t.Helper()
-		for until := time.Now().Add(patience); !strings.Contains(p.ask(t, "show-stat"), line+"\n"); {
+		for until := time.Now().Add(testTimeout); !strings.Contains(p.ask(t, "show-stat"), line+"\n"); {
 			if time.Now().After(until) {
-				t.Fatalf("%s is not reached:\n%s", line, p.ask(t, "show-stat"))
+				t.Fatalf("metric %s is not reported:\n%s", line, p.ask(t, "show-stat"))
 			}
 		}
 	}
@@ -322,7 +321,7 @@
 	p.Signal(syscall.SIGHUP)
 	figure("node.config_reloads:1|c")
 	if status := s.get("map-tile-ii"); status != 200 {
-		t.Errorf("the new class is answered %d", status)
+		t.Errorf("the new class is answered %d, want 200", status)
 	}
 	for i, text := range []string{"", "{", `{"listen":"x"}`} {
 		os.WriteFile(filepath.Join(s.dir, "config.json"), []byte(text), 0o600)
@@ -330,19 +329,19 @@
 		figure(fmt.Sprintf("node.config_reload_errors:%d|c", i+1))
 	}
 	if status := s.get("map-tile-ii"); status != 200 {
-		t.Errorf("after broken files the new class is answered %d", status)
+		t.Errorf("after invalid files the new class is answered %d, want 200", status)
 	}
 	s.configure("map-tile")
 	p.Signal(syscall.SIGHUP)
 	figure("node.config_reloads:2|c")
 	if status := s.get("map-tile-ii"); status != 400 {
-		t.Errorf("a class that was dropped is answered %d", status)
+		t.Errorf("a removed class is answered %d, want 400", status)
 	}
 	stop()
 }
 
-// get asks once.
-func (s *site) get(class string) int {
+// get sends one request and returns the status.
+func (s *sidecarFixture) get(class string) int {
 	s.t.Helper()
 	resp, err := http.DefaultClient.Do(s.request(class))
 	if err != nil {
@@ -353,12 +352,12 @@
 	return resp.StatusCode
 }
 
-func (s *site) request(class string) *http.Request {
+func (s *sidecarFixture) request(class string) *http.Request {
 	req, err := http.NewRequest("GET", fmt.Sprintf("http://%s/%s?user=k", s.listen, class), nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	req.Header.Set("Req-Id", fmt.Sprint("r", s.asked.Add(1)))
+	req.Header.Set("Req-Id", fmt.Sprint("r", s.requestCount.Add(1)))
 	req.Header.Set("Req-Deadline", "4000m")
 	return req
 }
--- a/cmd/spokegw/weights_test.go
+++ b/cmd/spokegw/weights_test.go
@@ -9,19 +9,19 @@
 	"spokegw/internal/lab/links"
 )
 
-// holder is the one gateway that says it holds the duty; -1: none does, -2: several do.
-func (g *gathering) holder(except ...int) int {
-	at := -1
+// leader returns the one gateway that reports to be the leader; -1: none does, -2: several do.
+func (g *testFederation) leader(except ...int) int {
+	found := -1
 	for i := range g.Gateways {
-		if contains(except, i) || g.figure(i, "duty.here") != 1 {
+		if contains(except, i) || g.metric(i, "duty.here") != 1 {
 			continue
 		}
-		if at >= 0 {
+		if found >= 0 {
 			return -2
 		}
-		at = i
+		found = i
 	}
-	return at
+	return found
 }
 
 func contains(all []int, x int) bool {
@@ -33,26 +33,26 @@
 	return false
 }
 
-// fresh reports whether all gateways but some have the fleet's weights in force.
-func (g *gathering) fresh(except ...int) bool {
+// allHaveWeights reports whether all gateways except some use the fleet's weights.
+func (g *testFederation) allHaveWeights(except ...int) bool {
 	for i := range g.Gateways {
-		if !contains(except, i) && (g.figure(i, "weights.stale") != 0 || g.figure(i, "weights.endpoints") < 3) {
+		if !contains(except, i) && (g.metric(i, "weights.stale") != 0 || g.metric(i, "weights.endpoints") < 3) {
 			return false
 		}
 	}
 	return true
 }
 
-// fast is the part of the requests that the first three endpoints get, over a time.
-func (g *gathering) fast(d time.Duration) float64 {
-	count := func() (fast, all int) {
+// fastShare returns the part of the requests during d that the first three endpoints serve.
+func (g *testFederation) fastShare(d time.Duration) float64 {
+	count := func() (quick, all int) {
 		for i := range 6 {
 			n := g.Endpoint(i).Served()
 			if all += n; i < 3 {
-				fast += n
+				quick += n
 			}
 		}
-		return fast, all
+		return quick, all
 	}
 	f0, a0 := count()
 	<-time.After(d)
@@ -60,55 +60,56 @@
 	return float64(f1-f0) / float64(max(a1-a0, 1))
 }
 
-// Five processes measure six endpoints, of which three are four times as slow and the list
-// tells them not apart. The one that holds the duty is killed, the next stands still, and a
-// cut leaves two of five apart: never is a table taken that is not the holder's, those apart
-// go back to the list, all have one table again, nothing runs twice and nothing is lost.
+// Five processes measure six endpoints, three of which are four times as slow although the
+// discovery list gives all the same weight. The leader is killed, the next is paused, and a
+// partition separates two of five. No gateway may use a table that is not the leader's, the
+// separated ones must fall back to the weights of the list, all must converge on one table after
+// each fault, no key runs twice and no request is lost.
 func TestWeightsOverProcesses(t *testing.T) {
 	quick, slow := lab.EndpointConfig{Workers: 4, Work: 10 * time.Millisecond, Body: 10}, lab.EndpointConfig{Workers: 4, Work: 40 * time.Millisecond, Body: 10}
-	g := gather(t, federation.Config{
+	g := startFederation(t, federation.Config{
 		Partners: []int{2, 2, 1}, Parts: []float64{0.4, 0.4, 0.2}, Weights: true,
 		Rate: 5000, Burst: 500, Lease: time.Second, Seed: 5,
 		Endpoints: []lab.EndpointConfig{quick, quick, quick, slow, slow, slow},
 	})
 	g.Demand(50)
-	g.until("all have measured weights", func() bool { return g.fresh() && g.holder() >= 0 })
-	if part := g.fast(3 * time.Second); part < 0.7 {
-		t.Errorf("the quick three of six get %.2f", part)
+	g.awaitCondition("all have measured weights", func() bool { return g.allHaveWeights() && g.leader() >= 0 })
+	if part := g.fastShare(3 * time.Second); part < 0.7 {
+		t.Errorf("the three fast endpoints serve %.2f of the requests, want at least 0.7", part)
 	}
 
-	first := g.holder()
+	first := g.leader()
 	g.Gateways[first].Kill()
-	g.until("another holds the duty", func() bool { return g.holder(first) >= 0 && g.fresh(first) })
-	second := g.holder(first)
+	g.awaitCondition("another gateway is the leader", func() bool { return g.leader(first) >= 0 && g.allHaveWeights(first) })
+	second := g.leader(first)
 	if err := g.Gateways[first].Start(); err != nil {
 		t.Fatal(err)
 	}
-	g.until("the killed one has weights again", func() bool { return g.fresh() })
+	g.awaitCondition("the restarted gateway has weights again", func() bool { return g.allHaveWeights() })
 
-	term := g.figure(first, "weights.table")
+	term := g.metric(first, "weights.table")
 	g.Gateways[second].Pause()
-	g.until("a third holds the duty", func() bool { return g.holder(second) >= 0 && g.fresh(second) })
+	g.awaitCondition("a third gateway is the leader", func() bool { return g.leader(second) >= 0 && g.allHaveWeights(second) })
 	g.Gateways[second].GoOn()
-	g.until("the woken one knows", func() bool { return g.holder() >= 0 && g.fresh() })
-	t.Logf("tables %v and %v", term, g.figure(first, "weights.table"))
+	g.awaitCondition("the resumed gateway follows the leader", func() bool { return g.leader() >= 0 && g.allHaveWeights() })
+	t.Logf("tables %v and %v", term, g.metric(first, "weights.table"))
 
 	for _, a := range []int{0, 1} {
 		for _, b := range []int{2, 3, 4} {
 			g.Set(a, b, true, links.Fault{Cut: true})
 		}
 	}
-	g.until("two of five are apart and go by the list", func() bool {
-		return g.figure(0, "weights.stale") == 1 && g.figure(1, "weights.stale") == 1 && g.figure(0, "duty.here")+g.figure(1, "duty.here") == 0
+	g.awaitCondition("two of five gateways are partitioned and use the weights of the list", func() bool {
+		return g.metric(0, "weights.stale") == 1 && g.metric(1, "weights.stale") == 1 && g.metric(0, "duty.here")+g.metric(1, "duty.here") == 0
 	})
-	g.until("the other three have one that holds the duty", func() bool { return g.holder(0, 1) >= 2 && g.fresh(0, 1) })
+	g.awaitCondition("the other three gateways have a leader", func() bool { return g.leader(0, 1) >= 2 && g.allHaveWeights(0, 1) })
 	g.Heal()
-	g.Demand(25) // the three that become slow can carry it all, so nothing has to be refused
+	g.Demand(25) // within the capacity of the three that become slow, so that no request has to be refused
 	for i := range 3 {
-		g.Endpoint(i).SetWork(40 * time.Millisecond) // a neighbour takes three quarters
+		g.Endpoint(i).SetWork(40 * time.Millisecond) // as if another program took three quarters of its capacity
 		g.Endpoint(i + 3).SetWork(10 * time.Millisecond)
 	}
-	g.until("one table for all again", func() bool { return g.holder() >= 0 && g.fresh() })
-	g.until("what has changed is followed", func() bool { return g.fast(time.Second) < 0.35 })
-	g.check()
+	g.awaitCondition("one table for all again", func() bool { return g.leader() >= 0 && g.allHaveWeights() })
+	g.awaitCondition("the weights follow the changed speeds", func() bool { return g.fastShare(time.Second) < 0.35 })
+	g.verify()
 }
