--- a/cmd/spokegw/fleet_test.go
+++ b/cmd/spokegw/fleet_test.go
@@ -62,7 +62,7 @@
 
 // metric returns a metric of a gateway; -1: it exports none.
 func (g *testFederation) metric(gateway int, name string) float64 {
-	if n, told := g.Gateways[gateway].Figure(name); told {
+	if n, ok := g.Gateways[gateway].Figure(name); ok {
 		return n
 	}
 	return -1
--- a/cmd/spokegw/keys_test.go
+++ b/cmd/spokegw/keys_test.go
@@ -190,9 +190,9 @@
 		t.Fatal(err)
 	}
 	<-time.After(time.Until(sent.Add(window + 50*time.Millisecond)))
-	late := dialSidecar(t, s)
-	e.ask(t, late, "keyed", "ended.k+late")
-	status, err := readStatus(late)
+	laterConn := dialSidecar(t, s)
+	e.ask(t, laterConn, "keyed", "ended.k+late")
+	status, err := readStatus(laterConn)
 	if err != nil {
 		t.Error(err)
 	}
--- a/cmd/spokegw/moves.go
+++ b/cmd/spokegw/moves.go
@@ -25,7 +25,7 @@
 		{"begin", "begin a move"}, {"hold", "keep it at its step; it may still be undone"},
 		{"go-on", "let it go on that is held or has halted"}, {"undo", "have it go back, also when it is done"},
 	} {
-		move.AddCommand(c.addConnectionFlags(c.managementCommand(w.use, w.short, w.use+"-move", []string{"NAME"}), false))
+		move.AddCommand(c.addConnectionFlags(c.requestCommand(w.use, w.short, w.use+"-move", []string{"NAME"}), false))
 	}
 	classRates := rates{}
 	plan := c.newCommand(&cobra.Command{Use: "plan", Short: "what the moves of an operator's file would do, against the list of NODE_CONFIG", Example: "  spokegw move plan --rate map-tile=300 next.toml"},
--- a/cmd/spokegw/operate.go
+++ b/cmd/spokegw/operate.go
@@ -35,10 +35,10 @@
 		c.newCommand(&cobra.Command{Use: "status", Short: "what a sidecar tells: requests since its start, figures, endpoints"}, nil, func(cmd *cobra.Command, _ []string) error { return c.status(cmd.Context()) }),
 		top,
 		c.newCommand(&cobra.Command{Use: "moves", Short: "moves between pools: step, share, evidence"}, nil, func(cmd *cobra.Command, _ []string) error { return c.moves(cmd.Context()) }),
-		c.managementCommand("drain", "ask clients to leave, and be not ready; whoever comes is served", "drain", nil),
-		c.managementCommand("resume", "take a drain back", "resume", nil),
-		c.managementCommand("disable", "send an endpoint nothing new, whatever discovery says of it", "disable-server", []string{"ID"}),
-		c.managementCommand("enable", "take that back", "enable-server", []string{"ID"}),
+		c.requestCommand("drain", "ask clients to leave, and be not ready; whoever comes is served", "drain", nil),
+		c.requestCommand("resume", "take a drain back", "resume", nil),
+		c.requestCommand("disable", "send an endpoint nothing new, whatever discovery says of it", "disable-server", []string{"ID"}),
+		c.requestCommand("enable", "take that back", "enable-server", []string{"ID"}),
 	}
 	for _, cmd := range all {
 		c.addConnectionFlags(cmd, false)
@@ -46,9 +46,9 @@
 	return append(all, c.moveCommand())
 }
 
-// managementCommand makes a command that sends a request to a sidecar's management address
+// requestCommand makes a command that sends a request to a sidecar's management address
 // and prints that it succeeded.
-func (c *cli) managementCommand(use, short, request string, args []string) *cobra.Command {
+func (c *cli) requestCommand(use, short, request string, args []string) *cobra.Command {
 	return c.newCommand(&cobra.Command{Use: use, Short: short}, args, func(cmd *cobra.Command, args []string) error {
 		for _, a := range args {
 			if a == "" || strings.ContainsAny(a, " \t\r\n") {
--- a/cmd/spokegw/pause_test.go
+++ b/cmd/spokegw/pause_test.go
@@ -58,7 +58,7 @@
 // are admitted than the burst and what the rate allows since then: the rate limiter
 // must not credit the time of the stall, in which the rate would allow 500.
 func TestProcessStall(t *testing.T) {
-	const rate, burst, asked, pause = 100, 20, 400, 5 * time.Second
+	const rate, burst, requests, pause = 100, 20, 400, 5 * time.Second
 	s := newSidecarFixture(t)
 	s.memory, s.sockets, s.aim, s.deadline = 512, 4096, 5*time.Second, 10*time.Second
 	s.configure("map-tile")
@@ -76,7 +76,7 @@
 	p := s.start()
 	p.ready(t)
 	addr := s.listen
-	clients := make([]net.Conn, asked)
+	clients := make([]net.Conn, requests)
 	for i := range clients {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -113,7 +113,7 @@
 	}
 	allowed := burst + 1 + int(rate*time.Since(resumed).Seconds())
 	t.Logf("answered %v, in %v; up to %d may be admitted", status, time.Since(resumed), allowed)
-	if status[200] < burst || status[200] > allowed || status[200]+status[429] != asked {
+	if status[200] < burst || status[200] > allowed || status[200]+status[429] != requests {
 		t.Errorf("after the pause: answers %v; want 200 for %d to %d requests and 429 for all others", status, burst, allowed)
 	}
 }
--- a/cmd/spokegw/queue_test.go
+++ b/cmd/spokegw/queue_test.go
@@ -67,13 +67,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSidecarFixture(t)
-			asked := &logWatcher{text: "another process takes over", seen: make(chan struct{})}
-			s.log = asked
+			handoverLog := &logWatcher{text: "another process takes over", seen: make(chan struct{})}
+			s.log = handoverLog
 			old := s.start()
 			s.log = os.Stderr
 			old.ready(t)
 			next := s.start()
-			await(t, "the old process to get the handover request", asked.seen)
+			await(t, "the old process to get the handover request", handoverLog.seen)
 			if !order.duringHandover {
 				next.ready(t)
 			}
--- a/cmd/spokegw/upgrade_more_test.go
+++ b/cmd/spokegw/upgrade_more_test.go
@@ -44,14 +44,14 @@
 // is ready. In the next upgrade the old process is killed while the new one serves.
 func TestOldProcessEndsEarly(t *testing.T) {
 	s := newSidecarFixture(t)
-	asked := &logWatcher{text: "another process takes over", seen: make(chan struct{})}
-	s.log = asked
+	handoverLog := &logWatcher{text: "another process takes over", seen: make(chan struct{})}
+	s.log = handoverLog
 	old := s.start()
 	s.log = os.Stderr
 	old.ready(t)
 	stop := s.load(4, "map-tile")
 	next := s.start()
-	await(t, "the old process to get the handover request", asked.seen)
+	await(t, "the old process to get the handover request", handoverLog.seen)
 	old.Signal(syscall.SIGTERM)
 	next.ready(t)
 	await(t, "the old process to end", old.Ended)
@@ -225,7 +225,7 @@
 	p := s.start()
 	p.ready(t)
 	var reading sync.WaitGroup
-	var whole atomic.Int64
+	var completed atomic.Int64
 	for i := range clients {
 		reading.Go(func() {
 			c, err := net.Dial("tcp", s.listen)
@@ -250,12 +250,12 @@
 				}
 				<-tick.C
 			}
-			whole.Add(1)
+			completed.Add(1)
 		})
 	}
 	reading.Wait()
 	_, peak := p.Memory()
-	t.Logf("%d clients completed, peak memory %d of %d MB", whole.Load(), peak>>20, limit>>20)
+	t.Logf("%d clients completed, peak memory %d of %d MB", completed.Load(), peak>>20, limit>>20)
 	if peak == 0 || peak > limit {
 		t.Errorf("peak memory is %d bytes, above the limit or not known", peak)
 	}
