--- a/bench/kill/main.go
+++ b/bench/kill/main.go
@@ -1,6 +1,6 @@
-// Command kill kills a sidecar's process under load, again and again, and tells whether
-// any key ran where a repeat of it was not dropped: with keys on the disk before they
-// are sent, or with the image that is kept every two seconds.
+// Command kill repeatedly kills a sidecar process under load and reports whether any
+// idempotency key was executed where a retry of it was not deduplicated: with keys
+// persisted before the request is sent, or with a snapshot every two seconds.
 //
 //	go build -o bin/ ./cmd/spokegw && go run ./bench/kill -kills 1000
 package main
@@ -18,18 +18,18 @@
 )
 
 func main() {
-	program := flag.String("program", "bin/spokegw", "the sidecar's command")
-	kills := flag.Int("kills", 100, "how many, at most 100,000")
-	keys := flag.String("keys", "before", "before, soon or image, as [state] keys has it")
-	clean := flag.Bool("clean", false, "ask the processes to end, and kill none")
-	seed := flag.Uint64("seed", 1, "of the instants")
+	program := flag.String("program", "bin/spokegw", "path of the sidecar binary")
+	kills := flag.Int("kills", 100, "number of kills, at most 100,000")
+	keys := flag.String("keys", "before", "before, soon or image, as in the setting keys of [state]")
+	graceful := flag.Bool("clean", false, "terminate the processes gracefully instead of killing them")
+	seed := flag.Uint64("seed", 1, "seed for the times of the kills")
 	verbose := flag.Bool("v", false, "show the sidecars' logs")
 	flag.Parse()
 	if *kills < 0 || *kills > 100_000 {
-		fmt.Fprintln(os.Stderr, "kill: -kills is from 0 to 100,000")
+		fmt.Fprintln(os.Stderr, "kill: -kills must be from 0 to 100,000")
 		os.Exit(2)
 	}
-	if err := run(killing.Config{Program: *program, Kills: *kills, Keys: *keys, Clean: *clean, Seed: *seed}, *verbose); err != nil {
+	if err := run(killing.Config{Program: *program, Kills: *kills, Keys: *keys, Clean: *graceful, Seed: *seed}, *verbose); err != nil {
 		fmt.Fprintln(os.Stderr, "kill:", err)
 		os.Exit(1)
 	}
