--- a/bench/fleet/count.go
+++ b/bench/fleet/count.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// request is what is read of a recorded one.
+// request is the part of a request record that is evaluated.
 type request struct {
 	At     time.Time     `json:"at"`
 	Class  string        `json:"class"`
@@ -28,221 +28,221 @@
 	} `json:"sent"`
 }
 
-// second is what happened in one, over all sidecars.
+// second holds the counts of one second, over all sidecars.
 type second struct {
-	requests, served, door, refused, failed int // door: refused with no attempt made
-	attempts, repeats, copies, dialled      int // copies: while another was out
-	declined, unconnected, silent           int
-	calls, turnedAway                       int // of discovery
-	to                                      map[string]*sent
-	lost                                    []loss            // what was late or not served
-	answers                                 map[string][2]int // 200, by class: all, and the late ones
+	requests, served, notAdmitted, refused, failed int // notAdmitted: refused without an attempt
+	attempts, retries, hedged, dialled             int // hedged: sent while another attempt was in flight
+	declined, unconnected, silent                  int
+	calls, failedCalls                             int // to discovery
+	endpoints                                      map[string]*endpointCounts
+	misses                                         []miss            // late or not served
+	answers                                        map[string][2]int // answers with status 200 by class: all, late
 }
 
-// sent is what one endpoint got in a second.
-type sent struct{ all, bad, late int }
+// endpointCounts counts the attempts at one endpoint in a second.
+type endpointCounts struct{ attempts, failed, late int }
 
-// change is a state of an endpoint as discovery told it.
+// change is a state of an endpoint as discovery reported it.
 type change struct{ id, state, started string }
 
 type sidecar struct{ name string }
 
-// counts are those of a fleet.
-type counts struct {
-	cold    time.Duration
-	first   time.Time // the earliest line of all
-	seconds map[int]*second
-	started map[string]time.Time // when endpoints started; not those of long ago
-	heard   map[change]map[string]time.Time
-	errors  int // lines that look like a record and are none
+// fleetCounts accumulates the counts of a whole fleet.
+type fleetCounts struct {
+	cold      time.Duration
+	first     time.Time // start of the first second
+	seconds   map[int]*second
+	started   map[string]time.Time // start times of endpoints; missing for those that started long ago
+	received  map[change]map[string]time.Time
+	malformed int // lines that look like a record but can't be parsed
 }
 
-func newCounts(cold time.Duration) *counts {
-	return &counts{cold: cold, seconds: map[int]*second{}, started: map[string]time.Time{}, heard: map[change]map[string]time.Time{}}
+func newFleetCounts(cold time.Duration) *fleetCounts {
+	return &fleetCounts{cold: cold, seconds: map[int]*second{}, started: map[string]time.Time{}, received: map[change]map[string]time.Time{}}
 }
 
-// line takes one line of a sidecar's log. The time is that of the line itself, so that
-// clocks that a bench gives to processes agree.
-func (c *counts) line(s *sidecar, text string) {
+// addLine adds one line of a sidecar's log. It uses the timestamp of the line itself, so that
+// clocks that a benchmark sets for processes agree.
+func (c *fleetCounts) addLine(s *sidecar, text string) {
 	if i := strings.IndexByte(text, '{'); i >= 0 && strings.Contains(text[i:], `"took_ns"`) {
 		var r request
 		if json.Unmarshal([]byte(text[i:]), &r) != nil || r.At.IsZero() {
-			c.errors++
+			c.malformed++
 			return
 		}
-		c.request(&r)
+		c.addRequest(&r)
 		return
 	}
-	fields := fieldsOf(text)
+	fields := parseFields(text)
 	at, err := time.Parse(time.RFC3339Nano, fields["time"])
 	if err != nil {
 		return
 	}
 	switch fields["msg"] {
 	case "endpoint":
-		c.endpoint(s, at, fields)
+		c.addEndpointEvent(s, at, fields)
 	case "discovery call":
 		if fields["first"] == "true" {
-			of := c.second(at)
-			of.calls++
+			sec := c.secondAt(at)
+			sec.calls++
 			if fields["error"] != "<nil>" {
-				of.turnedAway++
+				sec.failedCalls++
 			}
 		}
 	}
 }
 
-// fieldsOf reads a line in slog's text form.
-func fieldsOf(text string) map[string]string {
-	all := map[string]string{}
+// parseFields parses a line in slog's text format.
+func parseFields(text string) map[string]string {
+	fields := map[string]string{}
 	for text != "" {
 		text = strings.TrimLeft(text, " ")
-		name, rest, found := strings.Cut(text, "=")
-		if j := strings.LastIndexByte(name, ' '); j >= 0 {
-			name = name[j+1:]
+		name, value, found := strings.Cut(text, "=")
+		if i := strings.LastIndexByte(name, ' '); i >= 0 {
+			name = name[i+1:]
 		}
 		if !found {
 			break
 		}
-		if quoted, err := strconv.QuotedPrefix(rest); err == nil {
-			all[name], _ = strconv.Unquote(quoted)
-			text = rest[len(quoted):]
+		if quoted, err := strconv.QuotedPrefix(value); err == nil {
+			fields[name], _ = strconv.Unquote(quoted)
+			text = value[len(quoted):]
 			continue
 		}
-		all[name], text, _ = strings.Cut(rest, " ")
+		fields[name], text, _ = strings.Cut(value, " ")
 	}
-	return all
+	return fields
 }
 
-func (c *counts) endpoint(s *sidecar, at time.Time, fields map[string]string) {
+func (c *fleetCounts) addEndpointEvent(s *sidecar, at time.Time, fields map[string]string) {
 	id := fields["id"]
 	if ms, err := strconv.ParseInt(fields["started_ms"], 10, 64); err == nil && ms > 0 {
 		c.started[id] = time.UnixMilli(ms)
 	}
-	of := change{id, fields["state"], fields["started_ms"]}
-	if c.heard[of] == nil {
-		c.heard[of] = map[string]time.Time{}
+	ch := change{id, fields["state"], fields["started_ms"]}
+	if c.received[ch] == nil {
+		c.received[ch] = map[string]time.Time{}
 	}
-	if _, known := c.heard[of][s.name]; !known {
-		c.heard[of][s.name] = at
+	if _, ok := c.received[ch][s.name]; !ok {
+		c.received[ch][s.name] = at
 	}
 }
 
-func (c *counts) second(at time.Time) *second {
+func (c *fleetCounts) secondAt(at time.Time) *second {
 	if c.first.IsZero() {
 		c.first = at.Truncate(time.Second)
 	}
 	n := int(at.Sub(c.first) / time.Second)
 	if c.seconds[n] == nil {
-		c.seconds[n] = &second{to: map[string]*sent{}, answers: map[string][2]int{}}
+		c.seconds[n] = &second{endpoints: map[string]*endpointCounts{}, answers: map[string][2]int{}}
 	}
 	return c.seconds[n]
 }
 
-func (c *counts) request(r *request) {
-	of := c.second(r.At)
-	of.requests++
+func (c *fleetCounts) addRequest(r *request) {
+	sec := c.secondAt(r.At)
+	sec.requests++
 	switch {
 	case r.Status == 200:
-		of.served++
+		sec.served++
 	case r.Status == 429 || r.Status == 503:
-		of.refused++
+		sec.refused++
 		if len(r.Sent) == 0 {
-			of.door++
+			sec.notAdmitted++
 		}
 	case r.Status != 0:
-		of.failed++
+		sec.failed++
 	}
-	of.lose(r)
-	var busy time.Duration // until when an attempt before was out
+	sec.recordMiss(r)
+	var busyUntil time.Duration // latest end of the preceding attempts
 	for i, a := range r.Sent {
-		of := c.second(r.At.Add(a.After))
-		of.attempts++
+		sec := c.secondAt(r.At.Add(a.After))
+		sec.attempts++
 		if i > 0 {
-			of.repeats++
-			if a.After < busy {
-				of.copies++
+			sec.retries++
+			if a.After < busyUntil {
+				sec.hedged++
 			}
 		}
 		if a.Took > 0 {
-			busy = max(busy, a.After+a.Took)
+			busyUntil = max(busyUntil, a.After+a.Took)
 		} else {
-			busy = max(busy, r.Took)
+			busyUntil = max(busyUntil, r.Took)
 		}
 		if a.Dialled {
-			of.dialled++
+			sec.dialled++
 		}
-		to := of.to[a.Endpoint]
-		if to == nil {
-			to = &sent{}
-			of.to[a.Endpoint] = to
+		e := sec.endpoints[a.Endpoint]
+		if e == nil {
+			e = &endpointCounts{}
+			sec.endpoints[a.Endpoint] = e
 		}
-		to.all++
+		e.attempts++
 		if a.Result == "served" && r.Aim > 0 && a.Took > r.Aim {
-			to.late++
+			e.late++
 		}
 		switch a.Result {
 		case "turned away":
-			of.declined++
+			sec.declined++
 		case "no connection":
-			of.unconnected++
+			sec.unconnected++
 		case "no answer":
-			of.silent++
+			sec.silent++
 		case "connection lost", "errored":
 		default:
-			continue // served, called off, or out when its request was answered
+			continue // served, cancelled, or in flight when its request was answered
 		}
-		to.bad++
+		e.failed++
 	}
 }
 
-// coldOver is what endpoints that were cold got in a second, a piece, over what warm ones
-// did; 0: there were none of one or the other.
-func (c *counts) coldOver(n int, of *second) float64 {
+// coldToWarm returns the ratio of attempts per cold endpoint to attempts per warm endpoint in a
+// second; 0 if there were none of either group.
+func (c *fleetCounts) coldToWarm(n int, sec *second) float64 {
 	at := c.first.Add(time.Duration(n) * time.Second)
-	var got, pieces [2]float64
-	for id, to := range of.to {
-		started, known := c.started[id]
-		k := 0
-		if known && at.Sub(started) < c.cold {
-			k = 1
+	var attempts, endpoints [2]float64
+	for id, e := range sec.endpoints {
+		started, ok := c.started[id]
+		group := 0
+		if ok && at.Sub(started) < c.cold {
+			group = 1
 		}
-		got[k] += float64(to.all)
-		pieces[k]++
+		attempts[group] += float64(e.attempts)
+		endpoints[group]++
 	}
-	if got[0] == 0 || pieces[1] == 0 {
+	if attempts[0] == 0 || endpoints[1] == 0 {
 		return 0
 	}
-	return got[1] / pieces[1] / (got[0] / pieces[0])
+	return attempts[1] / endpoints[1] / (attempts[0] / endpoints[0])
 }
 
-// sick is the part of the attempts that went to endpoints which failed at more than
-// half of theirs.
-func (of *second) sick() float64 {
-	bad, all := 0, 0
-	for _, to := range of.to {
-		all += to.all
-		if to.bad*2 > to.all {
-			bad += to.all
+// failingShare returns the fraction of the attempts that went to endpoints which failed more
+// than half of theirs.
+func (s *second) failingShare() float64 {
+	failing, all := 0, 0
+	for _, e := range s.endpoints {
+		all += e.attempts
+		if e.failed*2 > e.attempts {
+			failing += e.attempts
 		}
 	}
-	return float64(bad) / float64(max(all, 1))
+	return float64(failing) / float64(max(all, 1))
 }
 
-// lags are how long sidecars knew of each change after the first that did, sorted.
-// Changes that were there at the start are left out.
-func (c *counts) lags() (all []time.Duration) {
-	for of, by := range c.heard {
-		if of.state == "active" && of.started == "0" {
+// lags returns, sorted, how long after the first sidecar the others received each change.
+// States that existed at the start are left out.
+func (c *fleetCounts) lags() (all []time.Duration) {
+	for ch, times := range c.received {
+		if ch.state == "active" && ch.started == "0" {
 			continue
 		}
 		var first time.Time
-		for _, at := range by {
+		for _, at := range times {
 			if first.IsZero() || at.Before(first) {
 				first = at
 			}
 		}
-		for _, at := range by {
+		for _, at := range times {
 			all = append(all, at.Sub(first))
 		}
 	}
@@ -250,26 +250,26 @@
 	return all
 }
 
-func (c *counts) print(to io.Writer, from, until time.Duration) {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
+func (c *fleetCounts) print(out io.Writer, from, until time.Duration) {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "s\tasked\tserved\tdoor\trefused\tfailed\tattempts\trepeats\tcopies\tdialled\tdeclined\tunconnected\tsilent\tsick\tcold/warm\tcalls\tcalls failed\t")
 	for _, n := range slices.Sorted(maps.Keys(c.seconds)) {
 		if at := time.Duration(n) * time.Second; at < from || at >= until {
 			continue
 		}
 		s := c.seconds[n]
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%.2f\t%d\t%d\t\n", n, s.requests, s.served, s.door, s.refused, s.failed,
-			s.attempts, s.repeats, s.copies, s.dialled, s.declined, s.unconnected, s.silent, 100*s.sick(), c.coldOver(n, s), s.calls, s.turnedAway)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%.2f\t%d\t%d\t\n", n, s.requests, s.served, s.notAdmitted, s.refused, s.failed,
+			s.attempts, s.retries, s.hedged, s.dialled, s.declined, s.unconnected, s.silent, 100*s.failingShare(), c.coldToWarm(n, s), s.calls, s.failedCalls)
 	}
 	w.Flush()
-	c.printCauses(to, from, until)
+	c.printCauses(out, from, until)
 	if lags := c.lags(); len(lags) > 0 {
 		at := func(q float64) time.Duration {
 			return lags[int(q*float64(len(lags)-1))].Round(time.Millisecond)
 		}
-		fmt.Fprintf(to, "changes heard of after the first sidecar that did: half within %v, nine in ten %v, all %v; %d tellings\n", at(0.5), at(0.9), at(1), len(lags))
+		fmt.Fprintf(out, "changes heard of after the first sidecar that did: half within %v, nine in ten %v, all %v; %d tellings\n", at(0.5), at(0.9), at(1), len(lags))
 	}
-	if c.errors > 0 {
-		fmt.Fprintf(to, "%d lines could not be read\n", c.errors)
+	if c.malformed > 0 {
+		fmt.Fprintf(out, "%d lines could not be read\n", c.malformed)
 	}
 }
--- a/bench/fleet/count_test.go
+++ b/bench/fleet/count_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestCounts(t *testing.T) {
-	c := newCounts(20 * time.Second)
+	c := newFleetCounts(20 * time.Second)
 	a, b := &sidecar{name: "a"}, &sidecar{name: "b"}
 	for _, l := range []string{
 		`0.1 time=2026-12-01T10:00:00.100Z level=INFO msg=endpoint id=new addr=x state=active started_ms=1796119200000`,
@@ -22,25 +22,25 @@
 		`1.4 {"at":`,
 		`1.5 {"at":"cut off, "took_ns"`,
 	} {
-		c.line(a, l)
+		c.addLine(a, l)
 	}
-	c.line(b, `2.1 time=2026-12-01T10:00:02.100Z level=INFO msg=endpoint id=new addr=x state=active started_ms=1796119200000`)
+	c.addLine(b, `2.1 time=2026-12-01T10:00:02.100Z level=INFO msg=endpoint id=new addr=x state=active started_ms=1796119200000`)
 
 	first, next := c.seconds[0], c.seconds[1]
-	if first.requests != 1 || first.served != 1 || first.attempts != 2 || first.repeats != 1 || first.copies != 1 || first.dialled != 1 || first.calls != 1 || first.turnedAway != 1 {
+	if first.requests != 1 || first.served != 1 || first.attempts != 2 || first.retries != 1 || first.hedged != 1 || first.dialled != 1 || first.calls != 1 || first.failedCalls != 1 {
 		t.Errorf("the first second: %+v", first)
 	}
-	if next.requests != 2 || next.refused != 2 || next.door != 1 || next.declined != 1 || next.sick() != 1 {
+	if next.requests != 2 || next.refused != 2 || next.notAdmitted != 1 || next.declined != 1 || next.failingShare() != 1 {
 		t.Errorf("the next second: %+v", next)
 	}
-	if x := c.coldOver(0, first); x != 1 {
-		t.Errorf("cold endpoints got %v of what warm ones did", x)
+	if ratio := c.coldToWarm(0, first); ratio != 1 {
+		t.Errorf("cold to warm ratio is %v, want 1", ratio)
 	}
 	if lags := c.lags(); len(lags) != 2 || lags[1] != 2*time.Second {
 		t.Errorf("lags %v", lags)
 	}
-	if c.errors != 1 {
-		t.Errorf("%d faulty lines", c.errors)
+	if c.malformed != 1 {
+		t.Errorf("%d malformed lines, want 1", c.malformed)
 	}
 	var out strings.Builder
 	c.print(&out, time.Second, time.Minute)
@@ -49,41 +49,41 @@
 	}
 }
 
-// Each cause is told from the others, whichever log and whatever order its lines come in.
+// Each cause is distinguished from the others, independent of the order of the lines.
 func TestCauses(t *testing.T) {
-	c := newCounts(20 * time.Second)
+	c := newFleetCounts(20 * time.Second)
 	s := &sidecar{name: "a"}
 	add := func(status int, took, sent string) {
-		c.line(s, `{"at":"2026-12-01T10:00:00.4Z","class":"tile","aim_ns":100,"status":`+fmt.Sprint(status)+`,"took_ns":`+took+`,"sent":[`+sent+`]}`)
+		c.addLine(s, `{"at":"2026-12-01T10:00:00.4Z","class":"tile","aim_ns":100,"status":`+fmt.Sprint(status)+`,"took_ns":`+took+`,"sent":[`+sent+`]}`)
 	}
-	one := func(endpoint, result, took string) string {
+	attempt := func(endpoint, result, took string) string {
 		return `{"after_ns":0,"endpoint":"` + endpoint + `","result":"` + result + `","took_ns":` + took + `}`
 	}
 	for range 40 {
-		add(200, "50", one("good", "served", "50"))
+		add(200, "50", attempt("good", "served", "50"))
 	}
 	for range 2 {
-		add(200, "150", one("slow", "served", "150"))
+		add(200, "150", attempt("slow", "served", "150"))
 	}
-	add(200, "150", one("cold", "served", "150"))
-	add(200, "150", one("good", "served", "150"))
-	add(200, "190", one("gone", "no answer", "90")+`,{"after_ns":90,"endpoint":"good","result":"served","took_ns":90}`)
-	add(502, "150", one("gone", "connection lost", "50"))
+	add(200, "150", attempt("cold", "served", "150"))
+	add(200, "150", attempt("good", "served", "150"))
+	add(200, "190", attempt("gone", "no answer", "90")+`,{"after_ns":90,"endpoint":"good","result":"served","took_ns":90}`)
+	add(502, "150", attempt("gone", "connection lost", "50"))
 	add(503, "1", "")
-	add(503, "2", one("full", "turned away", "1"))
-	add(0, "500", one("good", "called off", "500")) // its client left
-	c.line(s, `time=2026-12-01T10:00:05Z level=INFO msg=endpoint id=cold addr=x state=active started_ms=1796119200000`)
+	add(503, "2", attempt("full", "turned away", "1"))
+	add(0, "500", attempt("good", "called off", "500")) // its client disconnected
+	c.addLine(s, `time=2026-12-01T10:00:05Z level=INFO msg=endpoint id=cold addr=x state=active started_ms=1796119200000`)
 	got := map[cause]int{}
-	for i := range c.seconds[0].lost {
-		got[c.why(0, c.seconds[0], &c.seconds[0].lost[i])]++
+	for i := range c.seconds[0].misses {
+		got[c.causeOf(0, c.seconds[0], &c.seconds[0].misses[i])]++
 	}
-	if want := map[cause]int{wasSlow: 2, wasCold: 1, wasLong: 1, fellSilent: 2, atDoor: 1, noRoom: 1}; !maps.Equal(got, want) {
+	if want := map[cause]int{causeSlowEndpoint: 2, causeColdEndpoint: 1, causeIsolated: 1, causeNoAnswer: 2, causeNotAdmitted: 1, causeNoCapacity: 1}; !maps.Equal(got, want) {
 		t.Errorf("causes %v, want %v", got, want)
 	}
 	for range 20 {
-		add(200, "150", one("good", "served", "150"))
+		add(200, "150", attempt("good", "served", "150"))
 	}
-	if l := c.seconds[0].lost; c.why(0, c.seconds[0], &l[len(l)-1]) != wasFull {
-		t.Error("a full fleet was not told from one slow endpoint")
+	if l := c.seconds[0].misses; c.causeOf(0, c.seconds[0], &l[len(l)-1]) != causeOverload {
+		t.Error("overload was not distinguished from one slow endpoint")
 	}
 }
--- a/bench/fleet/main.go
+++ b/bench/fleet/main.go
@@ -1,7 +1,7 @@
-// Command fleet counts over a whole fleet what its sidecars recorded (spokegw
-// --record, --log-level discovery=debug): one log a sidecar in a folder, each line with
-// or without the seconds since the start ahead of it. What is harmless at one sidecar
-// shows only in the sum. It counts, and is no simulator.
+// Command fleet aggregates the records of all sidecars of a fleet (spokegw
+// --record, --log-level discovery=debug): one log per sidecar in a folder, each line
+// optionally prefixed with the seconds since the start. Effects that are harmless at
+// one sidecar show only in the sum. It analyzes logs and simulates nothing.
 //
 //	go run ./bench/fleet [--from 5s] [--to 20s] [--cold 23s] FOLDER
 package main
@@ -16,13 +16,13 @@
 	"time"
 )
 
-// maxLine bounds a line of a log, in bytes. Longer ones end the reading of their file.
+// maxLine is the longest line of a log that is read, in bytes. Longer lines are an error.
 const maxLine = 1 << 20
 
 func main() {
-	from := flag.Duration("from", 0, "seconds before this are left out")
-	to := flag.Duration("to", time.Hour, "and those from this on")
-	cold := flag.Duration("cold", 23*time.Second, "for how long an endpoint that started is cold")
+	from := flag.Duration("from", 0, "leave out seconds before this")
+	to := flag.Duration("to", time.Hour, "leave out seconds from this on")
+	cold := flag.Duration("cold", 23*time.Second, "how long an endpoint is cold after its start")
 	flag.Parse()
 	if flag.NArg() != 1 {
 		flag.Usage()
@@ -36,16 +36,16 @@
 	c.print(os.Stdout, *from, *to)
 }
 
-// read counts all the logs of a folder.
-func read(folder string, cold time.Duration) (*counts, error) {
-	files, err := filepath.Glob(filepath.Join(folder, "*.log"))
+// read aggregates all logs of a folder.
+func read(dir string, cold time.Duration) (*fleetCounts, error) {
+	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, err
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: no *.log", folder)
+		return nil, fmt.Errorf("%s: no *.log", dir)
 	}
-	c := newCounts(cold)
+	c := newFleetCounts(cold)
 	for _, name := range files {
 		if err := readFile(c, name); err != nil {
 			return nil, err
@@ -54,7 +54,7 @@
 	return c, nil
 }
 
-func readFile(c *counts, name string) (err error) {
+func readFile(c *fleetCounts, name string) (err error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 	lines.Buffer(nil, maxLine)
 	s := &sidecar{name: name}
 	for lines.Scan() {
-		c.line(s, lines.Text())
+		c.addLine(s, lines.Text())
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
