--- a/bench/federation/main.go
+++ b/bench/federation/main.go
@@ -1,6 +1,6 @@
-// Command federation runs sidecars as processes that share a quota over links that fail,
-// once with the fleet's quota and once with an even part for each, and tells what of the
-// quota is used, what all together let out beyond it, and what it costs a process.
+// Command federation runs sidecar processes that share a quota over faulty links, once
+// with the fleet's quota and once with an equal fixed share for each, and reports how much
+// of the quota is used, by how much all together exceed it, and the cost per process.
 //
 //	go build -o bin/ ./cmd/spokegw && go run ./bench/federation [-gateways 12] [-rate 600] [-program bin/spokegw]
 package main
@@ -21,12 +21,12 @@
 )
 
 func main() {
-	gateways := flag.Int("gateways", 12, "processes, a multiple of 3: three partners have as many each")
-	rate := flag.Float64("rate", 600, "of the quota, requests a second")
-	program := flag.String("program", "bin/spokegw", "the sidecar's command")
-	phase := flag.Duration("phase", 6*time.Second, "of each scene, of which the last half is measured")
-	sites := flag.Bool("sites", false, "play the loss of a site in place of a shared quota; phases of 30s are of use")
-	restarts := flag.Int("restarts", 0, "so many processes under load, seven in ten of which are killed and started anew at once, in place of a shared quota")
+	gateways := flag.Int("gateways", 12, "number of processes, a multiple of 3: three partners have the same number each")
+	rate := flag.Float64("rate", 600, "quota in requests per second")
+	program := flag.String("program", "bin/spokegw", "path of the sidecar binary")
+	phase := flag.Duration("phase", 6*time.Second, "duration of each scenario, whose second half is measured")
+	sites := flag.Bool("sites", false, "simulate the loss of a site instead of a shared quota; use phases of 30s")
+	restarts := flag.Int("restarts", 0, "instead of a shared quota, run this many processes under load, and kill and restart 70% of them at once")
 	flag.Parse()
 	if *restarts > 0 {
 		if err := runRestarts(*program, *restarts, 0.7); err != nil {
@@ -48,13 +48,13 @@
 	}
 }
 
-// scene is what is done to a federation, and what clients ask of it.
-type scene struct {
-	name string
-	do   func(f *federation.Federation, rate float64) error
+// scenario is a change to the faults of a federation and to the demand of its clients.
+type scenario struct {
+	name  string
+	apply func(f *federation.Federation, rate float64) error
 }
 
-var scenes = []scene{
+var scenarios = []scenario{
 	{"all at one", func(f *federation.Federation, rate float64) error { f.Demand(rate*1.5, 0); return nil }},
 	{"one partner", func(f *federation.Federation, rate float64) error {
 		for _, g := range f.Gateways {
@@ -69,9 +69,9 @@
 		f.Demand(2 * rate / float64(len(f.Gateways)))
 		return nil
 	}},
-	{"cut in halves", func(f *federation.Federation, rate float64) error { cut(f, true); return nil }},
+	{"cut in halves", func(f *federation.Federation, rate float64) error { setPartition(f, true); return nil }},
 	{"healed, all at one", func(f *federation.Federation, rate float64) error {
-		cut(f, false)
+		setPartition(f, false)
 		f.Demand(0, rate*1.5, 0)
 		return nil
 	}},
@@ -118,36 +118,36 @@
 	}},
 }
 
-func cut(f *federation.Federation, on bool) {
+func setPartition(f *federation.Federation, isolated bool) {
 	for i := range f.Gateways {
 		for j := range f.Gateways {
 			if i%2 == 0 && j%2 == 1 {
-				f.Set(i, j, true, links.Fault{Cut: on})
+				f.Set(i, j, true, links.Fault{Cut: isolated})
 			}
 		}
 	}
 }
 
-// result is what came of one federation.
+// result is the outcome of one federation.
 type result struct {
 	used      []float64
-	heals     float64 // seconds until the quota is used again
-	over      float64
+	recovery  float64 // seconds until the quota is used again after the partition heals
+	overshoot float64
 	repeated  int
 	tally     federation.Tally
-	datagrams float64 // a process and second
+	datagrams float64 // per process and second
 	bytes     float64
-	cpu       float64 // thousandths of a core, a process
-	memory    float64 // MB
+	cpu       float64 // thousandths of a core, per process
+	memory    float64 // MB, per process
 }
 
 func run(program string, gateways int, rate float64, phase time.Duration) error {
 	if gateways < 3 || gateways%3 != 0 {
-		return fmt.Errorf("a multiple of 3 gateways is expected, not %d", gateways)
+		return fmt.Errorf("-gateways must be a multiple of 3, not %d", gateways)
 	}
 	var results []result
 	for _, alone := range []bool{false, true} {
-		r, err := play(program, gateways, rate, phase, alone)
+		r, err := runScenarios(program, gateways, rate, phase, alone)
 		if err != nil {
 			return err
 		}
@@ -155,34 +155,34 @@
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "part of the quota used\tfleet\teven parts")
-	for i, s := range scenes {
+	for i, s := range scenarios {
 		fmt.Fprintf(w, "%s\t%.2f\t%.2f\n", s.name, results[0].used[i], results[1].used[i])
 	}
-	show := func(what, form string, of func(result) any) {
-		fmt.Fprintf(w, "%s\t"+form+"\t"+form+"\n", what, of(results[0]), of(results[1]))
+	row := func(what, format string, value func(result) any) {
+		fmt.Fprintf(w, "%s\t"+format+"\t"+format+"\n", what, value(results[0]), value(results[1]))
 	}
-	show("seconds until 0.9 is used once it is healed", "%.1f", func(r result) any { return r.heals })
-	show("requests over the quota in any span", "%.0f", func(r result) any { return r.over })
-	show("keys that ran twice", "%d", func(r result) any { return r.repeated })
-	show("requests", "%d", func(r result) any { return r.tally.Asked })
-	show("without an answer", "%d", func(r result) any { return r.tally.Failed })
-	show("the same, of a process that was killed or stood still", "%d", func(r result) any { return r.tally.Lost })
-	show("datagrams a process and second", "%.1f", func(r result) any { return r.datagrams })
-	show("bytes", "%.0f", func(r result) any { return r.bytes })
-	show("processor of a process, thousandths of a core", "%.1f", func(r result) any { return r.cpu })
-	show("resident, MB", "%.1f", func(r result) any { return r.memory })
+	row("seconds until 0.9 is used once it is healed", "%.1f", func(r result) any { return r.recovery })
+	row("requests over the quota in any span", "%.0f", func(r result) any { return r.overshoot })
+	row("keys that ran twice", "%d", func(r result) any { return r.repeated })
+	row("requests", "%d", func(r result) any { return r.tally.Asked })
+	row("without an answer", "%d", func(r result) any { return r.tally.Failed })
+	row("the same, of a process that was killed or stood still", "%d", func(r result) any { return r.tally.Lost })
+	row("datagrams a process and second", "%.1f", func(r result) any { return r.datagrams })
+	row("bytes", "%.0f", func(r result) any { return r.bytes })
+	row("processor of a process, thousandths of a core", "%.1f", func(r result) any { return r.cpu })
+	row("resident, MB", "%.1f", func(r result) any { return r.memory })
 	return w.Flush()
 }
 
-func play(program string, gateways int, rate float64, phase time.Duration, alone bool) (r result, err error) {
+func runScenarios(program string, gateways int, rate float64, phase time.Duration, alone bool) (r result, err error) {
 	dir, err := os.MkdirTemp("", "spokegw-federation-")
 	if err != nil {
 		return r, err
 	}
 	defer os.RemoveAll(dir)
-	third := gateways / 3
+	perPartner := gateways / 3
 	f, err := federation.Start(federation.Config{
-		Program: program, Dir: dir, Partners: []int{third, third, third}, Parts: []float64{0.4, 0.4, 0.2},
+		Program: program, Dir: dir, Partners: []int{perPartner, perPartner, perPartner}, Parts: []float64{0.4, 0.4, 0.2},
 		Rate: rate, Burst: rate / 10, Lease: 2 * time.Second, Alone: alone, Seed: 1,
 	})
 	if err != nil {
@@ -190,55 +190,55 @@
 	}
 	defer f.Close()
 	ctx, stop := context.WithCancel(context.Background())
-	var clients sync.WaitGroup
-	clients.Go(func() { f.Ask(ctx) })
-	defer clients.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { f.Ask(ctx) })
+	defer wg.Wait()
 	defer stop()
-	for i, s := range scenes {
-		if err := s.do(f, rate); err != nil {
+	for i, s := range scenarios {
+		if err := s.apply(f, rate); err != nil {
 			return r, err
 		}
 		if strings.HasPrefix(s.name, "healed") {
-			r.heals = untilUsed(f, rate)
+			r.recovery = timeToRecover(f, rate)
 		}
 		time.Sleep(phase / 2)
 		from := time.Now()
-		datagrams, bytes, cpu := costs(f)
+		datagramsBefore, bytesBefore, cpuBefore := costs(f)
 		time.Sleep(phase / 2)
-		span := time.Since(from).Seconds()
-		r.used = append(r.used, float64(f.Ran(from))/(rate*span))
-		if i == 2 { // all want all, nothing fails
-			d, b, c := costs(f)
+		seconds := time.Since(from).Seconds()
+		r.used = append(r.used, float64(f.Ran(from))/(rate*seconds))
+		if i == 2 { // all gateways demand more than their share, no faults
+			datagramsAfter, bytesAfter, cpuAfter := costs(f)
 			n := float64(gateways)
-			r.datagrams, r.bytes, r.cpu = (d-datagrams)/span/n, (b-bytes)/span/n, 1000*(c-cpu)/span/n
+			r.datagrams, r.bytes, r.cpu = (datagramsAfter-datagramsBefore)/seconds/n, (bytesAfter-bytesBefore)/seconds/n, 1000*(cpuAfter-cpuBefore)/seconds/n
 			for _, g := range f.Gateways {
-				now, _ := g.Process().Memory()
-				r.memory += float64(now) / (1 << 20) / n
+				memory, _ := g.Process().Memory()
+				r.memory += float64(memory) / (1 << 20) / n
 			}
 		}
 	}
 	stop()
-	clients.Wait()
-	r.over, _ = f.Overshoot()
+	wg.Wait()
+	r.overshoot, _ = f.Overshoot()
 	r.repeated, r.tally = f.Repeated(), f.Tally()
 	return r, nil
 }
 
-// untilUsed is after how many seconds nine tenths of the quota are used in half a second.
-func untilUsed(f *federation.Federation, rate float64) float64 {
-	const look = 500 * time.Millisecond
-	begun := time.Now()
-	for time.Since(begun) < 30*time.Second {
+// timeToRecover returns the seconds until 90% of the quota is used within half a second.
+func timeToRecover(f *federation.Federation, rate float64) float64 {
+	const window = 500 * time.Millisecond
+	start := time.Now()
+	for time.Since(start) < 30*time.Second {
 		from := time.Now()
-		time.Sleep(look)
+		time.Sleep(window)
 		if float64(f.Ran(from)) >= 0.9*rate*time.Since(from).Seconds() {
-			return (time.Since(begun) - look).Seconds()
+			return (time.Since(start) - window).Seconds()
 		}
 	}
 	return math.Inf(1)
 }
 
-// costs are what the links have carried and the processes have used of processors.
+// costs returns the traffic of the links and the CPU seconds of the processes so far.
 func costs(f *federation.Federation) (datagrams, bytes, cpu float64) {
 	d, b := f.Carried()
 	for _, g := range f.Gateways {
--- a/bench/federation/sites.go
+++ b/bench/federation/sites.go
@@ -14,28 +14,28 @@
 	"spokegw/internal/lab/links"
 )
 
-// siteLoad is the part of what all endpoints can do that is asked for.
+// siteLoad is the demand as a fraction of the capacity of all endpoints.
 const siteLoad = 0.7
 
-// siteResult is what came of the loss of a site.
+// siteResult is the outcome of the loss of a site.
 type siteResult struct {
-	spans          []federation.Span
-	there          float64 // part of the requests that came to the lost site, in the last half of its absence
-	givenUp, whole float64 // seconds; +Inf: never, or nobody tells
-	sums           [3]float64
-	repeated       int
-	tally          federation.Tally
+	spans                     []federation.Span
+	lostSiteShare             float64    // fraction of the requests sent to the lost site, in the second half of its absence
+	lostAfter, recoveredAfter float64    // seconds; +Inf: never, or not reported
+	costs                     [3]float64 // per process: bytes a second, thousandths of a core, MB
+	repeated                  int
+	tally                     federation.Tally
 }
 
-// sitePhases are the times that are told apart.
+// sitePhases are the phases that are reported separately.
 var sitePhases = []string{"whole", "a site is lost", "and back", "half of the links lose 30%, up to 400 ms, and it is lost again"}
 
-// runSites plays the loss of a site of three on processes, with quota, weights and sites in
-// force, and with each process by itself.
+// runSites runs processes through the loss of one of three sites, once with quota, weights
+// and sites in effect, and once with each process on its own.
 func runSites(program string, gateways int, phase time.Duration) error {
 	var results []siteResult
 	for _, alone := range []bool{false, true} {
-		r, err := playSites(program, gateways, phase, alone)
+		r, err := runSiteLoss(program, gateways, phase, alone)
 		if err != nil {
 			return err
 		}
@@ -46,21 +46,21 @@
 	for i, name := range sitePhases {
 		fmt.Fprintf(w, "%s\t%v\t%v\n", name, results[0].spans[i], results[1].spans[i])
 	}
-	show := func(what, form string, of func(siteResult) any) {
-		fmt.Fprintf(w, "%s\t"+form+"\t"+form+"\n", what, of(results[0]), of(results[1]))
+	row := func(what, format string, value func(siteResult) any) {
+		fmt.Fprintf(w, "%s\t"+format+"\t"+format+"\n", what, value(results[0]), value(results[1]))
 	}
-	show("came to the lost site, %", "%.1f", func(r siteResult) any { return 100 * r.there })
-	show("given up by all after, s", "%.1f", func(r siteResult) any { return r.givenUp })
-	show("whole after, s", "%.1f", func(r siteResult) any { return r.whole })
-	show("keys that ran twice", "%d", func(r siteResult) any { return r.repeated })
-	show("requests; with no answer of a process that went on", "%v", func(r siteResult) any { return fmt.Sprint(r.tally.Asked, "; ", r.tally.Failed) })
-	show("bytes a process and second", "%.0f", func(r siteResult) any { return r.sums[0] })
-	show("processor of a process, thousandths of a core", "%.1f", func(r siteResult) any { return r.sums[1] })
-	show("resident, MB", "%.1f", func(r siteResult) any { return r.sums[2] })
+	row("came to the lost site, %", "%.1f", func(r siteResult) any { return 100 * r.lostSiteShare })
+	row("given up by all after, s", "%.1f", func(r siteResult) any { return r.lostAfter })
+	row("whole after, s", "%.1f", func(r siteResult) any { return r.recoveredAfter })
+	row("keys that ran twice", "%d", func(r siteResult) any { return r.repeated })
+	row("requests; with no answer of a process that went on", "%v", func(r siteResult) any { return fmt.Sprint(r.tally.Asked, "; ", r.tally.Failed) })
+	row("bytes a process and second", "%.0f", func(r siteResult) any { return r.costs[0] })
+	row("processor of a process, thousandths of a core", "%.1f", func(r siteResult) any { return r.costs[1] })
+	row("resident, MB", "%.1f", func(r siteResult) any { return r.costs[2] })
 	return w.Flush()
 }
 
-func playSites(program string, gateways int, phase time.Duration, alone bool) (r siteResult, err error) {
+func runSiteLoss(program string, gateways int, phase time.Duration, alone bool) (r siteResult, err error) {
 	dir, err := os.MkdirTemp("", "spokegw-federation-")
 	if err != nil {
 		return r, err
@@ -81,16 +81,16 @@
 	}
 	defer f.Close()
 	ctx, stop := context.WithCancel(context.Background())
-	var clients sync.WaitGroup
-	clients.Go(func() { f.Ask(ctx) })
-	defer clients.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { f.Ask(ctx) })
+	defer wg.Wait()
 	defer stop()
 
 	f.Demand(rate / float64(gateways))
 	time.Sleep(10 * time.Second)
-	span := func(do func() error) error {
+	measureSpan := func(apply func() error) error {
 		from := time.Now()
-		if err := do(); err != nil {
+		if err := apply(); err != nil {
 			return err
 		}
 		time.Sleep(phase - time.Since(from))
@@ -98,37 +98,37 @@
 		return nil
 	}
 	_, bytes, cpu := costs(f)
-	begun := time.Now()
-	span(func() error { return nil })
-	_, bytesThen, cpuThen := costs(f)
-	each := time.Since(begun).Seconds() * float64(gateways)
-	r.sums[0], r.sums[1] = (bytesThen-bytes)/each, 1000*(cpuThen-cpu)/each
+	start := time.Now()
+	measureSpan(func() error { return nil })
+	_, bytesAfter, cpuAfter := costs(f)
+	processSeconds := time.Since(start).Seconds() * float64(gateways)
+	r.costs[0], r.costs[1] = (bytesAfter-bytes)/processSeconds, 1000*(cpuAfter-cpu)/processSeconds
 	for _, g := range f.Gateways {
-		now, _ := g.Process().Memory()
-		r.sums[2] += float64(now) / (1 << 20) / float64(gateways)
+		memory, _ := g.Process().Memory()
+		r.costs[2] += float64(memory) / (1 << 20) / float64(gateways)
 	}
-	err = span(func() error {
-		set(f, 1, false, rate)
-		r.givenUp = until(f, phase/2, func(state float64) bool { return state == 2 })
-		if r.givenUp < phase.Seconds()/2 {
-			time.Sleep(phase/2 - time.Duration(r.givenUp*float64(time.Second)))
+	err = measureSpan(func() error {
+		setSite(f, 1, false, rate)
+		r.lostAfter = waitForState(f, phase/2, func(state float64) bool { return state == 2 })
+		if r.lostAfter < phase.Seconds()/2 {
+			time.Sleep(phase/2 - time.Duration(r.lostAfter*float64(time.Second)))
 		}
-		came, ran := lostCame(f), f.Ran(begun)
+		lostBefore, ranBefore := lostSiteRequests(f), f.Ran(start)
 		time.Sleep(phase / 4)
-		r.there = float64(lostCame(f)-came) / float64(f.Ran(begun)-ran)
+		r.lostSiteShare = float64(lostSiteRequests(f)-lostBefore) / float64(f.Ran(start)-ranBefore)
 		return nil
 	})
 	if err == nil {
-		err = span(func() error {
-			if err := set(f, 1, true, rate); err != nil {
+		err = measureSpan(func() error {
+			if err := setSite(f, 1, true, rate); err != nil {
 				return err
 			}
-			r.whole = until(f, phase, func(state float64) bool { return state == 0 })
+			r.recoveredAfter = waitForState(f, phase, func(state float64) bool { return state == 0 })
 			return nil
 		})
 	}
 	if err == nil {
-		err = span(func() error {
+		err = measureSpan(func() error {
 			for i := range f.Gateways {
 				for j := range f.Gateways {
 					if i != j && (i+j)%2 == 0 {
@@ -136,19 +136,19 @@
 					}
 				}
 			}
-			return set(f, 1, false, rate)
+			return setSite(f, 1, false, rate)
 		})
 	}
 	stop()
-	clients.Wait()
+	wg.Wait()
 	r.repeated, r.tally = f.Repeated(), f.Tally()
 	return r, err
 }
 
-// set has a site be lost, its clients go to the others, or come back.
-func set(f *federation.Federation, site int, back bool, rate float64) error {
+// setSite fails a site, whose clients then use the other sites, or restores it.
+func setSite(f *federation.Federation, site int, restore bool, rate float64) error {
 	for i := range f.Endpoints {
-		if i%3 == site && back {
+		if i%3 == site && restore {
 			f.Endpoint(i).Speak()
 		} else if i%3 == site {
 			f.Endpoint(i).Silence()
@@ -157,7 +157,7 @@
 	n := float64(len(f.Gateways))
 	for i, g := range f.Gateways {
 		switch {
-		case back:
+		case restore:
 			g.Ask(rate / n)
 		case i%3 == site:
 			g.Ask(0)
@@ -165,7 +165,7 @@
 		default:
 			g.Ask(1.5 * rate / n)
 		}
-		if i%3 == site && back {
+		if i%3 == site && restore {
 			if err := g.Start(); err != nil {
 				return err
 			}
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func lostCame(f *federation.Federation) (n int) {
+func lostSiteRequests(f *federation.Federation) (n int) {
 	for i := range f.Endpoints {
 		if i%3 == 1 {
 			n += f.Came(i)
@@ -183,18 +183,19 @@
 	return n
 }
 
-// until is after how many seconds all gateways of the other sites have the site in a state.
-func until(f *federation.Federation, most time.Duration, so func(state float64) bool) float64 {
-	for begun := time.Now(); time.Since(begun) < most; time.Sleep(100 * time.Millisecond) {
-		all := true
+// waitForState returns the seconds until all gateways of the other sites report the site in a
+// wanted state; +Inf after the timeout.
+func waitForState(f *federation.Federation, timeout time.Duration, want func(state float64) bool) float64 {
+	for start := time.Now(); time.Since(start) < timeout; time.Sleep(100 * time.Millisecond) {
+		reached := true
 		for i, g := range f.Gateways {
-			if i%3 != 1 && all {
-				state, told := g.Figure("site.s1.state")
-				all = told && so(state)
+			if i%3 != 1 && reached {
+				state, ok := g.Figure("site.s1.state")
+				reached = ok && want(state)
 			}
 		}
-		if all {
-			return time.Since(begun).Seconds()
+		if reached {
+			return time.Since(start).Seconds()
 		}
 	}
 	return math.Inf(1)
