--- a/bench/beside/main.go
+++ b/bench/beside/main.go
@@ -1,7 +1,8 @@
-// Command beside measures an ordinary request through the sidecar beside baselines:
-// net/http/httputil.ReverseProxy, and a splice that parses nothing. Each runs in a process of its own on one core, in turn;
-// clients and the endpoint are on the others. It prints medians of the processor time a
-// request and of the rate, and their ratios to the sidecar's.
+// Command beside compares an ordinary request through the sidecar with two baselines:
+// net/http/httputil.ReverseProxy, and a splice that copies bytes without parsing. Each runs
+// in turn in a process of its own on one core; clients and the endpoint use the other cores.
+// It prints the medians of CPU time per request and of the rate, and their ratios to those
+// of the sidecar.
 //
 //	go run ./bench/beside [-requests 20000] [-rounds 5] [-body 4096] [-connections 16] [-core 0]
 package main
@@ -38,26 +39,26 @@
 	"spokegw/internal/sidecar"
 )
 
-var ways = []string{"sidecar", "ReverseProxy", "splice"}
+var proxyKinds = []string{"sidecar", "ReverseProxy", "splice"}
 
 func main() {
-	requests := flag.Int("requests", 20000, "in each round, after a tenth of it to warm up")
-	rounds := flag.Int("rounds", 5, "of all ways")
-	body := flag.Int("body", 4096, "bytes of an answer")
-	connections := flag.Int("connections", 16, "that clients keep")
-	core := flag.Int("core", 0, "that the proxies run on")
-	share := flag.Float64("share", 0, "of a core that each is held to; delays at -rate are told then")
-	rate := flag.Float64("rate", 1000, "requests a second, with -share")
-	lasts := flag.Duration("lasts", 10*time.Second, "of those")
-	way := flag.String("way", "", "run this proxy before -to, until standard input ends")
-	to := flag.String("to", "", "the endpoint's address")
-	profile := flag.String("profile", "", "write there where the sidecar's processor time goes, for go tool pprof")
+	requests := flag.Int("requests", 20000, "requests in each round, after a tenth as many for warm-up")
+	rounds := flag.Int("rounds", 5, "number of rounds, each over all proxies")
+	body := flag.Int("body", 4096, "size of an answer in bytes")
+	connections := flag.Int("connections", 16, "number of client connections, which are kept open")
+	core := flag.Int("core", 0, "core that the proxies run on")
+	share := flag.Float64("share", 0, "limit each proxy to this share of a core, and report delays at -rate")
+	rate := flag.Float64("rate", 1000, "requests per second, with -share")
+	duration := flag.Duration("lasts", 10*time.Second, "duration of the measurement, with -share")
+	kind := flag.String("way", "", "run this proxy in front of -to until standard input ends")
+	to := flag.String("to", "", "address of the endpoint")
+	profile := flag.String("profile", "", "write a CPU profile of the sidecar to this file, for go tool pprof")
 	flag.Parse()
 	var err error
-	if *way != "" {
-		err = serve(*way, *to, *core, *profile)
+	if *kind != "" {
+		err = serve(*kind, *to, *core, *profile)
 	} else if *share > 0 {
-		err = squeeze(*share, *rate, *lasts, *body, *connections, *core)
+		err = measureThrottled(*share, *rate, *duration, *body, *connections, *core)
 	} else {
 		err = measure(*requests, *rounds, *body, *connections, *core, *profile)
 	}
@@ -67,14 +68,14 @@
 	}
 }
 
-// serve is the process of one proxy.
-func serve(way, to string, core int, profile string) error {
+// serve runs one proxy in this process, until standard input ends.
+func serve(kind, target string, core int, profile string) error {
 	runtime.GOMAXPROCS(1)
-	if err := confine(func(n int) bool { return n == core }); err != nil {
+	if err := setAffinity(func(n int) bool { return n == core }); err != nil {
 		return err
 	}
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	addr, err := start(way, to)
+	addr, err := startServer(kind, target)
 	if err != nil {
 		return err
 	}
@@ -94,10 +95,10 @@
 	return err
 }
 
-func start(way, to string) (addr string, err error) {
-	if way == "sidecar" {
-		sidecar.ApplyLimits(sidecar.Limits{Cores: 1, MemoryMB: 64}) // as the command does
-		s, err := scene.Start(scene.Config{Listed: []discovery.Entry{{ID: "maps-0", Addr: to, Kind: "std", State: "active", Weight: 1}}})
+func startServer(kind, target string) (addr string, err error) {
+	if kind == "sidecar" {
+		sidecar.ApplyLimits(sidecar.Limits{Cores: 1, MemoryMB: 64}) // as the spokegw command does
+		s, err := scene.Start(scene.Config{Listed: []discovery.Entry{{ID: "maps-0", Addr: target, Kind: "std", State: "active", Weight: 1}}})
 		if err != nil {
 			return "", err
 		}
@@ -107,33 +108,33 @@
 	if err != nil {
 		return "", err
 	}
-	switch way {
+	switch kind {
 	case "ReverseProxy":
-		p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
-		p.Transport = &http.Transport{MaxIdleConnsPerHost: 64}
-		go http.Serve(l, p)
+		proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: target})
+		proxy.Transport = &http.Transport{MaxIdleConnsPerHost: 64}
+		go http.Serve(l, proxy)
 	case "splice":
-		go accept(l, func(client net.Conn) {
-			server, err := net.Dial("tcp", to)
+		go acceptLoop(l, func(client net.Conn) {
+			server, err := net.Dial("tcp", target)
 			if err != nil {
 				return
 			}
 			defer server.Close()
-			go pass(server, client)
-			pass(client, server)
+			go copyBytes(server, client)
+			copyBytes(client, server)
 		})
 	default:
-		return "", fmt.Errorf("no way %q", way)
+		return "", fmt.Errorf("unknown proxy %q", kind)
 	}
 	return l.Addr().String(), nil
 }
 
-// confine keeps all threads that the process has, and those that they start, to the
-// processors that may be used.
-func confine(may func(n int) bool) error {
+// setAffinity pins all threads of the process, and those that they start, to the allowed
+// cores.
+func setAffinity(allowed func(n int) bool) error {
 	var set unix.CPUSet
 	for n := range runtime.NumCPU() {
-		if may(n) {
+		if allowed(n) {
 			set.Set(n)
 		}
 	}
@@ -147,7 +148,7 @@
 	return err
 }
 
-func accept(l net.Listener, serve func(net.Conn)) {
+func acceptLoop(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -160,49 +161,49 @@
 	}
 }
 
-// pass copies with reads and writes, and parses nothing.
-func pass(to, from net.Conn) {
-	b := make([]byte, 64<<10)
+// copyBytes copies with plain reads and writes, without parsing.
+func copyBytes(dst, src net.Conn) {
+	buf := make([]byte, 64<<10)
 	for {
-		n, err := from.Read(b)
-		if _, e := to.Write(b[:n]); e != nil || err != nil {
+		n, err := src.Read(buf)
+		if _, writeErr := dst.Write(buf[:n]); writeErr != nil || err != nil {
 			return
 		}
 	}
 }
 
-// figures are those of one way in one round.
-type figures struct{ cpu, rate float64 } // microseconds a request, requests a second
+// measurement is the result of one proxy in one round.
+type measurement struct{ cpu, rate float64 } // microseconds per request, requests per second
 
 func measure(requests, rounds, body, connections, core int, profile string) error {
-	l, err := endpoint(body, core)
+	l, err := startEndpoint(body, core)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	all := map[string][]figures{}
+	all := map[string][]measurement{}
 	for range rounds {
-		for _, way := range ways {
-			f, err := round(way, l.Addr().String(), requests, body, connections, core, profile)
+		for _, kind := range proxyKinds {
+			m, err := runRound(kind, l.Addr().String(), requests, body, connections, core, profile)
 			if err != nil {
-				return fmt.Errorf("%s: %w", way, err)
+				return fmt.Errorf("%s: %w", kind, err)
 			}
-			all[way] = append(all[way], f)
+			all[kind] = append(all[kind], m)
 		}
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\tCPU us\tsidecar's is\trate\tsidecar's is\t")
 	own := median(all["sidecar"])
-	for _, way := range ways {
-		m := median(all[way])
-		fmt.Fprintf(w, "%s\t%.1f\t%.2f\t%.0f\t%.2f\t\n", way, m.cpu, own.cpu/m.cpu, m.rate, own.rate/m.rate)
+	for _, kind := range proxyKinds {
+		mid := median(all[kind])
+		fmt.Fprintf(w, "%s\t%.1f\t%.2f\t%.0f\t%.2f\t\n", kind, mid.cpu, own.cpu/mid.cpu, mid.rate, own.rate/mid.rate)
 	}
 	return w.Flush()
 }
 
-// endpoint answers on the other cores than the proxies'.
-func endpoint(body, core int) (net.Listener, error) {
-	if err := confine(func(n int) bool { return n != core }); err != nil {
+// startEndpoint starts the endpoint, on all cores but that of the proxies.
+func startEndpoint(body, core int) (net.Listener, error) {
+	if err := setAffinity(func(n int) bool { return n != core }); err != nil {
 		return nil, err
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -210,7 +211,7 @@
 		return nil, err
 	}
 	answer := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: image/png\r\nContent-Length: %d\r\n\r\n%s", body, bytes.Repeat([]byte("."), body)))
-	go accept(l, func(c net.Conn) {
+	go acceptLoop(l, func(c net.Conn) {
 		for r := bufio.NewReader(c); readHead(r) == nil; {
 			if _, err := c.Write(answer); err != nil {
 				return
@@ -220,37 +221,37 @@
 	return l, nil
 }
 
-// squeeze tells delays through each, held to a share of a core.
-func squeeze(share, rate float64, lasts time.Duration, body, connections, core int) error {
-	l, err := endpoint(body, core)
+// measureThrottled prints the delays through each proxy, limited to a share of a core.
+func measureThrottled(share, rate float64, duration time.Duration, body, connections, core int) error {
+	l, err := startEndpoint(body, core)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	all := map[string][]time.Duration{}
-	if all["direct"], err = delays(l.Addr().String(), rate, lasts, body, connections); err != nil {
+	delays := map[string][]time.Duration{}
+	if delays["direct"], err = measureDelays(l.Addr().String(), rate, duration, body, connections); err != nil {
 		return fmt.Errorf("direct: %w", err)
 	}
-	for _, way := range ways {
-		p, err := run(way, l.Addr().String(), core, "")
+	for _, kind := range proxyKinds {
+		p, err := startProxy(kind, l.Addr().String(), core, "")
 		if err != nil {
-			return fmt.Errorf("%s: %w", way, err)
+			return fmt.Errorf("%s: %w", kind, err)
 		}
 		stop, ended := make(chan struct{}), make(chan error, 1)
-		err = drive(p.addr, int(rate), body, connections)
+		err = sendRequests(p.addr, int(rate), body, connections)
 		go func() { ended <- throttle(p.Process.Pid, share, stop) }()
 		if err == nil {
-			all[way], err = delays(p.addr, rate, lasts, body, connections)
+			delays[kind], err = measureDelays(p.addr, rate, duration, body, connections)
 		}
 		close(stop)
-		if err := errors.Join(err, <-ended, p.end()); err != nil {
-			return fmt.Errorf("%s: %w", way, err)
+		if err := errors.Join(err, <-ended, p.stop()); err != nil {
+			return fmt.Errorf("%s: %w", kind, err)
 		}
 	}
-	return showDelays(all, share, rate)
+	return printDelays(delays, share, rate)
 }
 
-// readHead reads a request without a body.
+// readHead reads up to the end of the header section.
 func readHead(r *bufio.Reader) error {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -260,82 +261,83 @@
 	}
 }
 
-func median(all []figures) figures {
-	of := func(pick func(figures) float64) float64 {
-		var v []float64
-		for _, f := range all {
-			v = append(v, pick(f))
+func median(all []measurement) measurement {
+	medianOf := func(value func(measurement) float64) float64 {
+		var values []float64
+		for _, m := range all {
+			values = append(values, value(m))
 		}
-		slices.Sort(v)
-		return v[len(v)/2]
+		slices.Sort(values)
+		return values[len(values)/2]
 	}
-	return figures{of(func(f figures) float64 { return f.cpu }), of(func(f figures) float64 { return f.rate })}
+	return measurement{medianOf(func(m measurement) float64 { return m.cpu }), medianOf(func(m measurement) float64 { return m.rate })}
 }
 
-func round(way, endpoint string, requests, body, connections, core int, profile string) (f figures, err error) {
-	p, err := run(way, endpoint, core, profile)
+func runRound(kind, endpoint string, requests, body, connections, core int, profile string) (m measurement, err error) {
+	p, err := startProxy(kind, endpoint, core, profile)
 	if err != nil {
-		return f, err
+		return m, err
 	}
-	defer func() { err = errors.Join(err, p.end()) }()
+	defer func() { err = errors.Join(err, p.stop()) }()
 	addr := p.addr
-	if err := drive(addr, requests/10, body, connections); err != nil {
-		return f, err
+	if err := sendRequests(addr, requests/10, body, connections); err != nil {
+		return m, err
 	}
-	before, begun := used(p.Process.Pid), time.Now()
-	if err := drive(addr, requests, body, connections); err != nil {
-		return f, err
+	before, start := processTime(p.Process.Pid), time.Now()
+	if err := sendRequests(addr, requests, body, connections); err != nil {
+		return m, err
 	}
-	took := time.Since(begun)
-	return figures{(used(p.Process.Pid) - before).Seconds() * 1e6 / float64(requests), float64(requests) / took.Seconds()}, nil
+	took := time.Since(start)
+	return measurement{(processTime(p.Process.Pid) - before).Seconds() * 1e6 / float64(requests), float64(requests) / took.Seconds()}, nil
 }
 
-// proxy is the process of one.
+// proxy is the process of a proxy.
 type proxy struct {
 	*exec.Cmd
-	addr string
-	in   io.Closer
+	addr  string
+	stdin io.Closer
 }
 
-// end has it end by itself.
-func (p *proxy) end() error { return errors.Join(p.in.Close(), p.Wait()) }
+// stop closes the standard input of the process, on which it exits, and waits for it.
+func (p *proxy) stop() error { return errors.Join(p.stdin.Close(), p.Wait()) }
 
-func run(way, endpoint string, core int, profile string) (*proxy, error) {
-	self, err := os.Executable()
+func startProxy(kind, endpoint string, core int, profile string) (*proxy, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	args := []string{"-way", way, "-to", endpoint, "-core", strconv.Itoa(core)}
-	if way == "sidecar" {
+	args := []string{"-way", kind, "-to", endpoint, "-core", strconv.Itoa(core)}
+	if kind == "sidecar" {
 		args = append(args, "-profile", profile)
 	}
-	c := exec.Command(self, args...)
-	c.Stderr = os.Stderr
-	in, err := c.StdinPipe()
+	cmd := exec.Command(executable, args...)
+	cmd.Stderr = os.Stderr
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := c.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := c.Start(); err != nil {
+	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p := &proxy{c, "", in}
-	addr, err := bufio.NewReader(out).ReadString('\n')
+	p := &proxy{cmd, "", stdin}
+	addr, err := bufio.NewReader(stdout).ReadString('\n')
 	if err != nil {
-		return nil, errors.Join(err, p.end())
+		return nil, errors.Join(err, p.stop())
 	}
 	p.addr = strings.TrimSpace(addr)
 	return p, nil
 }
 
-// used is the processor time of a process (proc(5), stat: utime and stime, in hundredths).
-func used(pid int) time.Duration {
+// processTime returns the CPU time of a process (proc(5), stat: utime and stime, in
+// hundredths of a second).
+func processTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	_, after, _ := strings.Cut(string(text), ") ")
-	if f := strings.Fields(after); len(f) > 12 {
+	_, stat, _ := strings.Cut(string(text), ") ")
+	if f := strings.Fields(stat); len(f) > 12 {
 		user, _ := strconv.Atoi(f[11])
 		system, _ := strconv.Atoi(f[12])
 		return time.Duration(user+system) * 10 * time.Millisecond
@@ -343,20 +345,21 @@
 	return 0
 }
 
-var asked atomic.Uint64 // no id is used twice
+var lastID atomic.Uint64 // request ids are unique over all connections
 
-// drive asks over so many kept connections, on each once the last was answered.
-func drive(addr string, requests, body, connections int) error {
-	var all sync.WaitGroup
+// sendRequests sends requests over persistent connections, on each one after the other
+// (closed loop).
+func sendRequests(addr string, requests, body, connections int) error {
+	var wg sync.WaitGroup
 	failed := make(chan error, connections)
 	for range connections {
-		all.Go(func() {
-			if err := ask(addr, requests/connections, body); err != nil {
+		wg.Go(func() {
+			if err := sendOnConnection(addr, requests/connections, body); err != nil {
 				failed <- err
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	select {
 	case err := <-failed:
 		return err
@@ -365,9 +368,9 @@
 	}
 }
 
-var errAnswer = errors.New("not answered by 200 and a body of the length asked for")
+var errUnexpectedAnswer = errors.New("expected status 200 and a body of the configured length")
 
-func ask(addr string, requests, body int) error {
+func sendOnConnection(addr string, requests, body int) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -375,15 +378,15 @@
 	defer c.Close()
 	r := bufio.NewReaderSize(c, 16<<10)
 	for range requests {
-		if err := askOne(c, r, body); err != nil {
+		if err := sendRequest(c, r, body); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func askOne(c net.Conn, r *bufio.Reader, body int) error {
-	id := asked.Add(1)
+func sendRequest(c net.Conn, r *bufio.Reader, body int) error {
+	id := lastID.Add(1)
 	if _, err := fmt.Fprintf(c, "GET /map-tile/3/7?user=k HTTP/1.1\r\nHost: backend.local\r\nReq-Id: %d\r\nReq-Kind: map-tile\r\nReq-Owner: patrols\r\nReq-Deadline: 1000m\r\n\r\n", id); err != nil {
 		return err
 	}
@@ -392,13 +395,13 @@
 		return err
 	}
 	if !bytes.HasPrefix(line, []byte("HTTP/1.1 200 ")) {
-		return fmt.Errorf("%w: %s", errAnswer, line)
+		return fmt.Errorf("%w: %s", errUnexpectedAnswer, line)
 	}
 	if err := readHead(r); err != nil {
 		return err
 	}
 	if n, err := r.Discard(body); err != nil {
-		return fmt.Errorf("%w: %d bytes: %w", errAnswer, n, err)
+		return fmt.Errorf("%w: %d bytes: %w", errUnexpectedAnswer, n, err)
 	}
 	return nil
 }
--- a/bench/beside/throttle.go
+++ b/bench/beside/throttle.go
@@ -13,40 +13,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// A process is held to its share of a core as a quota of the system's does it (CFS
-// bandwidth control): it runs until it has used its part of a period, and then stands still
-// for the rest of that.
+// A process is limited to its share of a core in the manner of CFS bandwidth control: it
+// runs until it has used its quota of a period, and is then stopped until the period ends.
 const (
-	period = 100 * time.Millisecond
-	look   = 500 * time.Microsecond
+	period        = 100 * time.Millisecond
+	checkInterval = 500 * time.Microsecond
 )
 
-// throttle holds a process to a share until stop is closed.
+// throttle limits a process to a share of a core until stop is closed.
 func throttle(pid int, share float64, stop <-chan struct{}) error {
 	quota := time.Duration(share * float64(period))
-	tick := time.NewTicker(look)
-	defer tick.Stop()
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
 	defer unix.Kill(pid, unix.SIGCONT)
 	for {
-		from, err := clock(pid)
+		usedBefore, err := processClock(pid)
 		if err != nil {
 			return err
 		}
-		begun, stopped := time.Now(), false
-		for time.Since(begun) < period {
+		start, stopped := time.Now(), false
+		for time.Since(start) < period {
 			select {
 			case <-stop:
 				return nil
-			case <-tick.C:
+			case <-ticker.C:
 			}
 			if stopped {
 				continue
 			}
-			now, err := clock(pid)
+			used, err := processClock(pid)
 			if err != nil {
 				return err
 			}
-			if now-from >= quota {
+			if used-usedBefore >= quota {
 				stopped = true
 				if err := unix.Kill(pid, unix.SIGSTOP); err != nil {
 					return err
@@ -59,32 +58,32 @@
 	}
 }
 
-// clock is the processor time of a process (clock_getcpuclockid(3)).
-func clock(pid int) (time.Duration, error) {
+// processClock returns the CPU time of a process (clock_getcpuclockid(3)).
+func processClock(pid int) (time.Duration, error) {
 	var t unix.Timespec
 	err := unix.ClockGettime(int32(^pid<<3|2), &t)
 	return time.Duration(t.Nano()), err
 }
 
-// delays are those of requests that come at a rate, whether or not those before have been
-// answered: from when each was due.
-func delays(addr string, rate float64, lasts time.Duration, body, connections int) ([]time.Duration, error) {
-	due := make(chan time.Time, int(rate*lasts.Seconds())+1)
+// measureDelays sends requests at a fixed rate, whether or not earlier ones have been answered
+// (open loop). It returns the delays, sorted, each counted from the time the request was due.
+func measureDelays(addr string, rate float64, duration time.Duration, body, connections int) ([]time.Duration, error) {
+	due := make(chan time.Time, int(rate*duration.Seconds())+1)
 	go func() {
 		defer close(due)
-		begun := time.Now()
+		start := time.Now()
 		for i := range cap(due) - 1 {
-			at := begun.Add(time.Duration(float64(i) / rate * float64(time.Second)))
+			at := start.Add(time.Duration(float64(i) / rate * float64(time.Second)))
 			time.Sleep(time.Until(at))
 			due <- at
 		}
 	}()
 	var mu sync.Mutex
-	var all []time.Duration
-	var wait sync.WaitGroup
+	var delays []time.Duration
+	var wg sync.WaitGroup
 	failed := make(chan error, connections)
 	for range connections {
-		wait.Go(func() {
+		wg.Go(func() {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				failed <- err
@@ -93,37 +92,37 @@
 			defer c.Close()
 			r := bufio.NewReaderSize(c, 16<<10)
 			for at := range due {
-				if err := askOne(c, r, body); err != nil {
+				if err := sendRequest(c, r, body); err != nil {
 					failed <- err
 					return
 				}
-				took := time.Since(at)
+				delay := time.Since(at)
 				mu.Lock()
-				all = append(all, took)
+				delays = append(delays, delay)
 				mu.Unlock()
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	select {
 	case err := <-failed:
 		return nil, err
 	default:
 	}
-	slices.Sort(all)
-	return all, nil
+	slices.Sort(delays)
+	return delays, nil
 }
 
-func showDelays(of map[string][]time.Duration, share, rate float64) error {
+func printDelays(delays map[string][]time.Duration, share, rate float64) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%.2f of a core, %.0f a second\tp50 ms\tp99 ms\tp99.9 ms\t\n", share, rate)
-	for _, way := range append([]string{"direct"}, ways...) {
-		d := of[way]
+	for _, kind := range append([]string{"direct"}, proxyKinds...) {
+		d := delays[kind]
 		if len(d) == 0 {
 			continue
 		}
-		at := func(part float64) float64 { return d[int(part*float64(len(d)-1))].Seconds() * 1e3 }
-		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\t\n", way, at(0.5), at(0.99), at(0.999))
+		percentile := func(q float64) float64 { return d[int(q*float64(len(d)-1))].Seconds() * 1e3 }
+		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\t\n", kind, percentile(0.5), percentile(0.99), percentile(0.999))
 	}
 	return w.Flush()
 }
