--- a/bench/federation/main.go
+++ b/bench/federation/main.go
@@ -26,7 +26,7 @@
 	program := flag.String("program", "bin/spokegw", "path of the sidecar binary")
 	phase := flag.Duration("phase", 6*time.Second, "duration of each scenario, whose second half is measured")
 	sites := flag.Bool("sites", false, "simulate the loss of a site instead of a shared quota; use phases of 30s")
-	restarts := flag.Int("restarts", 0, "instead of a shared quota, run this many processes under load, and kill and restart 70% of them at once")
+	restarts := flag.Int("restarts", 0, "instead of a shared quota, run this many processes under load, and kill and restart seven in ten of them at once")
 	flag.Parse()
 	if *restarts > 0 {
 		if err := runRestarts(*program, *restarts, 0.7); err != nil {
--- a/bench/federation/restarts.go
+++ b/bench/federation/restarts.go
@@ -46,7 +46,7 @@
 	}()
 	f.Demand(ratePerProcess)
 	<-time.After(settleTime)
-	readyTimes, err := f.RestartAll(f.Gateways[:int(fraction*float64(processes))])
+	ready, err := f.RestartAll(f.Gateways[:int(fraction*float64(processes))])
 	if err != nil {
 		cancel()
 		<-clientsDone
@@ -55,15 +55,13 @@
 	<-time.After(settleTime)
 	cancel()
 	<-clientsDone
-	percentile := func(fraction float64) time.Duration {
-		return readyTimes[int(fraction*float64(len(readyTimes)-1))].Round(time.Millisecond)
-	}
+	percentile := func(q float64) time.Duration { return ready[int(q*float64(len(ready)-1))].Round(time.Millisecond) }
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "processes\trestarted\tready: half\tnine in ten\tall\n%d\t%d\t%v\t%v\t%v\n", processes, len(readyTimes), percentile(0.5), percentile(0.9), percentile(1))
+	fmt.Fprintf(w, "processes\trestarted\tready: half\tnine in ten\tall\n%d\t%d\t%v\t%v\t%v\n", processes, len(ready), percentile(0.5), percentile(0.9), percentile(1))
 	w.Flush()
 	fmt.Printf("%+v\n", f.Tally())
 	if percentile(0.9) > maxReadyTime {
-		return fmt.Errorf("90%% of the processes were ready after %v, expected at most %v", percentile(0.9), maxReadyTime)
+		return fmt.Errorf("nine in ten processes were ready after %v, expected at most %v", percentile(0.9), maxReadyTime)
 	}
 	return nil
 }
--- a/bench/federation/sites.go
+++ b/bench/federation/sites.go
@@ -21,7 +21,7 @@
 type siteResult struct {
 	spans                     []federation.Span
 	lostSiteShare             float64    // fraction of the requests sent to the lost site, in the second half of its absence
-	lostAfter, recoveredAfter float64    // seconds; +Inf: never, or not reported
+	lostAfter, recoveredAfter float64    // seconds until the other gateways report the site lost, and whole again; +Inf: never, or not reported
 	costs                     [3]float64 // per process: bytes a second, thousandths of a core, MB
 	repeated                  int
 	tally                     federation.Tally
--- a/bench/fleet/count.go
+++ b/bench/fleet/count.go
@@ -229,7 +229,7 @@
 	return float64(failing) / float64(max(all, 1))
 }
 
-// lags returns, sorted, how long after the first sidecar the others received each change.
+// lags returns, sorted, how long after the first sidecar each one received each change.
 // States that existed at the start are left out.
 func (c *fleetCounts) lags() (all []time.Duration) {
 	for ch, times := range c.received {
--- a/bench/knownred/main_test.go
+++ b/bench/knownred/main_test.go
@@ -36,7 +36,7 @@
 		"build fails":              {"", passP + `{"ImportPath":"q","Action":"build-output","Output":"q.go:1: bad\n"}` + "\n" + `{"ImportPath":"q","Action":"build-fail"}` + "\n", false, "q.go:1: bad"},
 		"nothing ran":              {"", "", false, ""},
 		"comment in the list":      {"# fix these first\n" + listA, failA + failP, true, ""},
-		"many list lines":          {strings.Repeat(listA, 12), failA + failP, true, ""},
+		"many":                     {strings.Repeat(listA, 12), failA + failP, true, ""},
 		"line with a test only":    {"p TestA\n", failA + failP, false, ""},
 		"line without command":     {"p TestA | | late | issue 7\n", failA + failP, false, ""},
 		"line without issue":       {"p TestA | go test ./p | late | some day\n", failA + failP, false, ""},
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -38,11 +38,11 @@
 }
 
 func (r Report) String() string {
-	part := "all of it"
+	coverage := "search complete"
 	if !r.Whole {
-		part = "not all of it"
+		coverage = "search incomplete"
 	}
-	return fmt.Sprintf("%d states, %d transitions, %d events deep, %s", r.States, r.Transitions, r.Depth, part)
+	return fmt.Sprintf("%d states, %d transitions, %d events deep, %s", r.States, r.Transitions, r.Depth, coverage)
 }
 
 // Counterexample is a shortest sequence of events that violates a property.
@@ -81,24 +81,24 @@
 func (m *Model[S, E]) Explore(workers int) (Report, error) {
 	r := Report{States: 1}
 	seen := map[[sha256.Size]byte]struct{}{sha256.Sum256([]byte(m.Key(m.Start))): {}}
-	path := []origin{{-1, -1}}
+	origins := []origin{{-1, -1}}
 	level := []frontierState[S]{{0, m.Start}}
 	for len(level) > 0 {
 		if m.Depth > 0 && r.Depth == m.Depth {
 			return r, nil
 		}
 		found := m.expand(level, workers)
-		var deeper []frontierState[S]
+		var nextLevel []frontierState[S]
 		for i, successors := range found {
 			if len(successors) == 0 && m.Rest != nil {
 				if err := m.Rest(level[i].state); err != nil {
-					return r, m.trace(path, level[i].id, -1, err)
+					return r, m.trace(origins, level[i].id, -1, err)
 				}
 			}
 			for e, n := range successors {
 				r.Transitions++
 				if n.err != nil {
-					return r, m.trace(path, level[i].id, e, n.err)
+					return r, m.trace(origins, level[i].id, e, n.err)
 				}
 				if _, known := seen[n.key]; known {
 					continue
@@ -107,12 +107,12 @@
 					return r, nil
 				}
 				seen[n.key] = struct{}{}
-				deeper = append(deeper, frontierState[S]{int32(len(path)), n.state})
-				path = append(path, origin{level[i].id, int32(e)})
+				nextLevel = append(nextLevel, frontierState[S]{int32(len(origins)), n.state})
+				origins = append(origins, origin{level[i].id, int32(e)})
 				r.States++
 			}
 		}
-		if level = deeper; len(level) > 0 {
+		if level = nextLevel; len(level) > 0 {
 			r.Depth++
 		}
 	}
@@ -144,18 +144,18 @@
 
 // trace builds the counterexample that ends with the given event in the state id;
 // with event -1 it ends in the state itself.
-func (m *Model[S, E]) trace(path []origin, id int32, event int, err error) error {
-	var chosen []int32
+func (m *Model[S, E]) trace(origins []origin, id int32, event int, err error) error {
+	var choices []int32
 	if event >= 0 {
-		chosen = append(chosen, int32(event))
+		choices = append(choices, int32(event))
 	}
-	for ; path[id].parent >= 0; id = path[id].parent {
-		chosen = append(chosen, path[id].event)
+	for ; origins[id].parent >= 0; id = origins[id].parent {
+		choices = append(choices, origins[id].event)
 	}
 	c := &Counterexample[E]{Err: err}
 	s := m.Start
-	for i := len(chosen) - 1; i >= 0; i-- {
-		e := m.Events(s)[chosen[i]]
+	for i := len(choices) - 1; i >= 0; i-- {
+		e := m.Events(s)[choices[i]]
 		c.Events = append(c.Events, e)
 		if s, err = m.Step(s, e); err != nil {
 			break
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -73,11 +73,11 @@
 	}
 }
 
-// grid increments each of sides counters up to length, in any order.
-func grid(sides, length int) *Model[[4]int, int] {
+// grid increments each of several counters up to length, in any order.
+func grid(dimensions, length int) *Model[[4]int, int] {
 	return &Model[[4]int, int]{
 		Events: func(s [4]int) (events []int) {
-			for i := range sides {
+			for i := range dimensions {
 				if s[i] < length {
 					events = append(events, i)
 				}
