--- a/bench/moves/draw.go
+++ b/bench/moves/draw.go
@@ -13,23 +13,23 @@
 
 var colors = []color.Color{color.RGBA{0, 90, 180, 255}, color.RGBA{200, 80, 0, 255}, color.RGBA{0, 130, 70, 255}, color.RGBA{140, 0, 120, 255}}
 
-// draw makes the plots of a simulation: good pools that are undone, by scene, and
-// seconds until a fault is, by its size.
-func draw(folder string, blamed, delays [][]float64) error {
+// draw writes the plots of a simulation: the percentage of good pools that are rolled
+// back, by scenario, and the seconds until a fault is rolled back, by its rate.
+func draw(folder string, undonePercent, delays [][]float64) error {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text, p.Y.Min = "Good pools that are undone", "% of courses", 0
 	width := vg.Points(14)
-	for i, row := range blamed {
+	for i, row := range undonePercent {
 		bars, err := plotter.NewBarChart(plotter.Values(row), width)
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
 		bars.Color, bars.LineStyle.Width, bars.Offset = colors[i], 0, width*vg.Length(float64(i)-1.5)
 		p.Add(bars)
-		p.Legend.Add(judges[i].name, bars)
+		p.Legend.Add(detectors[i].name, bars)
 	}
 	var names []string
-	for _, s := range good {
+	for _, s := range goodScenarios {
 		names = append(names, s.name)
 	}
 	p.NominalX(names...)
@@ -50,7 +50,7 @@
 		var points plotter.XYs
 		for j, d := range row {
 			if !math.IsInf(d, 0) && !math.IsNaN(d) {
-				points = append(points, plotter.XY{X: 100 * sizes[j], Y: max(d, 1)})
+				points = append(points, plotter.XY{X: 100 * faultRates[j], Y: max(d, 1)})
 			}
 		}
 		if len(points) == 0 {
@@ -62,7 +62,7 @@
 		}
 		line.Color, line.Width, dots.Color = colors[i], vg.Points(2), colors[i]
 		p.Add(line, dots)
-		p.Legend.Add(judges[i].name, line)
+		p.Legend.Add(detectors[i].name, line)
 	}
 	p.Legend.Top = true
 	if err := p.Save(18*vg.Centimeter, 11*vg.Centimeter, filepath.Join(folder, "moves-delay.png")); err != nil {
--- a/bench/moves/loopback.go
+++ b/bench/moves/loopback.go
@@ -17,31 +17,31 @@
 	"spokegw/internal/management"
 )
 
-// fault is how the endpoints of a new pool fail.
+// fault describes how the endpoints of a new pool fail.
 type fault struct {
-	name   string
-	answer func(n int64, w http.ResponseWriter, r *http.Request) bool
+	name    string
+	respond func(n int64, w http.ResponseWriter, r *http.Request) bool
 }
 
-// one in so many.
-func oneIn(k int64, do func(w http.ResponseWriter, r *http.Request) bool) func(int64, http.ResponseWriter, *http.Request) bool {
-	return func(n int64, w http.ResponseWriter, r *http.Request) bool { return n%k == 0 && do(w, r) }
+// everyNth applies respond to one of every k requests.
+func everyNth(k int64, respond func(w http.ResponseWriter, r *http.Request) bool) func(int64, http.ResponseWriter, *http.Request) bool {
+	return func(n int64, w http.ResponseWriter, r *http.Request) bool { return n%k == 0 && respond(w, r) }
 }
 
-func errored(w http.ResponseWriter, _ *http.Request) bool {
+func respondError(w http.ResponseWriter, _ *http.Request) bool {
 	w.WriteHeader(http.StatusInternalServerError)
 	return true
 }
 
-func declined(w http.ResponseWriter, _ *http.Request) bool {
+func respondDeclined(w http.ResponseWriter, _ *http.Request) bool {
 	w.Header().Set("Srv-Declined", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return true
 }
 
-func reset(http.ResponseWriter, *http.Request) bool { panic(http.ErrAbortHandler) }
+func resetConnection(http.ResponseWriter, *http.Request) bool { panic(http.ErrAbortHandler) }
 
-func slow(by time.Duration) func(http.ResponseWriter, *http.Request) bool {
+func delayBy(by time.Duration) func(http.ResponseWriter, *http.Request) bool {
 	return func(http.ResponseWriter, *http.Request) bool {
 		time.Sleep(by)
 		return false
@@ -49,16 +49,16 @@
 }
 
 var faults = []fault{
-	{"errors, all at once", oneIn(1, errored)},
-	{"errors, 20%", oneIn(5, errored)},
-	{"errors, 5%", oneIn(20, errored)},
+	{"errors, all at once", everyNth(1, respondError)},
+	{"errors, 20%", everyNth(5, respondError)},
+	{"errors, 5%", everyNth(20, respondError)},
 	{"errors, 2% of status-report", func(n int64, w http.ResponseWriter, r *http.Request) bool {
-		return r.Method == http.MethodPost && n%50 == 0 && errored(w, r)
+		return r.Method == http.MethodPost && n%50 == 0 && respondError(w, r)
 	}},
-	{"declined, 30%", oneIn(3, declined)},
-	{"resets, 10%", oneIn(10, reset)},
-	{"1.3 times as slow", oneIn(1, slow(3*time.Millisecond))},
-	{"a second late, 10%", oneIn(10, slow(time.Second))},
+	{"declined, 30%", everyNth(3, respondDeclined)},
+	{"resets, 10%", everyNth(10, resetConnection)},
+	{"1.3 times as slow", everyNth(1, delayBy(3*time.Millisecond))},
+	{"a second late, 10%", everyNth(10, delayBy(time.Second))},
 }
 
 const moveFile = `[[service]]
@@ -80,42 +80,43 @@
 to.pod = 1
 `
 
-// played is what became of a move.
-type played struct {
-	phase, why    string
-	share         float64 // the largest that was seen
-	took          time.Duration
-	asked, harmed int // since it began
-	refused       int // of harmed
+// moveResult is the outcome of a move.
+type moveResult struct {
+	phase, why       string
+	share            float64 // largest share observed
+	took             time.Duration
+	requests, harmed int // since the move began
+	refused          int // included in harmed
 }
 
 var onlyGood bool
 
-// playLoopback plays each fault, one at a time, and some good moves, so many at once.
-func playLoopback(goodMoves, beside int) error {
+// runLoopback runs a move for each fault, one at a time, then goodMoves moves without
+// a fault, up to parallel of them at once.
+func runLoopback(goodMoves, parallel int) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	const columns = "%-28s %-7s %7s %6s %8s %16s %8s  %s\n" // a row as it is played: all of them take minutes
+	const columns = "%-28s %-7s %7s %6s %8s %16s %8s  %s\n" // printed row by row, as a full run takes minutes
 	fmt.Printf(columns, "NEW POOL", "ENDED", "AFTER", "SHARE", "ASKED", "HARMED", "REFUSED", "WHY")
-	row := func(name string, p played) {
-		fmt.Printf(columns, name, p.phase, fmt.Sprintf("%.1f s", p.took.Seconds()), fmt.Sprintf("%g%%", 100*p.share), fmt.Sprint(p.asked), fmt.Sprintf("%d (%.3f%%)", p.harmed, 100*float64(p.harmed)/float64(max(p.asked, 1))), fmt.Sprint(p.refused), p.why)
+	row := func(name string, p moveResult) {
+		fmt.Printf(columns, name, p.phase, fmt.Sprintf("%.1f s", p.took.Seconds()), fmt.Sprintf("%g%%", 100*p.share), fmt.Sprint(p.requests), fmt.Sprintf("%d (%.3f%%)", p.harmed, 100*float64(p.harmed)/float64(max(p.requests, 1))), fmt.Sprint(p.refused), p.why)
 	}
 	if onlyGood {
 		faults = nil
 	}
 	for _, f := range faults {
-		p, err := playMove(f.answer)
+		p, err := runMove(f.respond)
 		if err != nil {
 			return err
 		}
 		row(f.name, p)
 	}
-	results, places := make(chan error, goodMoves), make(chan struct{}, max(beside, 1))
+	results, slots := make(chan error, goodMoves), make(chan struct{}, max(parallel, 1))
 	var printing sync.Mutex
 	for i := range goodMoves {
 		go func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			p, err := playMove(nil)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			p, err := runMove(nil)
 			printing.Lock()
 			defer printing.Unlock()
 			row(fmt.Sprintf("a good one (%d)", i+1), p)
@@ -129,14 +130,14 @@
 	return failed
 }
 
-// playMove plays one move under load until it is over.
-func playMove(answer func(int64, http.ResponseWriter, *http.Request) bool) (p played, err error) {
+// runMove runs one move under load until it is done or rolled back.
+func runMove(respond func(int64, http.ResponseWriter, *http.Request) bool) (p moveResult, err error) {
 	var n atomic.Int64
 	c := scene.Config{Operator: moveFile, Aim: 400 * time.Millisecond, Deadline: 3 * time.Second}
 	for i := range 8 {
 		e := lab.EndpointConfig{Workers: 64, Body: 512, Work: 10 * time.Millisecond}
-		if i >= 4 && answer != nil {
-			e.Answer = func(w http.ResponseWriter, r *http.Request) bool { return answer(n.Add(1), w, r) }
+		if i >= 4 && respond != nil {
+			e.Answer = func(w http.ResponseWriter, r *http.Request) bool { return respond(n.Add(1), w, r) }
 		}
 		c.Maps = append(c.Maps, e)
 	}
@@ -156,19 +157,19 @@
 		running.Go(func() { l.Run(ctx, s.Addr(), uint64(i)) })
 	}
 	call := func(line string) ([]string, error) {
-		cc, done := context.WithTimeout(ctx, 5*time.Second)
-		defer done()
-		return management.Call(cc, s.Sidecar.AddrManagement(), line)
+		callCtx, cancelCall := context.WithTimeout(ctx, 5*time.Second)
+		defer cancelCall()
+		return management.Call(callCtx, s.Sidecar.AddrManagement(), line)
 	}
 	time.Sleep(2 * time.Second)
-	begun := time.Now()
+	started := time.Now()
 	for _, err = call("begin-move new"); err != nil; _, err = call("begin-move new") {
-		if time.Since(begun) > 10*time.Second {
+		if time.Since(started) > 10*time.Second {
 			return p, err
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	for time.Since(begun) < 2*time.Minute {
+	for time.Since(started) < 2*time.Minute {
 		lines, err := call("show-moves")
 		if err != nil || len(lines) == 0 {
 			return p, fmt.Errorf("show-moves: %v, %w", lines, err)
@@ -185,7 +186,7 @@
 				p.why = strings.ReplaceAll(value, "_", " ")
 			}
 		}
-		p.share, p.took = max(p.share, share), time.Since(begun)
+		p.share, p.took = max(p.share, share), time.Since(started)
 		if p.phase == "done" || p.phase == "undone" {
 			break
 		}
@@ -195,8 +196,8 @@
 	cancel()
 	running.Wait()
 	for _, l := range loads {
-		sum := l.Between(begun, time.Now()) // a sidecar that has just started meets its load with servers it does not know
-		p.asked += sum.Asked
+		sum := l.Between(started, time.Now()) // excludes the time before, when the sidecar has just started and knows nothing about its endpoints
+		p.requests += sum.Asked
 		p.harmed += sum.Asked - sum.InTime
 		p.refused += sum.Refused
 	}
--- a/bench/moves/main.go
+++ b/bench/moves/main.go
@@ -1,7 +1,7 @@
-// Command moves plays moves between two pools in virtual time, thousands of them,
-// and tells how often a good pool is blamed and how soon a bad one is, beside what
-// simpler judges make of the same courses. With -loopback it plays a few over real
-// sockets, with pools that fail on purpose.
+// Command moves simulates thousands of moves between two pools in virtual time. It
+// reports how often a good pool is rolled back and how soon a bad one is, compared with
+// simpler detectors on the same courses. With -loopback it runs a few moves over real
+// sockets, with fault injection in the new pool.
 //
 //	go run ./bench/moves -courses 2000 -plots docs/design
 //	go run ./bench/moves -courses 200 -whole
@@ -23,22 +23,22 @@
 	"spokegw/internal/moves/judge"
 )
 
-// A course: the steps of a move, and a watch of as long as half of them.
+// Durations of a course: the steps of a move and the watch period after them, in seconds.
 const (
-	stepSeconds  = 60
-	watchSeconds = 300
-	perSecond    = 300.0
+	stepSeconds       = 60
+	watchSeconds      = 300
+	requestsPerSecond = 300.0
 )
 
 var shares = []float64{0.01, 0.05, 0.25, 0.5, 1}
 
-// situation tells the rates of the two pools in a second.
-type situation struct {
+// scenario gives the failure rates of the new (p) and the old pool (q) for each second.
+type scenario struct {
 	name  string
 	rates func(second int) (p, q float64)
 }
 
-var good = []situation{
+var goodScenarios = []scenario{
 	{"both 0.1%", func(int) (p, q float64) { return 0.001, 0.001 }},
 	{"both 0.4%", func(int) (p, q float64) { return 0.004, 0.004 }},
 	{"both 1.5%", func(int) (p, q float64) { return 0.015, 0.015 }},
@@ -54,22 +54,22 @@
 	}},
 }
 
-var sizes = []float64{0.01, 0.02, 0.05, 0.1, 0.3, 1}
+var faultRates = []float64{0.01, 0.02, 0.05, 0.1, 0.3, 1}
 
-// onset is when the faults of a bad pool begin: in its second step, of 5%.
-const onset = stepSeconds + 20
+// onsetSecond is when the faults of a bad pool begin: in the second step, at a share of 5%.
+const onsetSecond = stepSeconds + 20
 
-var judges = []struct {
+var detectors = []struct {
 	name string
-	make func() watcher
+	make func() detector
 }{
-	{"e-processes (ours)", newOurs},
+	{"e-processes (ours)", newSequential},
 	{"2% of a 10 s window", newThreshold},
 	{"z test at each step's end", newZ},
-	{"z test each second", newPeekedZ},
+	{"z test each second", newRepeatedZ},
 }
 
-// binomial draws how many of n are bad.
+// binomial draws the number of bad requests out of n.
 func binomial(r *rand.Rand, n int, p float64) (k int) {
 	if p <= 0 {
 		return 0
@@ -77,7 +77,7 @@
 	if p >= 1 {
 		return n
 	}
-	for i := -1; ; k++ { // from one that is bad to the next
+	for i := -1; ; k++ { // geometric gap to the next bad request
 		i += 1 + int(math.Log(1-r.Float64())/math.Log1p(-p))
 		if i >= n {
 			return k
@@ -85,7 +85,7 @@
 	}
 }
 
-// poisson draws how many requests come.
+// poisson draws a number of arrivals.
 func poisson(r *rand.Rand, mean float64) (k int) {
 	for sum := r.ExpFloat64(); sum < mean; sum += r.ExpFloat64() {
 		k++
@@ -93,70 +93,71 @@
 	return k
 }
 
-// play has all judges see a course, and returns when each would have undone it;
-// -1: it would not.
-func play(seed uint64, s situation) (alarms []int) {
+// simulateCourse feeds one course to all detectors and returns the second in which each
+// would have rolled it back, or -1 if it would not.
+func simulateCourse(seed uint64, s scenario) (alarms []int) {
 	r := rand.New(rand.NewPCG(seed, 11))
-	var ws []watcher
-	for _, j := range judges {
+	var ws []detector
+	for _, j := range detectors {
 		ws = append(ws, j.make())
 		alarms = append(alarms, -1)
 	}
 	for second := range len(shares)*stepSeconds + watchSeconds {
 		step := min(second/stepSeconds, len(shares)-1)
 		p, q := s.rates(second)
-		b := judge.Block{New: poisson(r, perSecond*shares[step]), Old: poisson(r, perSecond*(1-shares[step]))}
+		b := judge.Block{New: poisson(r, requestsPerSecond*shares[step]), Old: poisson(r, requestsPerSecond*(1-shares[step]))}
 		b.NewBad, b.OldBad = binomial(r, b.New, p), binomial(r, b.Old, q)
 		for i, w := range ws {
-			if alarms[i] < 0 && w.see(second, b) {
+			if alarms[i] < 0 && w.observe(second, b) {
 				alarms[i] = second
 			}
 			if (second+1)%stepSeconds == 0 && second/stepSeconds < len(shares) {
-				w.step()
+				w.endStep()
 			}
 		}
 	}
 	return alarms
 }
 
-// playAll plays courses on all processors; the result does not depend on how many.
-func playAll(courses int, s situation) [][]int {
+// simulateCourses simulates courses on all processors. Each course has its own seed, so
+// the result does not depend on the number of processors.
+func simulateCourses(courses int, s scenario) [][]int {
 	all := make([][]int, courses)
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	workers := runtime.GOMAXPROCS(0)
 	for w := range workers {
-		playing.Go(func() {
+		running.Go(func() {
 			for i := w; i < courses; i += workers {
-				all[i] = play(uint64(i), s)
+				all[i] = simulateCourse(uint64(i), s)
 			}
 		})
 	}
-	playing.Wait()
+	running.Wait()
 	return all
 }
 
-var rate *float64 // requests a second over sockets
+var rate *float64 // requests per second with -loopback
 
 func main() {
-	courses := flag.Int("courses", 500, "of each scene")
-	plots := flag.String("plots", "", "folder for plots")
-	loopback := flag.Bool("loopback", false, "play moves over real sockets instead")
-	goodMoves := flag.Int("good", 4, "good moves to play with -loopback")
-	flag.BoolVar(&onlyGood, "only-good", false, "with -loopback, no faults")
-	beside := flag.Int("beside", 1, "good moves that are played at once")
-	rate = flag.Float64("rate", 1100, "requests a second with -loopback, 1 to 20,000")
-	wholes := flag.Bool("whole", false, "play whole moves in virtual time instead, with all classes and kinds of faults")
+	courses := flag.Int("courses", 500, "courses per scenario")
+	plots := flag.String("plots", "", "directory to write the plots to")
+	loopback := flag.Bool("loopback", false, "run moves over real sockets instead")
+	goodMoves := flag.Int("good", 4, "good moves to run with -loopback")
+	flag.BoolVar(&onlyGood, "only-good", false, "with -loopback, skip the moves with faults")
+	parallel := flag.Int("beside", 1, "good moves to run in parallel with -loopback")
+	rate = flag.Float64("rate", 1100, "requests per second with -loopback, 1 to 20,000")
+	whole := flag.Bool("whole", false, "simulate whole moves in virtual time instead, with all classes and fault types")
 	flag.Parse()
 	if !(*rate >= 1 && *rate <= 20000) {
-		fmt.Fprintln(os.Stderr, "moves: -rate is to be from 1 to 20,000")
+		fmt.Fprintln(os.Stderr, "moves: -rate must be from 1 to 20,000")
 		os.Exit(2)
 	}
 	run := func() error { return simulate(*courses, *plots) }
-	if *wholes {
-		run = func() error { return playWhole(*courses) }
+	if *whole {
+		run = func() error { return simulateWholeMoves(*courses) }
 	}
 	if *loopback {
-		run = func() error { return playLoopback(*goodMoves, *beside) }
+		run = func() error { return runLoopback(*goodMoves, *parallel) }
 	}
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "moves:", err)
@@ -168,45 +169,45 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	heading := func(first string) {
 		fmt.Fprint(w, first)
-		for _, j := range judges {
+		for _, j := range detectors {
 			fmt.Fprintf(w, "\t%s", j.name)
 		}
 		fmt.Fprintln(w)
 	}
-	fmt.Fprintf(w, "%d courses of %d s at %v requests a second\n\n", courses, len(shares)*stepSeconds+watchSeconds, perSecond)
+	fmt.Fprintf(w, "%d courses of %d s at %v requests a second\n\n", courses, len(shares)*stepSeconds+watchSeconds, requestsPerSecond)
 	heading("GOOD POOLS UNDONE")
-	blamed := make([][]float64, len(judges)) // by judge and scene, percent
-	for _, s := range good {
-		all := playAll(courses, s)
+	undonePercent := make([][]float64, len(detectors)) // by detector and scenario
+	for _, s := range goodScenarios {
+		all := simulateCourses(courses, s)
 		fmt.Fprint(w, s.name)
-		for i := range judges {
+		for i := range detectors {
 			n := 0
 			for _, a := range all {
 				if a[i] >= 0 {
 					n++
 				}
 			}
-			part := 100 * float64(n) / float64(courses)
-			blamed[i] = append(blamed[i], part)
-			fmt.Fprintf(w, "\t%.2f%%", part)
+			percent := 100 * float64(n) / float64(courses)
+			undonePercent[i] = append(undonePercent[i], percent)
+			fmt.Fprintf(w, "\t%.2f%%", percent)
 		}
 		fmt.Fprintln(w)
 	}
 	fmt.Fprintln(w)
 	heading("SECONDS TO UNDO, MEDIAN AND 95TH; MISSED")
-	delays := make([][]float64, len(judges)) // by judge and size, median
-	for _, size := range sizes {
-		all := playAll(courses, situation{rates: func(s int) (p, q float64) {
-			if s < onset {
+	delays := make([][]float64, len(detectors)) // median in seconds, by detector and fault rate
+	for _, size := range faultRates {
+		all := simulateCourses(courses, scenario{rates: func(s int) (p, q float64) {
+			if s < onsetSecond {
 				return 0.001, 0.001
 			}
 			return size, 0.001
 		}})
 		fmt.Fprintf(w, "%g%%", 100*size)
-		for i := range judges {
-			median, late, missed := delay(all, i)
+		for i := range detectors {
+			median, p95, missedPercent := detectionDelay(all, i)
 			delays[i] = append(delays[i], median)
-			fmt.Fprintf(w, "\t%.0f, %.0f; %.1f%%", median, late, missed)
+			fmt.Fprintf(w, "\t%.0f, %.0f; %.1f%%", median, p95, missedPercent)
 		}
 		fmt.Fprintln(w)
 	}
@@ -214,23 +215,24 @@
 	if plots == "" {
 		return nil
 	}
-	return draw(plots, blamed, delays)
+	return draw(plots, undonePercent, delays)
 }
 
-// delay sums up how long a judge took after the onset; what it undid before that
-// is left out, and what it never undid counts as missed and as longest.
-func delay(all [][]int, judge int) (median, late, missed float64) {
+// detectionDelay summarises how long a detector took after the onset, in seconds. Courses
+// rolled back before the onset are left out; courses never rolled back count as missed,
+// with an infinite delay.
+func detectionDelay(all [][]int, index int) (median, p95, missedPercent float64) {
 	var took []float64
-	n, none := 0, 0
+	n, missedCount := 0, 0
 	for _, a := range all {
-		switch at := a[judge]; {
-		case at >= 0 && at < onset:
+		switch at := a[index]; {
+		case at >= 0 && at < onsetSecond:
 			continue
 		case at < 0:
-			none++
+			missedCount++
 			took = append(took, math.Inf(1))
 		default:
-			took = append(took, float64(at-onset+1))
+			took = append(took, float64(at-onsetSecond+1))
 		}
 		n++
 	}
@@ -238,5 +240,5 @@
 		return math.NaN(), math.NaN(), 0
 	}
 	slices.Sort(took)
-	return took[n/2], took[n*95/100], 100 * float64(none) / float64(n)
+	return took[n/2], took[n*95/100], 100 * float64(missedCount) / float64(n)
 }
--- a/bench/moves/rivals.go
+++ b/bench/moves/rivals.go
@@ -6,63 +6,63 @@
 	"spokegw/internal/moves/judge"
 )
 
-// watcher looks at the two pools second by second, and says when it would undo.
-type watcher interface {
-	see(second int, b judge.Block) (alarm bool)
-	step() // a step has ended, and the next begins
+// detector observes the two pools second by second and reports when it would roll back.
+type detector interface {
+	observe(second int, b judge.Block) (alarm bool)
+	endStep() // called at the end of each step of the move
 }
 
-// ours are the tracks of a move as it runs them: one kind of fault of one class,
-// at the level of eight of them.
-type ours struct{ track *judge.SequentialTest }
+// sequential is the sequential test that a move runs for one fault type of one class, at
+// the evidence level that applies when eight such tests run together.
+type sequential struct{ test *judge.SequentialTest }
 
-const level = 1600
+const evidenceLevel = 1600
 
-func newOurs() watcher {
-	return &ours{judge.NewSequentialTest(judge.Guard{Bound: 0.005, Margin: 1.5})}
+func newSequential() detector {
+	return &sequential{judge.NewSequentialTest(judge.Guard{Bound: 0.005, Margin: 1.5})}
 }
 
-func (o *ours) see(_ int, b judge.Block) bool {
-	o.track.Add(b)
+func (o *sequential) observe(_ int, b judge.Block) bool {
+	o.test.Add(b)
 	if b.Old == 0 {
-		return o.track.WorseThanBound() >= level
+		return o.test.WorseThanBound() >= evidenceLevel
 	}
-	return o.track.WorseEvidence() >= level
+	return o.test.WorseEvidence() >= evidenceLevel
 }
-func (o *ours) step() {}
+func (o *sequential) endStep() {}
 
-// threshold is a fixed bound on a window of 10 s, as many tools have it: the new
-// pool fails over 2%, of ten requests at least.
+// threshold is a fixed bound on a 10 s window, as in many tools: it rolls back if the new
+// pool fails more than 2% of at least ten requests.
 type threshold struct {
-	seen [10]judge.Block
+	window [10]judge.Block
 }
 
-func newThreshold() watcher { return &threshold{} }
+func newThreshold() detector { return &threshold{} }
 
-func (t *threshold) see(second int, b judge.Block) bool {
-	t.seen[second%len(t.seen)] = b
+func (t *threshold) observe(second int, b judge.Block) bool {
+	t.window[second%len(t.window)] = b
 	n, bad := 0, 0
-	for _, s := range t.seen {
+	for _, s := range t.window {
 		n, bad = n+s.New, bad+s.NewBad
 	}
 	return n >= 10 && float64(bad) > 0.02*float64(n)
 }
-func (t *threshold) step() { *t = threshold{} }
+func (t *threshold) endStep() { *t = threshold{} }
 
-// zTest compares the two rates with the normal law at 1%, over a step. It is right
-// where it looks once, at the end of the step.
+// zTest compares the two rates over a step by a one-sided z test at the 1% level. That
+// level holds only if the test is evaluated once, at the end of the step.
 type zTest struct {
-	peeks bool // it looks every second
-	sum   judge.Block
+	everySecond bool // evaluated each second, not only at the end of a step
+	sum         judge.Block
 }
 
-func newZ() watcher       { return &zTest{} }
-func newPeekedZ() watcher { return &zTest{peeks: true} }
+func newZ() detector         { return &zTest{} }
+func newRepeatedZ() detector { return &zTest{everySecond: true} }
 
-func (z *zTest) see(second int, b judge.Block) bool {
+func (z *zTest) observe(second int, b judge.Block) bool {
 	z.sum.New, z.sum.NewBad = z.sum.New+b.New, z.sum.NewBad+b.NewBad
 	z.sum.Old, z.sum.OldBad = z.sum.Old+b.Old, z.sum.OldBad+b.OldBad
-	if !z.peeks && (second+1)%stepSeconds != 0 {
+	if !z.everySecond && (second+1)%stepSeconds != 0 {
 		return false
 	}
 	s := &z.sum
@@ -70,8 +70,8 @@
 		return false
 	}
 	p, q := float64(s.NewBad)/float64(s.New), float64(s.OldBad)/float64(s.Old)
-	both := float64(s.NewBad+s.OldBad) / float64(s.New+s.Old)
-	sd := math.Sqrt(both * (1 - both) * (1/float64(s.New) + 1/float64(s.Old)))
+	pooled := float64(s.NewBad+s.OldBad) / float64(s.New+s.Old)
+	sd := math.Sqrt(pooled * (1 - pooled) * (1/float64(s.New) + 1/float64(s.Old)))
 	return sd > 0 && (p-q)/sd > 2.326
 }
-func (z *zTest) step() { z.sum = judge.Block{} }
+func (z *zTest) endStep() { z.sum = judge.Block{} }
--- a/bench/moves/whole.go
+++ b/bench/moves/whole.go
@@ -14,16 +14,16 @@
 	"spokegw/internal/moves"
 )
 
-// whole are moves as they run: all classes, kinds of faults and steps.
-type whole struct {
+// wholeMove is a scenario for a complete move, with all classes, fault types and steps.
+type wholeMove struct {
 	name   string
 	course pools.Course
 }
 
-func onNew(_ *pools.Play, s *moves.AttemptResult) bool { return s.New }
-func always(*pools.Play, *moves.AttemptResult) bool    { return true }
+func fromNewPool(_ *pools.Play, s *moves.AttemptResult) bool { return s.New }
+func always(*pools.Play, *moves.AttemptResult) bool          { return true }
 
-func wholeMoves() []whole {
+func wholeMoveScenarios() []wholeMove {
 	times := func(x float64) func(*pools.Play, *moves.AttemptResult) float64 {
 		return func(_ *pools.Play, s *moves.AttemptResult) float64 {
 			if s.New {
@@ -38,7 +38,7 @@
 		}
 		return 1
 	}
-	return []whole{
+	return []wholeMove{
 		{"good: both 0.1%", pools.Course{Bad: pools.Failing(0.001, always)}},
 		{"good: both 0.4%", pools.Course{Bad: pools.Failing(0.004, always)}},
 		{"good: both 2%", pools.Course{Bad: pools.Failing(0.02, always)}},
@@ -51,8 +51,8 @@
 		}}},
 		{"good: one endpoint of five fails 30%", pools.Course{Bad: pools.Failing(0.3, func(_ *pools.Play, s *moves.AttemptResult) bool { return s.Endpoint == pools.Size+2 })}},
 		{"good: within the margin, 1.1 times as slow", pools.Course{Slower: times(1.1)}},
-		{"bad: errors, 20%", pools.Course{Bad: pools.Failing(0.2, onNew)}},
-		{"bad: errors, 5%", pools.Course{Bad: pools.Failing(0.05, onNew)}},
+		{"bad: errors, 20%", pools.Course{Bad: pools.Failing(0.2, fromNewPool)}},
+		{"bad: errors, 5%", pools.Course{Bad: pools.Failing(0.05, fromNewPool)}},
 		{"bad: errors, 2% of one class in ten", pools.Course{Bad: pools.Failing(0.02, func(_ *pools.Play, s *moves.AttemptResult) bool { return s.New && s.Class == 1 })}},
 		{"bad: errors above 40% of the load, 10%", pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && p.Share() > 0.4 })}},
 		{"bad: errors in the watch, 10%", pools.Course{Bad: pools.Failing(0.1, func(p *pools.Play, s *moves.AttemptResult) bool { return s.New && p.Progress().Phase == moves.Watching })}},
@@ -62,24 +62,24 @@
 	}
 }
 
-// playWhole plays whole moves and prints what became of them.
-func playWhole(courses int) error {
+// simulateWholeMoves simulates whole moves and prints their outcomes.
+func simulateWholeMoves(courses int) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "%d moves of each kind, at %v requests a second\n\nNEW POOL\tTAKEN ON\tUNDONE\tNEITHER IN 2 H\tSECONDS, MEDIAN AND 95TH\tHARMED OF ALL, MEAN AND MOST\n", courses, perSecond)
-	for _, m := range wholeMoves() {
+	fmt.Fprintf(w, "%d moves of each kind, at %v requests a second\n\nNEW POOL\tTAKEN ON\tUNDONE\tNEITHER IN 2 H\tSECONDS, MEDIAN AND 95TH\tHARMED OF ALL, MEAN AND MOST\n", courses, requestsPerSecond)
+	for _, m := range wholeMoveScenarios() {
 		all := make([]*pools.Play, courses)
-		var playing sync.WaitGroup
+		var running sync.WaitGroup
 		workers := runtime.GOMAXPROCS(0)
 		for k := range workers {
-			playing.Go(func() {
+			running.Go(func() {
 				for i := k; i < courses; i += workers {
 					c := m.course
-					c.Seed, c.Rate, c.Seconds = uint64(i), perSecond, int(2*time.Hour/time.Second)
+					c.Seed, c.Rate, c.Seconds = uint64(i), requestsPerSecond, int(2*time.Hour/time.Second)
 					all[i] = c.Run()
 				}
 			})
 		}
-		playing.Wait()
+		running.Wait()
 		done, undone := 0, 0
 		var took []int
 		sum, most := 0.0, 0.0
@@ -91,8 +91,8 @@
 				undone++
 			}
 			took = append(took, p.Second)
-			part := 100 * float64(p.Harmed) / float64(p.Asked)
-			sum, most = sum+part, max(most, part)
+			percent := 100 * float64(p.Harmed) / float64(p.Asked)
+			sum, most = sum+percent, max(most, percent)
 		}
 		slices.Sort(took)
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d, %d\t%.3f%%, %.3f%%\n", m.name, done, undone, courses-done-undone, took[len(took)/2], took[len(took)*95/100], sum/float64(courses), most)
