--- a/bench/overload/main.go
+++ b/bench/overload/main.go
@@ -1,7 +1,7 @@
-// Command overload tells what a sidecar is worth beyond its own processor: a process with
-// one core meets open-loop clients at multiples of what it can do, with endpoints that have
-// room for all. It prints, for each multiple, the worth that was answered in time, what was
-// late, refused and failed, by class, and what the sidecar's processor did.
+// Command overload measures a sidecar that is offered more than its own processor can
+// handle: a process with one core gets open-loop traffic at multiples of its capacity, with
+// endpoints that have capacity for all of it. For each multiple it prints the worth answered
+// in time, the late, refused and failed requests by class, and the sidecar's CPU usage.
 //
 //	go build -o bin/ ./cmd/spokegw && go run ./bench/overload -multiples 0.5,1,2,4,10
 package main
@@ -26,32 +26,32 @@
 )
 
 const (
-	aim         = 100 * time.Millisecond
-	deadline    = 400 * time.Millisecond
-	give        = 500 * time.Millisecond
-	workers     = 2000 // of each endpoint: they are never what is short
-	drives      = 4    // loads of each class, each with connections of its own
-	warmUp      = time.Second
-	readyWithin = 10 * time.Second
+	aim           = 100 * time.Millisecond
+	deadline      = 400 * time.Millisecond
+	clientTimeout = 500 * time.Millisecond
+	workers       = 2000 // per endpoint, so that endpoints are never the bottleneck
+	loadsPerClass = 4    // each load has its own connections
+	warmUp        = time.Second
+	readyWithin   = 10 * time.Second
 )
 
-// class is what is asked for, and what an answer in time is worth.
+// class is a class of requests, with the worth of an answer in time.
 type class struct {
-	name  string
-	keyed bool
-	worth float64
-	part  float64 // of the requests
+	name     string
+	keyed    bool
+	worth    float64
+	fraction float64 // of all requests
 }
 
 var classes = []class{{"map-tile", false, 1, 0.8}, {"status-report", true, 3, 0.2}}
 
 func main() {
-	raiseLimit()
-	program := flag.String("program", "bin/spokegw", "the sidecar's command")
-	one := flag.Float64("one", 6000, "requests a second that count as 1")
-	multiples := flag.String("multiples", "0.5,1,2,4,10", "of that, one after the other")
-	lasts := flag.Duration("lasts", 4*time.Second, "each")
-	settings := flag.String("settings", "", "further lines of the operator's file")
+	raiseFileLimit()
+	program := flag.String("program", "bin/spokegw", "path of the sidecar binary")
+	baseRate := flag.Float64("one", 6000, "requests per second at multiple 1")
+	multiples := flag.String("multiples", "0.5,1,2,4,10", "multiples of -one to offer, one after the other")
+	duration := flag.Duration("lasts", 4*time.Second, "measured duration per multiple")
+	settings := flag.String("settings", "", "lines to append to the operator file")
 	verbose := flag.Bool("v", false, "show the sidecar's log")
 	flag.Parse()
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -59,10 +59,10 @@
 	for text := range strings.SplitSeq(*multiples, ",") {
 		x, err := strconv.ParseFloat(text, 64)
 		if err == nil && !(x > 0 && x <= 50) {
-			err = fmt.Errorf("-multiples: %v, more than 0 and at most 50 is expected", x)
+			err = fmt.Errorf("-multiples: %v is not above 0 and at most 50", x)
 		}
 		if err == nil {
-			err = play(w, config{*program, *settings, x, x * *one, *lasts, *verbose})
+			err = measure(w, config{*program, *settings, x, x * *baseRate, *duration, *verbose})
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "overload:", err)
@@ -75,12 +75,12 @@
 type config struct {
 	program, settings string
 	multiple, rate    float64
-	lasts             time.Duration
+	duration          time.Duration
 	verbose           bool
 }
 
-// play starts a sidecar and has it meet a rate.
-func play(w *tabwriter.Writer, c config) error {
+// measure starts a sidecar, offers it one rate and prints the result.
+func measure(w *tabwriter.Writer, c config) error {
 	dir, err := os.MkdirTemp("", "spokegw-overload-")
 	if err != nil {
 		return err
@@ -101,16 +101,16 @@
 		return err
 	}
 	defer p.Stop(5 * time.Second)
-	starting, cancel := context.WithTimeout(context.Background(), readyWithin)
+	readyCtx, cancel := context.WithTimeout(context.Background(), readyWithin)
 	defer cancel()
-	if _, err := p.Ready(starting); err != nil {
+	if _, err := p.Ready(readyCtx); err != nil {
 		return err
 	}
-	counted := time.Now().Add(warmUp)
-	ctx, stop := context.WithDeadline(context.Background(), counted.Add(c.lasts))
+	countFrom := time.Now().Add(warmUp)
+	ctx, stop := context.WithDeadline(context.Background(), countFrom.Add(c.duration))
 	defer stop()
-	loads := drive(ctx, listen, c)
-	tell(w, c, loads, counted, p)
+	loads := runLoads(ctx, listen, c)
+	printRow(w, c, loads, countFrom, p)
 	return nil
 }
 
@@ -136,35 +136,35 @@
 	return process.Start(c.program, "", env, nil)
 }
 
-// drive has clients ask until ctx ends; it returns their loads by class.
-func drive(ctx context.Context, listen string, c config) [][]*lab.Load {
+// runLoads generates requests until ctx ends and returns the loads by class.
+func runLoads(ctx context.Context, listen string, c config) [][]*lab.Load {
 	loads := make([][]*lab.Load, len(classes))
-	var asking sync.WaitGroup
-	for i, k := range classes {
-		for n := range drives {
-			l := &lab.Load{Team: "kiosks", Path: "/" + k.name + "/1", Kind: k.name, Keyed: k.keyed, Wanted: aim, Give: give, Idle: 4096,
-				Rate: func(time.Duration) float64 { return c.rate * k.part / drives }}
-			if k.keyed {
+	var running sync.WaitGroup
+	for i, class := range classes {
+		for n := range loadsPerClass {
+			l := &lab.Load{Team: "kiosks", Path: "/" + class.name + "/1", Kind: class.name, Keyed: class.keyed, Wanted: aim, Give: clientTimeout, Idle: 4096,
+				Rate: func(time.Duration) float64 { return c.rate * class.fraction / loadsPerClass }}
+			if class.keyed {
 				l.Method = "POST"
 			}
 			loads[i] = append(loads[i], l)
-			asking.Go(func() { l.Run(ctx, listen, uint64(i*drives+n)) })
+			running.Go(func() { l.Run(ctx, listen, uint64(i*loadsPerClass+n)) })
 		}
 	}
-	asking.Wait()
+	running.Wait()
 	return loads
 }
 
-// tell tells of what was asked from a time on.
-func tell(w *tabwriter.Writer, c config, loads [][]*lab.Load, from time.Time, p *process.Process) {
+// printRow prints the results of the requests sent from countFrom on.
+func printRow(w *tabwriter.Writer, c config, loads [][]*lab.Load, countFrom time.Time, p *process.Process) {
 	type counts struct{ all, inTime, late, refused, failed int }
-	by := make([]counts, len(classes))
+	byClass := make([]counts, len(classes))
 	worth, offered := 0.0, 0.0
 	for i := range classes {
-		n := &by[i]
+		n := &byClass[i]
 		for _, l := range loads[i] {
 			for _, r := range l.Results() {
-				if r.At.Before(from) {
+				if r.At.Before(countFrom) {
 					continue
 				}
 				n.all++
@@ -183,20 +183,20 @@
 		worth += classes[i].worth * float64(n.inTime)
 		offered += classes[i].worth * float64(n.all)
 	}
-	part := func(n, of int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(max(of, 1))) }
-	for i, n := range by {
+	percent := func(n, of int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(max(of, 1))) }
+	for i, n := range byClass {
 		head := "\t\t\t"
 		if i == 0 {
-			head = fmt.Sprintf("%.4gx\t%.0f\t%.0f\t%.1f%%", c.multiple, float64(by[0].all+by[1].all)/c.lasts.Seconds(), worth/c.lasts.Seconds(), 100*worth/max(offered, 1))
+			head = fmt.Sprintf("%.4gx\t%.0f\t%.0f\t%.1f%%", c.multiple, float64(byClass[0].all+byClass[1].all)/c.duration.Seconds(), worth/c.duration.Seconds(), 100*worth/max(offered, 1))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.2f\t\n", head, classes[i].name, part(n.inTime, n.all), part(n.late, n.all), part(n.refused, n.all), part(n.failed, n.all),
-			p.Processor().Seconds()/(c.lasts+warmUp).Seconds())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.2f\t\n", head, classes[i].name, percent(n.inTime, n.all), percent(n.late, n.all), percent(n.refused, n.all), percent(n.failed, n.all),
+			p.Processor().Seconds()/(c.duration+warmUp).Seconds())
 	}
 }
 
-// raiseLimit has this process hold as many descriptors as it may: its clients and
-// endpoints have thousands of connections.
-func raiseLimit() {
+// raiseFileLimit raises the soft limit on file descriptors to the hard limit, as the
+// clients and endpoints of this process have thousands of connections.
+func raiseFileLimit() {
 	var l unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &l) == nil && l.Cur < l.Max {
 		l.Cur = l.Max
