--- a/bench/standstill/main.go
+++ b/bench/standstill/main.go
@@ -1,12 +1,11 @@
-// Command standstill measures how long this machine's processors stand still, and whether
-// that is booked as processor time of the thread that was running.
+// Command standstill measures stalls of this machine's processors, and whether the time is
+// accounted as CPU time of the thread that was running.
 //
-// Some threads read the clock and their own processor time over and over. Between two reads
-// next to nothing is done, so a gap in the clock is time in which the thread did not get
-// on. Where the scheduler had taken its processor away the thread's own time stands
-// still meanwhile; where the machine itself stood still (a hypervisor that gave its
-// processors to others, a long time in the kernel) it goes on, and whatever derives a clock
-// from processor time sees a jump.
+// Several threads read the monotonic clock and their own CPU time in a loop. Almost no work
+// is done between two reads, so a gap in the clock is time in which the thread made no
+// progress. If the scheduler had preempted the thread, its CPU time does not advance during
+// the gap. If the machine itself stalled (a hypervisor that ran other guests, a long time in
+// the kernel), the CPU time does advance, and any clock derived from CPU time jumps.
 package main
 
 import (
@@ -21,25 +20,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// gap is a pair of reads that lay apart.
+// gap is the time between two successive reads, by the clock and in CPU time.
 type gap struct {
-	clock, own time.Duration
+	clock, cpu time.Duration
 }
 
-const mostGaps = 1 << 16 // that a thread notes
+const maxGaps = 1 << 16 // recorded per thread
 
-// watch reads until a time, and returns the pairs at least as far apart as least.
-func watch(until time.Time, least time.Duration) (gaps []gap, reads int) {
+// findGaps reads both clocks until a time and returns the gaps of at least minGap.
+func findGaps(until time.Time, minGap time.Duration) (gaps []gap, reads int) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	clock, own := readClock(unix.CLOCK_MONOTONIC), readClock(unix.CLOCK_THREAD_CPUTIME_ID)
+	clock, cpu := readClock(unix.CLOCK_MONOTONIC), readClock(unix.CLOCK_THREAD_CPUTIME_ID)
 	for time.Now().Before(until) {
 		for range 1000 {
-			nextClock, nextOwn := readClock(unix.CLOCK_MONOTONIC), readClock(unix.CLOCK_THREAD_CPUTIME_ID)
-			if nextClock-clock >= least && len(gaps) < mostGaps {
-				gaps = append(gaps, gap{nextClock - clock, nextOwn - own})
+			nextClock, nextCPU := readClock(unix.CLOCK_MONOTONIC), readClock(unix.CLOCK_THREAD_CPUTIME_ID)
+			if nextClock-clock >= minGap && len(gaps) < maxGaps {
+				gaps = append(gaps, gap{nextClock - clock, nextCPU - cpu})
 			}
-			clock, own = nextClock, nextOwn
+			clock, cpu = nextClock, nextCPU
 			reads++
 		}
 	}
@@ -57,9 +56,9 @@
 }
 
 func main() {
-	threads := flag.Int("threads", runtime.NumCPU(), "that read")
-	span := flag.Duration("for", 30*time.Second, "how long")
-	least := flag.Duration("least", 10*time.Millisecond, "shortest gap that is counted")
+	threads := flag.Int("threads", runtime.NumCPU(), "threads that read the clocks")
+	duration := flag.Duration("for", 30*time.Second, "duration of the measurement")
+	minGap := flag.Duration("least", 10*time.Millisecond, "shortest gap that is counted")
 	flag.Parse()
 	runtime.GOMAXPROCS(*threads + 1)
 	var (
@@ -68,24 +67,24 @@
 		reads int
 		group sync.WaitGroup
 	)
-	until := time.Now().Add(*span)
+	until := time.Now().Add(*duration)
 	for range *threads {
 		group.Go(func() {
-			gaps, n := watch(until, *least)
+			gaps, n := findGaps(until, *minGap)
 			mu.Lock()
 			defer mu.Unlock()
 			all, reads = append(all, gaps...), reads+n
 		})
 	}
 	group.Wait()
-	booked := slices.DeleteFunc(slices.Clone(all), func(g gap) bool { return g.own < g.clock/2 })
-	fmt.Printf("%d threads for %v, %d reads: %d gaps of %v or more, the longest %v\n", *threads, *span, reads, len(all), *least, longest(all))
-	fmt.Printf("booked as the thread's own processor time: %d, the longest %v\n", len(booked), longest(booked))
+	onCPU := slices.DeleteFunc(slices.Clone(all), func(g gap) bool { return g.cpu < g.clock/2 })
+	fmt.Printf("%d threads for %v, %d reads: %d gaps of %v or more, the longest %v\n", *threads, *duration, reads, len(all), *minGap, longest(all))
+	fmt.Printf("booked as the thread's own processor time: %d, the longest %v\n", len(onCPU), longest(onCPU))
 }
 
-func longest(gaps []gap) (most time.Duration) {
+func longest(gaps []gap) (longestClock time.Duration) {
 	for _, g := range gaps {
-		most = max(most, g.clock)
+		longestClock = max(longestClock, g.clock)
 	}
-	return most
+	return longestClock
 }
