--- a/bench/sites/main.go
+++ b/bench/sites/main.go
@@ -1,5 +1,5 @@
-// Command sites plays the loss of a whole site and its return in virtual time, with four
-// ways to bear it, and tells what clients have of it.
+// Command sites simulates the loss and return of a whole site in virtual time, with four
+// balancing modes, and reports the effect on clients.
 //
 //	go run ./bench/sites [-seeds 5] [-load 0.75] [-gateways 30] [-sites 3] [-plot FILE]
 package main
@@ -19,42 +19,42 @@
 )
 
 var (
-	seeds    = flag.Uint64("seeds", 5, "plays of each way")
-	from     = flag.Uint64("from", 1, "the first one's seed")
-	load     = flag.Float64("load", 0.75, "part of the whole capacity that is asked for")
-	gateways = flag.Int("gateways", 30, "sidecars, in the sites in turn")
-	count    = flag.Int("sites", 3, "sites, of ten servers each")
-	away     = flag.Duration("away", 30*time.Second, "that the site is lost")
+	seeds        = flag.Uint64("seeds", 5, "runs per mode")
+	firstSeed    = flag.Uint64("from", 1, "first seed")
+	load         = flag.Float64("load", 0.75, "offered load as a fraction of the whole capacity")
+	gateways     = flag.Int("gateways", 30, "sidecars, assigned to the sites in turn")
+	siteCount    = flag.Int("sites", 3, "sites, of ten servers each")
+	lossDuration = flag.Duration("away", 30*time.Second, "how long the site is lost")
 )
 
 const step = 500 * time.Millisecond
 
-// result is what came of one play; times are in seconds, from the loss or the return.
+// result is the outcome of one run; times are in seconds from the loss or the return.
 type result struct {
-	givenUp, whole  float64 // the site is met by nobody but those that look; by all
-	lost, back      float64 // worth served, over the best possible, in the 30 s after each
-	falls           float64
-	failed, refused float64 // part of what was asked for, in the 30 s after the loss
-	before          float64
+	unroutedAfter, recoveredAfter float64 // until the site gets only probes; until all sidecars route to it again
+	afterLoss, afterReturn        float64 // worth served over the best possible, in the 30 s after each event
+	crashes                     float64
+	failed, refused               float64 // fraction of the requests in the 30 s after the loss
+	before                        float64
 }
 
 func main() {
 	flag.Parse()
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "way\tworth before\tin 30 s of the loss, over the best\tfailed %\trefused %\tin 30 s of the return\tfalls\tgiven up after s, worst\twhole after s")
-	for _, way := range []hardware.Way{hardware.Breaker, hardware.Alone, hardware.Fleet, hardware.Sites} {
+	for _, mode := range []hardware.Way{hardware.Breaker, hardware.Alone, hardware.Fleet, hardware.Sites} {
 		all := make([]result, *seeds)
-		var playing sync.WaitGroup
+		var running sync.WaitGroup
 		for i := range all {
-			playing.Go(func() { all[i] = play(way, *from+uint64(i)) })
+			running.Go(func() { all[i] = simulate(mode, *firstSeed+uint64(i)) })
 		}
-		playing.Wait()
-		of := func(f func(r result) float64) float64 { return median(all, f) }
-		fmt.Fprintf(w, "%v\t%.3f\t%.3f\t%.1f\t%.1f\t%.3f\t%.0f\t", way, of(func(r result) float64 { return r.before }), of(func(r result) float64 { return r.lost }),
-			100*of(func(r result) float64 { return r.failed }), 100*of(func(r result) float64 { return r.refused }), of(func(r result) float64 { return r.back }), of(func(r result) float64 { return r.falls }))
-		if way == hardware.Sites {
-			worst := slices.MaxFunc(all, func(a, b result) int { return int(10 * (a.givenUp - b.givenUp)) })
-			fmt.Fprintf(w, "%.1f, %.1f\t%.1f\n", of(func(r result) float64 { return r.givenUp }), worst.givenUp, of(func(r result) float64 { return r.whole }))
+		running.Wait()
+		medianOf := func(f func(r result) float64) float64 { return median(all, f) }
+		fmt.Fprintf(w, "%v\t%.3f\t%.3f\t%.1f\t%.1f\t%.3f\t%.0f\t", mode, medianOf(func(r result) float64 { return r.before }), medianOf(func(r result) float64 { return r.afterLoss }),
+			100*medianOf(func(r result) float64 { return r.failed }), 100*medianOf(func(r result) float64 { return r.refused }), medianOf(func(r result) float64 { return r.afterReturn }), medianOf(func(r result) float64 { return r.crashes }))
+		if mode == hardware.Sites {
+			worst := slices.MaxFunc(all, func(a, b result) int { return int(10 * (a.unroutedAfter - b.unroutedAfter)) })
+			fmt.Fprintf(w, "%.1f, %.1f\t%.1f\n", medianOf(func(r result) float64 { return r.unroutedAfter }), worst.unroutedAfter, medianOf(func(r result) float64 { return r.recoveredAfter }))
 		} else {
 			fmt.Fprint(w, "\t\n")
 		}
@@ -71,67 +71,67 @@
 	return x[len(x)/2]
 }
 
-func play(way hardware.Way, seed uint64) (r result) {
+func simulate(mode hardware.Way, seed uint64) (r result) {
 	var names []string
 	var servers []*hardware.Server
-	for s := range *count {
+	for s := range *siteCount {
 		names = append(names, fmt.Sprint("s", s))
 		for i := range 10 {
 			servers = append(servers, &hardware.Server{Site: names[s], Listed: 1 + float64(i%2), Kind: i % 2, Workers: 2 * (1 + i%2), Speed: 1, Queue: 40})
 		}
 	}
 	l := hardware.New(hardware.Config{
-		Seed: seed, Way: way, Gateways: *gateways, Servers: servers, SiteNames: names, Load: func(time.Duration) float64 { return *load },
+		Seed: seed, Way: mode, Gateways: *gateways, Servers: servers, SiteNames: names, Load: func(time.Duration) float64 { return *load },
 		Classes: []hardware.Class{
 			{Class: policy.Class{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1, LateWorth: 0.3}, Part: 0.7, Work: 20 * time.Millisecond, Spray: 0.7, Hint: 1},
 			{Class: policy.Class{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 9, LateWorth: 0.3}, Part: 0.3, Work: 60 * time.Millisecond, Spray: 0.7, Hint: 1},
 		},
 	})
 	l.Play(20 * time.Second)
-	part := func(lasts time.Duration, each func(at float64)) (worth float64, t hardware.Tally) {
+	phase := func(duration time.Duration, afterStep func(at float64)) (worth float64, t hardware.Tally) {
 		l.Tally = hardware.Tally{}
-		for at := time.Duration(0); at < lasts; at += step {
+		for at := time.Duration(0); at < duration; at += step {
 			l.Play(step)
-			each((at + step).Seconds())
+			afterStep((at + step).Seconds())
 		}
 		return l.Tally.Worth / l.Tally.Possible, l.Tally
 	}
-	r.before, _ = part(5*time.Second, func(float64) {})
-	r.givenUp, r.whole = math.Inf(1), math.Inf(1)
+	r.before, _ = phase(5*time.Second, func(float64) {})
+	r.unroutedAfter, r.recoveredAfter = math.Inf(1), math.Inf(1)
 	l.SetSite("s1", true)
-	worth, t := part(30*time.Second, func(at float64) {
+	worth, t := phase(30*time.Second, func(at float64) {
 		if l.Met("s1") < 0.1 {
-			r.givenUp = min(r.givenUp, at)
+			r.unroutedAfter = min(r.unroutedAfter, at)
 		}
 	})
-	r.lost = worth / best()
+	r.afterLoss = worth / bestWorth()
 	r.failed, r.refused = float64(t.Failed)/float64(t.Asked), float64(t.Refused)/float64(t.Asked)
-	if more := *away - 30*time.Second; more > 0 {
-		l.Play(more)
+	if remaining := *lossDuration - 30*time.Second; remaining > 0 {
+		l.Play(remaining)
 	}
 	l.SetSite("s1", false)
-	falls := l.Falls
-	worth, _ = part(30*time.Second, func(at float64) {
+	crashesBefore := l.Falls
+	worth, _ = phase(30*time.Second, func(at float64) {
 		if l.Met("s1") == 1 {
-			r.whole = min(r.whole, at)
+			r.recoveredAfter = min(r.recoveredAfter, at)
 		}
 	})
-	r.back = worth
+	r.afterReturn = worth
 	l.Play(15 * time.Second)
-	r.falls = float64(l.Falls - falls)
+	r.crashes = float64(l.Falls - crashesBefore)
 	return r
 }
 
-// best is the worth that can be served with a site less, where what is worth most for its
-// work goes first, and nothing is late.
-func best() float64 {
-	room := float64(*count-1) / float64(*count) / *load // of the work that is asked for
-	if room >= 1 {
+// bestWorth is the fraction of the offered worth that can be served with one site less, if
+// the class with the most worth per work is served first and no answer is late.
+func bestWorth() float64 {
+	capacity := float64(*siteCount-1) / float64(*siteCount) / *load // as a fraction of the offered work
+	if capacity >= 1 {
 		return 1
 	}
-	dear, cheap := 0.3*60.0, 0.7*20.0 // work; the dear class is worth more for its own
-	room *= dear + cheap
-	first := math.Min(1, room/dear)
-	rest := math.Max(0, math.Min(1, (room-dear)/cheap))
-	return (0.3*9*first + 0.7*1*rest) / (0.3*9 + 0.7*1)
+	expensive, cheap := 0.3*60.0, 0.7*20.0 // offered work; the expensive class has more worth per work
+	capacity *= expensive + cheap
+	servedExpensive := math.Min(1, capacity/expensive)
+	servedCheap := math.Max(0, math.Min(1, (capacity-expensive)/cheap))
+	return (0.3*9*servedExpensive + 0.7*1*servedCheap) / (0.3*9 + 0.7*1)
 }
