--- a/bench/sites/main.go
+++ b/bench/sites/main.go
@@ -33,7 +33,7 @@
 type result struct {
 	unroutedAfter, recoveredAfter float64 // until the site gets only probes; until all sidecars route to it again
 	afterLoss, afterReturn        float64 // worth served over the best possible, in the 30 s after each event
-	crashes                     float64
+	crashes                       float64 // of cold servers, from the return on
 	failed, refused               float64 // fraction of the requests in the 30 s after the loss
 	before                        float64
 }
