--- a/bench/path/count.go
+++ b/bench/path/count.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// counts are what one request costs; CPU is in microseconds.
+// counts is the cost of one request; CPU is in microseconds.
 type counts struct {
 	Allocations float64 `json:"allocations"`
 	Bytes       float64 `json:"bytes"`
@@ -23,27 +23,28 @@
 	CPU         float64 `json:"cpu_us"`
 }
 
-// less takes off what is not the sidecar's; what can't be told apart from nothing is 0.
-func (c counts) less(o counts) counts {
+// minus subtracts the cost that the sidecar does not cause; a difference below 0 is noise
+// and becomes 0.
+func (c counts) minus(other counts) counts {
 	return counts{
-		max(c.Allocations-o.Allocations, 0), max(c.Bytes-o.Bytes, 0), max(c.Reads-o.Reads, 0),
-		max(c.Writes-o.Writes, 0), max(c.Goroutines-o.Goroutines, 0), max(c.CPU-o.CPU, 0),
+		max(c.Allocations-other.Allocations, 0), max(c.Bytes-other.Bytes, 0), max(c.Reads-other.Reads, 0),
+		max(c.Writes-other.Writes, 0), max(c.Goroutines-other.Goroutines, 0), max(c.CPU-other.CPU, 0),
 	}
 }
 
-// now are the process's own counts.
-func now() (c counts, err error) {
-	of := []metrics.Sample{{Name: "/gc/heap/allocs:objects"}, {Name: "/gc/heap/allocs:bytes"}, {Name: "/sched/goroutines-created:goroutines"}}
-	metrics.Read(of)
-	for i, to := range []*float64{&c.Allocations, &c.Bytes, &c.Goroutines} {
-		if of[i].Value.Kind() != metrics.KindUint64 {
-			return c, fmt.Errorf("this runtime does not tell %s", of[i].Name)
+// readCounts returns the totals of this process.
+func readCounts() (c counts, err error) {
+	samples := []metrics.Sample{{Name: "/gc/heap/allocs:objects"}, {Name: "/gc/heap/allocs:bytes"}, {Name: "/sched/goroutines-created:goroutines"}}
+	metrics.Read(samples)
+	for i, field := range []*float64{&c.Allocations, &c.Bytes, &c.Goroutines} {
+		if samples[i].Value.Kind() != metrics.KindUint64 {
+			return c, fmt.Errorf("this runtime has no metric %s", samples[i].Name)
 		}
-		*to = float64(of[i].Value.Uint64())
+		*field = float64(samples[i].Value.Uint64())
 	}
 	file, err := os.ReadFile("/proc/self/io")
 	if err != nil {
-		return c, fmt.Errorf("system calls: %w", err)
+		return c, fmt.Errorf("read system call counts: %w", err)
 	}
 	for line := range bytes.Lines(file) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(line), []byte(": "))
@@ -57,98 +58,98 @@
 	}
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
-		return c, fmt.Errorf("processor time: %w", err)
+		return c, fmt.Errorf("read CPU time: %w", err)
 	}
 	c.CPU = float64(used.Utime.Nano()+used.Stime.Nano()) / 1e3
 	return c, nil
 }
 
-// patience bounds a whole series, against an answer that never becomes whole.
-const patience = 2 * time.Minute
+// driveTimeout bounds a whole series of requests, in case an answer is never completed.
+const driveTimeout = 2 * time.Minute
 
-// drive sends requests of one kind over one kept connection, each once the last was
-// answered, and returns what one cost in the whole process.
+// drive sends the requests of one exchange in sequence over one persistent connection and
+// returns the cost of one in the whole process.
 func drive(x exchange, addr string, requests int) (counts, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return counts{}, err
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(driveTimeout)); err != nil {
 		return counts{}, err
 	}
 	c := client{conn: conn, buf: make([]byte, 64<<10)}
-	c.head(x)
-	warm := max(requests/10, 1)
+	c.buildRequest(x)
+	warmUp := max(requests/10, 1)
 	var before counts
-	for i := range warm + requests {
-		if i == warm {
-			if before, err = now(); err != nil {
+	for i := range warmUp + requests {
+		if i == warmUp {
+			if before, err = readCounts(); err != nil {
 				return counts{}, err
 			}
 		}
-		if err := c.ask(x.given); err != nil {
+		if err := c.send(x.responseBytes); err != nil {
 			return counts{}, fmt.Errorf("request %d: %w", i, err)
 		}
 	}
-	after, err := now()
+	after, err := readCounts()
 	if err != nil {
 		return counts{}, err
 	}
-	n, all := float64(requests), after.less(before)
-	return counts{all.Allocations / n, all.Bytes / n, all.Reads / n, all.Writes / n, all.Goroutines / n, all.CPU / n}, nil
+	n, total := float64(requests), after.minus(before)
+	return counts{total.Allocations / n, total.Bytes / n, total.Reads / n, total.Writes / n, total.Goroutines / n, total.CPU / n}, nil
 }
 
-// client asks over one connection; nothing is allocated for a request.
+// client sends requests over one connection without allocating per request.
 type client struct {
 	conn    net.Conn
 	request []byte
-	numbers [][]byte // places in request that are new with each: its id, its key
+	ids     [][]byte // parts of request that differ each time: the request id and the idempotency key
 	sent    uint64
 	buf     []byte
 }
 
-// id is as wide as the numbers written over it.
-const id = "0000000000000000"
+// idPlaceholder has the width of the ids that overwrite it.
+const idPlaceholder = "0000000000000000"
 
-func (c *client) head(x exchange) {
+func (c *client) buildRequest(x exchange) {
 	class := x.path[1:]
 	if i := bytes.IndexByte([]byte(class), '/'); i > 0 {
 		class = class[:i]
 	}
-	text := fmt.Sprintf("%s %s?user=k HTTP/1.1\r\nHost: backend.local\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: patrols\r\nReq-Deadline: 1000m\r\n", x.method, x.path, id, class)
+	text := fmt.Sprintf("%s %s?user=k HTTP/1.1\r\nHost: backend.local\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: patrols\r\nReq-Deadline: 1000m\r\n", x.method, x.path, idPlaceholder, class)
 	if x.method == "POST" {
-		text += fmt.Sprintf("Idempotency-Key: %s\r\nContent-Length: %d\r\n", id, x.asked)
+		text += fmt.Sprintf("Idempotency-Key: %s\r\nContent-Length: %d\r\n", idPlaceholder, x.requestBytes)
 	}
-	c.request = append([]byte(text+"\r\n"), bytes.Repeat([]byte("r"), x.asked)...)
+	c.request = append([]byte(text+"\r\n"), bytes.Repeat([]byte("r"), x.requestBytes)...)
 	for at := 0; ; {
-		i := bytes.Index(c.request[at:], []byte(id))
+		i := bytes.Index(c.request[at:], []byte(idPlaceholder))
 		if i < 0 {
 			return
 		}
-		c.numbers = append(c.numbers, c.request[at+i:at+i+len(id)])
-		at += i + len(id)
+		c.ids = append(c.ids, c.request[at+i:at+i+len(idPlaceholder)])
+		at += i + len(idPlaceholder)
 	}
 }
 
-var errNotServed = errors.New("not answered by 200 and a body of the length asked for")
+var errNotServed = errors.New("answer is not a 200 with a body of the expected length")
 
-func (c *client) ask(given int) error {
+func (c *client) send(responseBytes int) error {
 	c.sent++
-	for _, place := range c.numbers {
-		for n, i := c.sent, len(place)-1; i >= 0; i-- {
-			place[i] = "0123456789abcdef"[n&15]
+	for _, field := range c.ids {
+		for n, i := c.sent, len(field)-1; i >= 0; i-- {
+			field[i] = "0123456789abcdef"[n&15]
 			n >>= 4
 		}
 	}
 	if _, err := c.conn.Write(c.request); err != nil {
 		return err
 	}
-	return c.answer(given)
+	return c.readResponse(responseBytes)
 }
 
-// answer reads one whole answer.
-func (c *client) answer(given int) error {
+// readResponse reads one complete answer.
+func (c *client) readResponse(responseBytes int) error {
 	n, want := 0, -1
 	for want < 0 || n < want {
 		got, err := c.conn.Read(c.buf[min(n, len(c.buf)-4096):])
@@ -162,7 +163,7 @@
 				return errNotServed
 			}
 			if end >= 0 {
-				want = end + 4 + given
+				want = end + 4 + responseBytes
 				if !bytes.HasPrefix(c.buf, []byte("HTTP/1.1 200")) {
 					return errNotServed
 				}
@@ -175,19 +176,20 @@
 	return nil
 }
 
-// startEndpoint answers every request with so many bytes, from one slice.
-func startEndpoint(given int) (net.Listener, error) {
+// startEndpoint starts an endpoint that answers every request with a body of responseBytes
+// bytes, without allocating per request.
+func startEndpoint(responseBytes int) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	answer := append([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", given)), bytes.Repeat([]byte("a"), given)...)
-	go accept(l, func(conn net.Conn) { serve(conn, answer) })
+	response := append([]byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", responseBytes)), bytes.Repeat([]byte("a"), responseBytes)...)
+	go acceptLoop(l, func(conn net.Conn) { serve(conn, response) })
 	return l, nil
 }
 
-// serve reads one request after the other; a body's length stands in its head.
-func serve(conn net.Conn, answer []byte) {
+// serve reads requests in sequence; the length of a body is taken from Content-Length.
+func serve(conn net.Conn, response []byte) {
 	buf, n := make([]byte, 16<<10), 0
 	length := []byte("Content-Length: ")
 	for {
@@ -212,14 +214,14 @@
 			continue
 		}
 		n = 0
-		if _, err := conn.Write(answer); err != nil {
+		if _, err := conn.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// accept serves every connection until the listener is closed.
-func accept(l net.Listener, serve func(net.Conn)) {
+// acceptLoop serves every connection until the listener is closed.
+func acceptLoop(l net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -232,60 +234,61 @@
 	}
 }
 
-// agreed is what a kind of request may cost on its way through the sidecar.
-type agreed struct {
+// budgetEntry is the agreed cost of an exchange in the sidecar.
+type budgetEntry struct {
 	Allocations float64 `json:"allocations"`
 	Reads       float64 `json:"reads"`
 	Writes      float64 `json:"writes"`
 	Goroutines  float64 `json:"goroutines"`
 }
 
-// Margins over what is agreed: a tenth, and what pools that the collector empties and reads
-// that find nothing yet come to.
-const part, allocations, calls = 0.1, 2, 0.5
+// Margins over the budget: a tenth, plus the allocations caused by sync.Pools that the
+// garbage collector empties and the calls caused by reads that find no data yet.
+const marginFraction, allocationSlack, callSlack = 0.1, 2, 0.5
 
-// hold compares with a file of agreed counts. Times and bytes are not judged.
-func hold(file string, all []row) error {
+// checkBudget compares the sidecar's counts with a budget file. Times and bytes are not
+// checked.
+func checkBudget(file string, all []row) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	var budget map[string]agreed
+	var budget map[string]budgetEntry
 	if err := json.Unmarshal(text, &budget); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	var over []error
+	var exceeded []error
 	for _, r := range all {
-		b, known := budget[r.Exchange]
+		entry, known := budget[r.Exchange]
 		if r.Way != "sidecar" {
 			continue
 		}
 		if !known {
-			over = append(over, fmt.Errorf("%s: has no %q", file, r.Exchange))
+			exceeded = append(exceeded, fmt.Errorf("%s: has no %q", file, r.Exchange))
 			continue
 		}
 		for _, c := range []struct {
-			what              string
-			is, agreed, slack float64
+			name                    string
+			measured, budget, slack float64
 		}{
-			{"allocations", r.Allocations, b.Allocations, allocations}, {"reads", r.Reads, b.Reads, calls},
-			{"writes", r.Writes, b.Writes, calls}, {"goroutines", r.Goroutines, b.Goroutines, calls},
+			{"allocations", r.Allocations, entry.Allocations, allocationSlack}, {"reads", r.Reads, entry.Reads, callSlack},
+			{"writes", r.Writes, entry.Writes, callSlack}, {"goroutines", r.Goroutines, entry.Goroutines, callSlack},
 		} {
-			if most := c.agreed*(1+part) + c.slack; c.is > most {
-				over = append(over, fmt.Errorf("%s: %.2f %s a request, %.2f are agreed and %.2f allowed", r.Exchange, c.is, c.what, c.agreed, most))
+			if limit := c.budget*(1+marginFraction) + c.slack; c.measured > limit {
+				exceeded = append(exceeded, fmt.Errorf("%s: %.2f %s per request, budget %.2f, limit %.2f", r.Exchange, c.measured, c.name, c.budget, limit))
 			}
 		}
 	}
-	return errors.Join(over...)
+	return errors.Join(exceeded...)
 }
 
-// agree writes the counts as those agreed.
-func agree(file string, all []row) error {
-	budget := map[string]agreed{}
+// writeBudget writes the sidecar's counts as the new budget file.
+func writeBudget(file string, all []row) error {
+	budget := map[string]budgetEntry{}
 	round := func(x float64) float64 { return float64(int(x*10+0.5)) / 10 }
 	for _, r := range all {
 		if r.Way == "sidecar" {
-			budget[r.Exchange] = agreed{round(r.Allocations), round(r.Reads), round(r.Writes), round(r.Goroutines)}
+			budget[r.Exchange] = budgetEntry{round(r.Allocations), round(r.Reads), round(r.Writes), round(r.Goroutines)}
 		}
 	}
 	text, err := json.MarshalIndent(budget, "", "  ")
--- a/bench/path/main.go
+++ b/bench/path/main.go
@@ -1,12 +1,11 @@
-// Command path counts what one ordinary request costs on its way through the sidecar:
-// allocations and bytes of them, read and write calls to the system, goroutines started,
-// and the processor's time. Counts are the same on every machine; times are not, and are
-// shown only. Client and endpoint are bare connections that allocate nothing; what they
-// cost, without a sidecar between them, is measured first and taken off. A splice that
-// parses nothing stands beside it as the floor.
+// Command path counts the cost of one ordinary request in the sidecar: allocations and
+// their bytes, read and write system calls, goroutines started, and CPU time. Counts are
+// the same on every machine; times are not, and are only printed. Client and endpoint are
+// bare connections that do not allocate per request; their cost without a sidecar is
+// measured first and subtracted. A splice that parses nothing is measured as the floor.
 //
-// System calls are the process's own, as /proc/self/io counts them (syscr, syscw): it
-// needs no privilege, and counts calls that found nothing to read too.
+// System calls are those of this process in /proc/self/io (syscr, syscw), which needs no
+// privilege and also counts reads that found no data.
 //
 //	go run ./bench/path [-requests 5000] [-json] [-check bench/path/budget.json] [-write FILE] [-profile FILE]
 package main
@@ -30,9 +29,9 @@
 
 // exchange is one class of requests with the sizes of its bodies, in bytes.
 type exchange struct {
-	name         string
-	method, path string
-	asked, given int
+	name                        string
+	method, path                string
+	requestBytes, responseBytes int
 }
 
 var exchanges = []exchange{
@@ -46,11 +45,11 @@
 }
 
 func main() {
-	requests := flag.Int("requests", 5000, "of each kind, after a tenth of it to warm up")
+	requests := flag.Int("requests", 5000, "requests per exchange, after a tenth of that number as warm-up")
 	asJSON := flag.Bool("json", false, "print the counts in JSON")
-	check := flag.String("check", "", "a file of agreed counts; more than those, with their margin, is an error")
-	write := flag.String("write", "", "write the counts there as those agreed")
-	profile := flag.String("profile", "", "write where everything was allocated there, for go tool pprof -sample_index=alloc_objects")
+	check := flag.String("check", "", "budget file; counts above it by more than the margin are an error")
+	write := flag.String("write", "", "write the counts to this budget file")
+	profile := flag.String("profile", "", "write an allocation profile to this file, for go tool pprof -sample_index=alloc_objects")
 	flag.Parse()
 	if *profile != "" {
 		runtime.MemProfileRate = 1
@@ -76,7 +75,7 @@
 }
 
 func run(requests int, asJSON bool, check, write string) error {
-	all, err := measure(requests)
+	all, err := measureAll(requests)
 	if err != nil {
 		return err
 	}
@@ -85,34 +84,34 @@
 		out.SetIndent("", "  ")
 		err = out.Encode(all)
 	} else {
-		show(os.Stdout, all)
+		printTable(os.Stdout, all)
 	}
 	if err == nil && write != "" {
-		err = agree(write, all)
+		err = writeBudget(write, all)
 	}
 	if err == nil && check != "" {
-		err = hold(check, all)
+		err = checkBudget(check, all)
 	}
 	return err
 }
 
-// row is what one request of a kind costs on one way.
+// row is the cost of one request of an exchange, through the sidecar or the splice.
 type row struct {
 	Exchange string `json:"exchange"`
 	Way      string `json:"way"` // sidecar or splice
 	counts
 }
 
-// measure goes through all exchanges, on each way.
-func measure(requests int) ([]row, error) {
-	runtime.GOMAXPROCS(1) // nobody else's processor is used, and the calls come in the same order
+// measureAll measures all exchanges, through the sidecar and the splice.
+func measureAll(requests int) ([]row, error) {
+	runtime.GOMAXPROCS(1) // uses a single processor, and makes the order of calls the same each time
 	var all []row
 	for _, x := range exchanges {
-		e, err := startEndpoint(x.given)
+		e, err := startEndpoint(x.responseBytes)
 		if err != nil {
 			return nil, err
 		}
-		rows, err := ways(x, e.Addr().String(), requests)
+		rows, err := measureExchange(x, e.Addr().String(), requests)
 		e.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", x.name, err)
@@ -122,7 +121,7 @@
 	return all, nil
 }
 
-func ways(x exchange, endpoint string, requests int) ([]row, error) {
+func measureExchange(x exchange, endpoint string, requests int) ([]row, error) {
 	direct, err := drive(x, endpoint, requests)
 	if err != nil {
 		return nil, fmt.Errorf("direct: %w", err)
@@ -140,20 +139,20 @@
 	if err != nil {
 		return nil, err
 	}
-	through, err := drive(x, sidecar.Addr(), requests)
+	proxied, err := drive(x, sidecar.Addr(), requests)
 	if err := errors.Join(err, sidecar.Close()); err != nil {
 		return nil, fmt.Errorf("sidecar: %w", err)
 	}
-	return []row{{x.name, "sidecar", through.less(direct)}, {x.name, "splice", floor.less(direct)}}, nil
+	return []row{{x.name, "sidecar", proxied.minus(direct)}, {x.name, "splice", floor.minus(direct)}}, nil
 }
 
-// startSidecar puts one up before the endpoint, with no operator's file.
+// startSidecar starts a sidecar in front of the endpoint, without an operator file.
 func startSidecar(endpoint string) (*scene.Scene, error) {
 	return scene.Start(scene.Config{Listed: []discovery.Entry{{ID: "maps-0", Addr: endpoint, Kind: "std", State: "active", Weight: 1}}})
 }
 
-func show(to io.Writer, all []row) {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
+func printTable(out io.Writer, all []row) {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\tway\tallocations\tbytes\treads\twrites\tgoroutines\tCPU us\t")
 	for _, r := range all {
 		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.0f\t%.2f\t%.2f\t%.2f\t%.1f\t\n", r.Exchange, r.Way, r.Allocations, r.Bytes, r.Reads, r.Writes, r.Goroutines, r.CPU)
@@ -161,34 +160,34 @@
 	w.Flush()
 }
 
-// startSplice passes bytes on both ways and looks at none.
+// startSplice starts a proxy that copies bytes in both directions without parsing them.
 func startSplice(to string) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	go accept(l, func(client net.Conn) {
+	go acceptLoop(l, func(client net.Conn) {
 		server, err := net.Dial("tcp", to)
 		if err != nil {
 			return
 		}
 		defer server.Close()
 		go func() {
-			pass(server, client)
+			copyBytes(server, client)
 			client.Close()
 		}()
-		pass(client, server)
+		copyBytes(client, server)
 	})
 	return l, nil
 }
 
-// pass copies with reads and writes, not by the system's splice, which the platform refuses.
-func pass(from, to net.Conn) {
-	b := make([]byte, 64<<10)
+// copyBytes copies with read and write calls, as the platform refuses splice(2).
+func copyBytes(src, dst net.Conn) {
+	buf := make([]byte, 64<<10)
 	for {
-		n, err := from.Read(b)
+		n, err := src.Read(buf)
 		if n > 0 {
-			if _, err := to.Write(b[:n]); err != nil {
+			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
 		}
