--- a/bench/trial/main_test.go
+++ b/bench/trial/main_test.go
@@ -9,57 +9,59 @@
 	"spokegw/internal/lab/trial"
 )
 
-// A hold-up of this machine excuses what came late in it, and not what was broken besides.
+// A stall of this machine excuses a time limit exceeded during it, but no other violation.
 func TestOutcome(t *testing.T) {
-	late, sure := trial.Violation{Rule: trial.Lost, HeldUp: true}, trial.Violation{Rule: trial.Lost}
+	stalled, certain := trial.Violation{Rule: trial.Lost, HeldUp: true}, trial.Violation{Rule: trial.Lost}
 	for _, c := range []struct {
-		is   string
+		name string
 		all  []trial.Violation
 		want outcome
 	}{
-		{"nothing", nil, none},
-		{"late in a hold-up", []trial.Violation{late, late}, unsure},
-		{"closed without an answer beside it", []trial.Violation{late, sure}, broken},
-		{"closed without an answer", []trial.Violation{sure}, broken},
+		{"no violation", nil, passed},
+		{"late during a stall", []trial.Violation{stalled, stalled}, inconclusive},
+		{"late during a stall and closed without an answer", []trial.Violation{stalled, certain}, failed},
+		{"closed without an answer", []trial.Violation{certain}, failed},
 	} {
-		if got := of(c.all); got != c.want {
-			t.Errorf("%s: %v, %v is expected", c.is, got, c.want)
+		if got := outcomeOf(c.all); got != c.want {
+			t.Errorf("%s: outcome %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// A rule that is broken by the faults 3 and 5 together, with two sidecars and within 14 s, is found so among 24 faults.
+// A rule that breaks only with faults 3 and 5 together, at least two sidecars and at least
+// 14 s is reduced to about that from 24 faults.
 func TestShrink(t *testing.T) {
-	begun := form{sidecars: 24, lasts: time.Minute}
+	initial := variant{sidecars: 24, duration: time.Minute}
 	for n := range 24 {
-		begun.faults = append(begun.faults, n)
+		initial.faults = append(initial.faults, n)
 	}
-	breaks := func(f form) ([]int, bool) {
-		return f.faults, f.sidecars >= 2 && f.lasts >= 14*time.Second && slices.Contains(f.faults, 3) && slices.Contains(f.faults, 5)
+	reproduces := func(f variant) ([]int, bool) {
+		return f.faults, f.sidecars >= 2 && f.duration >= 14*time.Second && slices.Contains(f.faults, 3) && slices.Contains(f.faults, 5)
 	}
-	f, plays := shrink(begun, 100, breaks)
-	if f.sidecars != 3 || f.lasts >= 19*time.Second || !slices.Equal(f.faults, []int{3, 5}) || plays >= 100 {
-		t.Errorf("%+v after %d plays", f, plays)
+	f, runs := shrink(initial, 100, reproduces)
+	if f.sidecars != 3 || f.duration >= 19*time.Second || !slices.Equal(f.faults, []int{3, 5}) || runs >= 100 {
+		t.Errorf("shrunk to %+v after %d runs", f, runs)
 	}
-	if f, plays = shrink(begun, 3, breaks); plays != 3 || f.sidecars != 3 {
-		t.Errorf("in three plays: %+v after %d", f, plays)
+	if f, runs = shrink(initial, 3, reproduces); runs != 3 || f.sidecars != 3 {
+		t.Errorf("limited to three runs: %+v after %d", f, runs)
 	}
-	if f, _ = shrink(begun, 100, func(f form) ([]int, bool) { return f.faults, false }); fmt.Sprint(f) != fmt.Sprint(begun) {
-		t.Errorf("where nothing smaller breaks it: %+v", f)
+	if f, _ = shrink(initial, 100, func(f variant) ([]int, bool) { return f.faults, false }); fmt.Sprint(f) != fmt.Sprint(initial) {
+		t.Errorf("no smaller variant breaks the rule: shrunk to %+v", f)
 	}
 }
 
-// A form is played again by the command that is printed, also with none of its faults.
-func TestNumbersOfFaults(t *testing.T) {
+// Fault numbers survive formatting and parsing, so that the printed command reproduces a
+// variant, also one without faults.
+func TestFaultNumbersRoundTrip(t *testing.T) {
 	for _, numbers := range [][]int{{}, {7}, {0, 3, 21}} {
-		if got, err := parseNumbers(formatNumbers(numbers)); err != nil || got == nil || !slices.Equal(got, numbers) {
+		if got, err := parseFaults(formatFaults(numbers)); err != nil || got == nil || !slices.Equal(got, numbers) {
 			t.Errorf("%v: %v, %v", numbers, got, err)
 		}
 	}
-	if got, err := parseNumbers("all"); got != nil || err != nil {
+	if got, err := parseFaults("all"); got != nil || err != nil {
 		t.Errorf("all: %v, %v", got, err)
 	}
-	if _, err := parseNumbers("3,x"); err == nil {
-		t.Error("what is no number is taken")
+	if _, err := parseFaults("3,x"); err == nil {
+		t.Error("a field that is not a number was accepted")
 	}
 }
