--- a/bench/mutants/main.go
+++ b/bench/mutants/main.go
@@ -1,7 +1,7 @@
-// Command mutants breaks the code on purpose, one place at a time, and runs the
-// explorations that ought to find it. A property that no mutant breaks has not
-// been shown to be checked. The sources are not touched: each mutant is an
-// overlay of the go command.
+// Command mutants introduces one defect at a time into the code and runs the
+// tests that should find it. A property that no mutant breaks has not been shown
+// to be checked. The source files are not changed: each mutant is an overlay of
+// the go command.
 //
 //	go run ./bench/mutants [-of internal/fleet]
 package main
@@ -18,242 +18,251 @@
 	"strings"
 )
 
-// mutant is a change of one place and the property that it breaks.
+// mutant is a defect in one place of a file, and the property that it breaks.
 type mutant struct {
 	file, from, to string
-	test           string // that explores the file's package
-	breaks         string // in the words of the property
+	tests          string // regular expression of the tests that should find it
+	property       string // as the tests print it: the text after "then: ", or the name of the failing test
 }
 
+// Tests by group. In the groups of namedByTest the property is the name of a test.
 const (
-	measures = "Test(ToldOnce|TornTable|BackInSteps|AnswersNotUsed|AskedForLittle|ChangeIsFollowed|Liar|Assigned)"
-	losses   = "Test(NoLoss|NoLossByFew|Loss|Return|OddReturns|FalseLosses|Spread|Admit|Doors|EveryGatewayLooks|DoorRises|PlanForLoss)"
+	weightTests = "Test(CountedOnce|TornTable|FactorsMoveInSteps|AnswersNotUsed|LittleLoad|ChangeIsFollowed|LyingGateway|Assigned)"
+	siteTests   = "Test(NoLoss|NoLossByFewObservers|Loss|Return|UnusualReturns|FalseLosses|Spread|Admit|Enforcers|EveryGatewayProbes|EnforcerRisesInSteps|PlanForLoss)"
 
-	// Of these, too, each test is a property.
-	effects  = "Test(AttemptIsHeldBackByEachFact|CloseOverWhatIsOwed|CallWhereNoneIsInTime|WrittenThoughItMayNot)"
-	gates    = "Test(GateIsAskedBeforeTheFirstByte|EndedWhileItWaitsIsNotSent)"
-	drains   = "TestEndpointThatDrains(WhileAnAttemptWaits|WhileAKeyIsKept)"
-	clocks   = "TestSlowStartThoughTheClockWasSet"
-	renewals = "Test(RenewedInTimeThoughCallsAreRefused|RefusedOnceMoreAsDiscoveryComesBack)"
-	watches  = "TestSlowDiscoveryIsHeard"
+	permitTests  = "Test(AttemptCheck|CloseCheck|CallCheck|ViolatedRule)"
+	gateTests    = "Test(GateCheckedBeforeFirstByte|CancelledWhileDialling)"
+	drainTests   = "Test(AttemptNotSentAfterListChange|DrainEndsKeyWrite)"
+	clockTests   = "TestSlowStartAfterClockChange"
+	renewalTests = "Test(ListIsRenewedThoughCallsAreRefused|RefusalWhileDiscoveryRecovers)"
+	watchTests   = "TestSlowDiscoveryAnswers"
 
-	starts = "Test(SavedUpAtMost|OneEndpointIsNotSentWhatIsDueToAll|CreditThatDrawsLeaveIsSpent|BurstDoesNotPushColdEndpointsOver|ManyMeetReplacedEndpoints|ColdServersAreSparedWhileMostIsTurnedAway|HeldForProbesAndOverItsBudget|PopularKeyDoesNotPushOneColdEndpointOver)"
+	slowStartTests = "Test(SavedTokensAreBounded|EndpointDebtIsBounded|UnusedTokensAreSpent|BurstDoesNotOverloadColdEndpoints|FleetWithReplacedEndpoints|ColdServersAreSparedWhileTheyDecline|BudgetIsCheckedAfterProbes|PopularKeyDoesNotOverloadColdEndpoint)"
 
-	// Of what judges sidecars beside kills: the sidecar's, and the judges' own.
-	besideKills  = "TestNothingIsLostBesideKills"
-	verdicts     = "TestVerdicts"
-	trialJudge   = "Test(DroppedByTheNextProcess|CutOffByAKill|DroppedByAProcessThatEnds|RefusedBeforeAKill|ToldBeforeDiscoveryIsDown|HeldUp)"
-	trialOutcome = "TestOutcome"
+	// Tests of what judges sidecars while processes are killed: the sidecar's, and the judges' own.
+	killTests         = "TestNothingIsLostBesideKills"
+	verdictTests      = "TestVerdicts"
+	trialJudgeTests   = "Test(DroppedByTheNextProcess|CutOffByAKill|DroppedByAProcessThatEnds|RefusedBeforeAKill|ToldBeforeDiscoveryIsDown|HeldUp)"
+	trialOutcomeTests = "TestOutcome"
 
-	unread    = "TestStallIsNotBlamed"
-	shortages = "Test(BurstAfterACommonHoldUp|BurstAtManySidecars|BacklogOfAHoldUpWhileShort|StrangersInCrowd)"
+	attributionTests = "TestStallNotAttributedToEndpoint"
+	shortageTests    = "Test(BurstAfterCommonStall|BurstAtManySidecars|InFlightAcrossStallDuringShortage|UncontractedOverload)"
 
-	budgets = "TestEveryOrder"
-	charges = "TestChargesInEveryOrder"
-	courses = "TestCourseInEveryOrder"
-	leases  = "(TestEveryOrderOfLeases|TestSchedules|TestLateWord)"
-	duties  = "(TestEveryOrderOfDuty|TestPromiseToFormerSelf)"
+	budgetTests   = "TestEveryOrder"
+	chargeTests   = "TestChargesInEveryOrder"
+	courseTests   = "TestCourseInEveryOrder"
+	leaseTests    = "(TestEveryOrderOfLeases|TestSchedules|TestDelayedMessages)"
+	electionTests = "(TestEveryOrderOfElection|TestVoteForEarlierCandidate)"
+)
 
-	over     = "more is in use than there is"
-	counted  = "what is counted is not what is in use"
-	gone     = "a part that has left keeps a reserve"
-	starved  = "a part is refused within its reserve although there is room"
-	attempts = "the attempts that are counted are not those that are out"
-	out      = "nothing is out, and work is counted as out"
-	kept     = "nothing ran, and something is still charged"
-	grew     = "the share grew where it may not"
-	jumped   = "a step was not taken whole"
-	went     = "what was over went on"
-	blamed   = "what is worse was not undone"
-	word     = "a word was taken where it means nothing"
-	paused   = "a pause moved it"
-	left     = "undone, and some still meet the new pool"
-	exceeded = "all together may admit more than the quota"
-	two      = "two hold the duty at once"
-	another  = "a promise to another counts"
-	term     = "a later holder has no later term"
-	tokens   = "a team has attempts below 0 or beyond what may be saved up"
+// Properties as the explorations print them.
+const (
+	totalExceeded        = "more is in use than there is"
+	useMiscounted        = "what is counted is not what is in use"
+	reserveKept          = "a part that has left keeps a reserve"
+	refusedWithinReserve = "a part is refused within its reserve although there is room"
+	attemptsMiscounted   = "the attempts that are counted are not those that are out"
+	workInFlightWhenIdle = "nothing is out, and work is counted as out"
+	chargeNotRefunded    = "nothing ran, and something is still charged"
+	shareGrew            = "the share grew where it may not"
+	stepSkipped          = "a step was not taken whole"
+	continuedAfterEnd    = "what was over went on"
+	regressionNotUndone  = "what is worse was not undone"
+	invalidCommandTaken  = "a word was taken where it means nothing"
+	movedByPause         = "a pause moved it"
+	oldPoolNotRestored   = "undone, and some still meet the new pool"
+	quotaExceeded        = "all together may admit more than the quota"
+	twoLeaders           = "two hold the duty at once"
+	voteForOtherCounted  = "a promise to another counts"
+	termNotLater         = "a later holder has no later term"
+	tokensOutOfBounds    = "a team has attempts below 0 or beyond what may be saved up"
 )
 
+// namedByTest lists the groups whose properties are names of failing tests.
+var namedByTest = []string{
+	weightTests, siteTests, permitTests, gateTests, drainTests, clockTests, renewalTests, watchTests, slowStartTests,
+	shortageTests, attributionTests, killTests, verdictTests, trialJudgeTests, trialOutcomeTests,
+}
+
 var mutants = []mutant{
-	{"internal/budget/budget.go", "b.used+n > b.total || ", "", budgets, over},
-	{"internal/budget/budget.go", "	b.used -= n\n", "", budgets, starved},
-	{"internal/budget/budget.go", "	p.used -= n\n", "", budgets, counted},
-	{"internal/budget/budget.go", "	p.setReserve(0)\n", "", budgets, gone},
-	{"internal/budget/budget.go", "p.budget.claimed += max(p.used, n) - max(p.used, p.reserve)", "p.budget.claimed += n - p.reserve", budgets, counted},
-	{"internal/budget/budget.go", "max(p.used+n, p.reserve) - max(p.used, p.reserve)", "n", budgets, counted},
-	{"internal/budget/budget.go", "p.used+n > p.reserve && b.claimed+more > b.total", "b.claimed+n > b.total", budgets, starved},
+	{"internal/budget/budget.go", "b.used+n > b.total || ", "", budgetTests, totalExceeded},
+	{"internal/budget/budget.go", "	b.used -= n\n", "", budgetTests, refusedWithinReserve},
+	{"internal/budget/budget.go", "	p.used -= n\n", "", budgetTests, useMiscounted},
+	{"internal/budget/budget.go", "	p.setReserve(0)\n", "", budgetTests, reserveKept},
+	{"internal/budget/budget.go", "p.budget.committed += max(p.used, n) - max(p.used, p.reserve)", "p.budget.committed += n - p.reserve", budgetTests, useMiscounted},
+	{"internal/budget/budget.go", "max(p.used+n, p.reserve) - max(p.used, p.reserve)", "n", budgetTests, useMiscounted},
+	{"internal/budget/budget.go", "p.used+n > p.reserve && b.committed+added > b.total", "b.committed+n > b.total", budgetTests, refusedWithinReserve},
 
-	{"internal/broker/capacity.go", "if c.attempts--; c.attempts <= 0 {", "if c.attempts <= 0 {", charges, attempts},
-	{"internal/broker/capacity.go", "	c.attempts++\n", "	c.attempts += 2\n", charges, attempts},
-	{"internal/broker/capacity.go", "		c.attempts, c.out, c.emptied = 0, 0, now // rounding errors do not pile up\n	}\n	c.out = math.Max(c.out-t.work, 0)\n", "		c.attempts, c.emptied = 0, now\n	}\n", charges, out},
-	{"internal/broker/broker.go", "	t.standing().work.charge(b.now, t.call.workLimit(), -t.work)\n", "", charges, kept},
-	{"internal/broker/broker.go", "	t.standing().work.charge(b.now, t.call.workLimit(), -t.work)\n", "	t.call.work.charge(b.now, t.call.workLimit(), -t.work)\n", charges, kept},
-	{"internal/broker/broker.go", "		b.shares.refund(&t.account.share, t.work)\n", "", charges, kept},
-	{"internal/broker/broker.go", "if e == Declined || e == Unrun {", "if e == Unrun {", charges, kept},
-	{"internal/broker/broker.go", "	if again {\n		t.account.tokens", "	if false {\n		t.account.tokens", charges, kept},
-	{"internal/broker/broker.go", "t.account.tokens = math.Min(t.account.tokens+1, t.account.most)", "t.account.tokens++", charges, tokens},
-	{"internal/broker/broker.go", "a.tokens = math.Min(a.tokens+retryPerRequest, a.most)", "a.tokens += retryPerRequest", charges, tokens},
+	{"internal/broker/capacity.go", "if c.inFlight--; c.inFlight <= 0 {", "if c.inFlight <= 0 {", chargeTests, attemptsMiscounted},
+	{"internal/broker/capacity.go", "	c.inFlight++\n", "	c.inFlight += 2\n", chargeTests, attemptsMiscounted},
+	{"internal/broker/capacity.go", "		c.inFlight, c.inFlightWork, c.idleSince = 0, 0, now // discards rounding errors\n	}\n	c.inFlightWork = math.Max(c.inFlightWork-t.work, 0)\n", "		c.inFlight, c.idleSince = 0, now\n	}\n", chargeTests, workInFlightWhenIdle},
+	{"internal/broker/broker.go", "	t.currentCall().work.charge(b.now, t.call.workLimit(), -t.work)\n", "", chargeTests, chargeNotRefunded},
+	{"internal/broker/broker.go", "	t.currentCall().work.charge(b.now, t.call.workLimit(), -t.work)\n", "	t.call.work.charge(b.now, t.call.workLimit(), -t.work)\n", chargeTests, chargeNotRefunded},
+	{"internal/broker/broker.go", "		b.shares.refund(&t.account.share, t.work)\n", "", chargeTests, chargeNotRefunded},
+	{"internal/broker/broker.go", "if e == Declined || e == NotRun {", "if e == NotRun {", chargeTests, chargeNotRefunded},
+	{"internal/broker/broker.go", "	if retry {\n		t.account.tokens", "	if false {\n		t.account.tokens", chargeTests, chargeNotRefunded},
+	{"internal/broker/broker.go", "t.account.tokens = math.Min(t.account.tokens+1, t.account.maxTokens)", "t.account.tokens++", chargeTests, tokensOutOfBounds},
+	{"internal/broker/broker.go", "a.tokens = math.Min(a.tokens+retryPerRequest, a.maxTokens)", "a.tokens += retryPerRequest", chargeTests, tokensOutOfBounds},
 
-	{"internal/moves/course.go", "gap > pause || gap < 0", "gap < 0", courses, paused},
-	{"internal/moves/course.go", "		c.Since, c.EndedAtStart = now, v.NewRequests\n		if c.WaitingFor", "		if c.WaitingFor", courses, jumped},
-	{"internal/moves/course.go", "case lacking > 0:", "case lacking > p.StepTime:", courses, jumped},
-	{"internal/moves/course.go", "case v.NewRequests-c.EndedAtStart < p.StepRequests:", "case v.NewRequests < 0:", courses, jumped},
-	{"internal/moves/course.go", "case !v.Sufficient:", "case false:", courses, jumped},
-	{"internal/moves/course.go", "min(want, at.ToCapacity)", "want", courses, grew},
-	{"internal/moves/course.go", "		if v.Regression != \"\" {", "		if v.Regression != \"\" && c.Phase != Paused {", courses, blamed},
-	{"internal/moves/course.go", "	c.Phase, c.Since = Undone, now\n", "	c.Phase, c.Since, c.Share = Undone, now, 0.1\n", courses, left},
-	{"internal/moves/course.go", "	case c.Phase == Undone, c.Phase == Done:\n		return errOver\n	case c.Phase != Waiting:", "	case c.Phase != Waiting && c.Phase != Undone:", courses, word},
-	{"internal/moves/course.go", "	if c.Phase == Waiting || c.Phase == Undone {\n		return\n	}\n	c.Step = 0", "	if c.Phase == Undone {\n		c.Phase = Moving\n	}\n	c.Step = 0", courses, grew},
-	{"internal/moves/course.go", "	case at.To == 0:\n		return \"no endpoint of the new pool is ready\"\n", "", courses, jumped},
+	{"internal/moves/course.go", "gap > pause || gap < 0", "gap < 0", courseTests, movedByPause},
+	{"internal/moves/course.go", "		c.Since, c.EndedAtStart = now, v.NewRequests\n		if c.WaitingFor", "		if c.WaitingFor", courseTests, stepSkipped},
+	{"internal/moves/course.go", "case lacking > 0:", "case lacking > p.StepTime:", courseTests, stepSkipped},
+	{"internal/moves/course.go", "case v.NewRequests-c.EndedAtStart < p.StepRequests:", "case v.NewRequests < 0:", courseTests, stepSkipped},
+	{"internal/moves/course.go", "case !v.Sufficient:", "case false:", courseTests, stepSkipped},
+	{"internal/moves/course.go", "min(want, at.ToCapacity)", "want", courseTests, shareGrew},
+	{"internal/moves/course.go", "		if v.Regression != \"\" {", "		if v.Regression != \"\" && c.Phase != Paused {", courseTests, regressionNotUndone},
+	{"internal/moves/course.go", "	c.Phase, c.Since = Undone, now\n", "	c.Phase, c.Since, c.Share = Undone, now, 0.1\n", courseTests, oldPoolNotRestored},
+	{"internal/moves/course.go", "	case c.Phase == Undone, c.Phase == Done:\n		return errOver\n	case c.Phase != Waiting:", "	case c.Phase != Waiting && c.Phase != Undone:", courseTests, invalidCommandTaken},
+	{"internal/moves/course.go", "	if c.Phase == Waiting || c.Phase == Undone {\n		return\n	}\n	c.Step = 0", "	if c.Phase == Undone {\n		c.Phase = Moving\n	}\n	c.Step = 0", courseTests, shareGrew},
+	{"internal/moves/course.go", "	case at.To == 0:\n		return \"no endpoint of the new pool is ready\"\n", "", courseTests, stepSkipped},
 
-	{"internal/fleet/quota/holder.go", "Own: max(0, own-h.outstanding(now))", "Own: own", leases, exceeded},
-	{"internal/fleet/quota/holder.go", "int64(now + h.set.surely(h.set.Lease))", "int64(now + h.set.Lease*3/4)", leases, exceeded},
-	{"internal/fleet/quota/holder.go", "	if now < h.fresh {\n", "	if false {\n", leases, exceeded},
-	{"internal/fleet/quota/holder.go", " || now < h.fresh || h.ask <= 0", " || h.ask <= 0", leases, exceeded},
-	{"internal/fleet/quota/holder.go", "clamp(r.Grant), at+r.For", "clamp(r.Grant), now+r.For", leases, exceeded},
-	{"internal/fleet/quota/holder.go", "e.seq <= r.Heard && ", "", leases, exceeded},
-	{"internal/fleet/lease/lease.go", "		if answers <= r.anchor {\n", "		if false {\n", leases, exceeded},
-	{"internal/fleet/quota/holder.go", "		sum += h.ceded[i].entries.most(int64(now))", "		sum = h.ceded[i].entries.most(int64(now))", leases, exceeded},
-	{"internal/fleet/quota/holder.go", "h.part-keep-others", "h.part-keep", leases, exceeded},
-	{"internal/fleet/lease/lease.go", "	if seq <= r.Latest {\n", "	if false {\n", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "int64((at + s.set.Lease) / s.slot)", "int64((max(at, a.heardAt) + s.set.Lease*3/2) / s.slot)", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "last := int64((a.heardAt+s.set.surely(d))/s.slot) + 1", "last := int64((a.heardAt+d/2)/s.slot) + 1", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "s.ceded[s.now%window], s.granted[s.now%window] = 0, 0", "s.granted[s.now%window] = 0", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "e.incarnation == r.Incarnation && e.seq < r.Heard", "e.incarnation == r.Incarnation && e.seq <= r.Heard", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "if !known || r.ToIncarnation != s.incarnation {", "if !known {", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "			to = max(to, most-(s.ceded[k%window]-s.granted[k%window]))\n", "			_ = most\n", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "a.grants.most(k)+s.ceded[k%window]-s.granted[k%window]", "a.grants.most(k)+s.ceded[k%window]", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "Relied: a.cessions.most(s.now),", "Relied: a.offered,", leases, exceeded},
-	{"internal/fleet/quota/steward.go", "		s.granted[i] += a.grants.most(s.now+int64(k)) - granted[k]\n", "", leases, exceeded},
-	{"internal/fleet/quota/quota.go", "o.amount <= x.amount && o.end <= x.end", "o.end <= x.end", leases, exceeded},
-	{"internal/fleet/quota/quota.go", "	if now < l.Until {\n", "	if l.Until > 0 {\n", leases, exceeded},
-	{"internal/fleet/duty/duty.go", "at+s.set.Lease)", "max(at, now)+s.set.Lease*3/2)", duties, two},
-	{"internal/fleet/duty/duty.go", "now+v.set.surely()\n", "now+v.set.Lease/2\n", duties, two},
-	{"internal/fleet/duty/duty.go", "v.replies.Latest == 0 || now < v.fresh || ", "v.replies.Latest == 0 || ", duties, two},
-	{"internal/fleet/duty/duty.go", " || other && now < v.promised", " || other && false", duties, two},
-	{"internal/fleet/duty/duty.go", "v.promisedTo != v.choice.Name || v.promisedIs", "v.promisedIs", duties, two},
-	{"internal/fleet/duty/duty.go", " && r.ToIncarnation == s.incarnation {", " {", duties, another},
-	{"internal/fleet/duty/duty.go", "s.ends[(len(s.ends)-1)/2]", "s.ends[(len(s.ends)+1)/2]", duties, term},
-	{"internal/fleet/duty/duty.go", "known && r.Promise && r.ToIncarnation", "known && r.ToIncarnation", duties, two},
-	{"internal/fleet/duty/duty.go", "	s.known = max(s.known, r.Term)\n", "", duties, term},
-	{"internal/fleet/duty/duty.go", "	if now >= s.Until() {\n", "	if s.term > 0 && now >= s.Until()+s.set.Lease {\n", duties, two},
-	{"internal/fleet/duty/duty.go", "s.known.round()+1", "s.known.round()", duties, term},
+	{"internal/fleet/quota/participant.go", "Own: max(0, own-p.lent(now))", "Own: own", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/participant.go", "int64(now + p.settings.safeWait(p.settings.Lease))", "int64(now + p.settings.Lease*3/4)", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/participant.go", "	if now < p.floorUntil {\n", "	if false {\n", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/participant.go", " || now < p.floorUntil || p.lendTarget <= 0", " || p.lendTarget <= 0", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/participant.go", "clamp(r.Grant), sentAt+r.GrantTTL", "clamp(r.Grant), now+r.GrantTTL", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/participant.go", "e.seq <= r.Ack && ", "", leaseTests, quotaExceeded},
+	{"internal/fleet/lease/lease.go", "		if answers <= f.maxAnswered {\n", "		if false {\n", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/participant.go", "		sum += p.loans[i].entries.maxAt(int64(now))", "		sum = p.loans[i].entries.maxAt(int64(now))", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/participant.go", "p.part-retained-otherLoans", "p.part-retained", leaseTests, quotaExceeded},
+	{"internal/fleet/lease/lease.go", "	if seq <= f.Latest {\n", "	if false {\n", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "int64((sentAt + s.settings.Lease) / s.slotLength)", "int64((max(sentAt, a.lastReportAt) + s.settings.Lease*3/2) / s.slotLength)", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "endSlot := int64((a.lastReportAt+s.settings.safeWait(d))/s.slotLength) + 1", "endSlot := int64((a.lastReportAt+d/2)/s.slotLength) + 1", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "s.lent[s.nowSlot%window], s.granted[s.nowSlot%window] = 0, 0", "s.granted[s.nowSlot%window] = 0", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "e.incarnation == r.Incarnation && e.seq < r.Ack", "e.incarnation == r.Incarnation && e.seq <= r.Ack", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "if !known || r.ToIncarnation != s.incarnation {", "if !known {", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "			minimum = max(minimum, amount-(s.lent[k%window]-s.granted[k%window]))\n", "			_ = amount\n", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "a.grants.maxAt(k)+s.lent[k%window]-s.granted[k%window]", "a.grants.maxAt(k)+s.lent[k%window]", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "LoanInUse: a.loans.maxAt(s.nowSlot),", "LoanInUse: a.offered,", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/steward.go", "		s.granted[i] += a.grants.maxAt(s.nowSlot+int64(k)) - granted[k]\n", "", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/quota.go", "o.amount <= x.amount && o.end <= x.end", "o.end <= x.end", leaseTests, quotaExceeded},
+	{"internal/fleet/quota/quota.go", "	if now < l.Until {\n", "	if l.Until > 0 {\n", leaseTests, quotaExceeded},
+	{"internal/fleet/election/election.go", "sentAt+c.settings.Lease)", "max(sentAt, now)+c.settings.Lease*3/2)", electionTests, twoLeaders},
+	{"internal/fleet/election/election.go", "now+v.settings.safeLease()\n", "now+v.settings.Lease/2\n", electionTests, twoLeaders},
+	{"internal/fleet/election/election.go", "v.replies.Latest == 0 || now < v.noVoteUntil || ", "v.replies.Latest == 0 || ", electionTests, twoLeaders},
+	{"internal/fleet/election/election.go", " || changed && now < v.voteExpires", " || changed && false", electionTests, twoLeaders},
+	{"internal/fleet/election/election.go", "v.votedFor != v.peer.Name || v.votedIncarnation", "v.votedIncarnation", electionTests, twoLeaders},
+	{"internal/fleet/election/election.go", " && r.ToIncarnation == c.incarnation {", " {", electionTests, voteForOtherCounted},
+	{"internal/fleet/election/election.go", "c.expiries[(len(c.expiries)-1)/2]", "c.expiries[(len(c.expiries)+1)/2]", electionTests, termNotLater},
+	{"internal/fleet/election/election.go", "known && r.Vote && r.ToIncarnation", "known && r.ToIncarnation", electionTests, twoLeaders},
+	{"internal/fleet/election/election.go", "	c.maxTerm = max(c.maxTerm, r.Term)\n", "", electionTests, termNotLater},
+	{"internal/fleet/election/election.go", "	if now >= c.LeaderUntil() {\n", "	if c.term > 0 && now >= c.LeaderUntil()+c.settings.Lease {\n", electionTests, twoLeaders},
+	{"internal/fleet/election/election.go", "c.maxTerm.round()+1", "c.maxTerm.round()", electionTests, termNotLater},
 
-	{"internal/fleet/weights/meter.go", "	if t.parts&(1<<r.Part) != 0 {\n		return false\n	}\n", "", measures, "TestToldOnce"},
-	{"internal/fleet/weights/table.go", "	if a.Table.Less(c.number) {\n		return nil\n	}\n", "", measures, "TestTornTable"},
-	{"internal/fleet/weights/table.go", "if c.has != 1<<a.Parts-1 {", "if c.has == 0 {", measures, "TestTornTable"},
-	{"internal/fleet/weights/table.go", "step := stepPart * steps", "step := 10 * steps", measures, "TestBackInSteps"},
-	{"internal/fleet/weights/table.go", "	if now-c.fresh > stale {\n		target = nil\n	}\n", "", measures, "TestBackInSteps"},
-	{"internal/fleet/weights/table.go", "at += math.Max(-stepPart, math.Min(off, stepPart))", "at += off", measures, "TestAssigned"},
-	{"internal/fleet/weights/table.go", "math.Abs(off) > math.Max(stillPart, e.Deviation)", "math.Abs(off) > 0", measures, "TestAssigned"},
-	{"internal/fleet/weights/node.go", " || now-sent > n.lease", "", measures, "TestAnswersNotUsed"},
-	{"internal/fleet/weights/node.go", "a.From != d.Holder || ", "", measures, "TestAnswersNotUsed"},
-	{"internal/fleet/weights/node.go", " || a.Table.Term != d.Term", "", measures, "TestAnswersNotUsed"},
-	{"internal/fleet/weights/estimate.go", "math.Log(k.good / (k.good + k.bad))", "0", measures, "TestAskedForLittle"},
-	{"internal/fleet/weights/estimate.go", "math.Max(busyPart(inside, m), 1e-6)", "math.Max(busyPart(inside, m), 1)", measures, "TestAskedForLittle"},
-	{"internal/fleet/weights/estimate.go", "		k.variance = changeDrift * changeDrift\n", "", measures, "TestChangeIsFollowed"},
-	{"internal/fleet/weights/estimate.go", "if len(k.from) >= 3 {", "if len(k.from) >= 300 {", measures, "TestLiar"},
-	{"internal/fleet/sites/sites.go", "v.gone >= leastObservers && ", "", losses, "TestNoLossByFew"},
-	{"internal/fleet/sites/sites.go", "2*v.gone > v.observers && ", "", losses, "TestNoLossByFew"},
-	{"internal/fleet/sites/sites.go", "float64(v.dead) >= deadAt*float64(v.tried) && ", "", losses, "TestFalseLosses"},
-	{"internal/fleet/sites/sites.go", "	if j.home[gateway] == siteName { // it may be alive within, and cut off\n		return\n	}\n", "", losses, "TestLoss"},
-	{"internal/fleet/sites/sites.go", "elsewhere == 0 || ", "", losses, "TestNoLossByFew"},
-	{"internal/fleet/sites/sites.go", "s.wait = min(2*s.wait, longestWait)", "s.wait = firstWait", losses, "TestReturn"},
-	{"internal/fleet/sites/sites.go", "gone < len(j.sites)", "true", losses, "TestNoLoss"},
-	{"internal/fleet/sites/sites.go", "s.part = max(firstPart, s.part/2)", "s.part = max(firstPart, s.part)", losses, "TestOddReturns"},
-	{"internal/fleet/sites/sites.go", "max(1.5*s.part, s.part+partStep)", "1", losses, "TestOddReturns"},
-	{"internal/fleet/sites/door.go", "math.Min(part, was+rise)", "math.Min(part, was+rise+1)", losses, "TestDoorRises"},
-	{"internal/fleet/sites/door.go", "if turn%uint64(cycle) != 0 {", "if len(listed) > 1<<20 {", losses, "TestEveryGatewayLooks"},
-	{"internal/fleet/sites/door.go", "first := (turn/uint64(cycle) + ", "first := (0*turn + ", losses, "TestEveryGatewayLooks"},
-	{"internal/fleet/sites/spread.go", "	room -= floor * sum\n", "", losses, "TestAdmit"},
-	{"internal/fleet/sites/spread.go", "			amount = math.Min(amount, placed[v][from[v]-n])\n", "", losses, "TestSpread"},
-	{"internal/fleet/sites/plan.go", "return p.set.Utilisation * s.Capacity * p.judge.Part(s.Name)", "return s.Capacity * p.judge.Part(s.Name)", losses, "TestPlanForLoss"},
+	{"internal/fleet/weights/reporter.go", "	if p.parts&(1<<r.Part) != 0 {\n		return false\n	}\n", "", weightTests, "TestCountedOnce"},
+	{"internal/fleet/weights/table.go", "	if a.Table.Less(r.version) {\n		return nil\n	}\n", "", weightTests, "TestTornTable"},
+	{"internal/fleet/weights/table.go", "if r.received != 1<<a.Parts-1 {", "if r.received == 0 {", weightTests, "TestTornTable"},
+	{"internal/fleet/weights/table.go", "step := maxStep * steps", "step := 10 * steps", weightTests, "TestFactorsMoveInSteps"},
+	{"internal/fleet/weights/table.go", "	if now-r.confirmedAt > stale {\n		target = nil\n	}\n", "", weightTests, "TestFactorsMoveInSteps"},
+	{"internal/fleet/weights/table.go", "logFactor += math.Max(-maxStep, math.Min(difference, maxStep))", "logFactor += difference", weightTests, "TestAssigned"},
+	{"internal/fleet/weights/table.go", "math.Abs(difference) > math.Max(minMove, e.Deviation)", "math.Abs(difference) > 0", weightTests, "TestAssigned"},
+	{"internal/fleet/weights/node.go", " || now-sent > n.lease", "", weightTests, "TestAnswersNotUsed"},
+	{"internal/fleet/weights/node.go", "a.From != leadership.Leader || ", "", weightTests, "TestAnswersNotUsed"},
+	{"internal/fleet/weights/node.go", " || a.Table.Term != leadership.Term", "", weightTests, "TestAnswersNotUsed"},
+	{"internal/fleet/weights/estimate.go", "math.Log(k.successes / (k.successes + k.failures))", "0", weightTests, "TestLittleLoad"},
+	{"internal/fleet/weights/estimate.go", "math.Max(utilisation(inFlight, m), 1e-6)", "math.Max(utilisation(inFlight, m), 1)", weightTests, "TestLittleLoad"},
+	{"internal/fleet/weights/estimate.go", "		k.variance = changeDeviation * changeDeviation\n", "", weightTests, "TestChangeIsFollowed"},
+	{"internal/fleet/weights/estimate.go", "if len(k.byGateway) >= 3 {", "if len(k.byGateway) >= 300 {", weightTests, "TestLyingGateway"},
+	{"internal/fleet/sites/sites.go", "a.gone >= minObservers && ", "", siteTests, "TestNoLossByFewObservers"},
+	{"internal/fleet/sites/sites.go", "2*a.gone > a.observers && ", "", siteTests, "TestNoLossByFewObservers"},
+	{"internal/fleet/sites/sites.go", "float64(a.dead) >= deadFraction*float64(a.tried) && ", "", siteTests, "TestFalseLosses"},
+	{"internal/fleet/sites/sites.go", "	if d.home[gateway] == siteName { // the site may be alive internally, and cut off\n		return\n	}\n", "", siteTests, "TestLoss"},
+	{"internal/fleet/sites/sites.go", "otherSites == 0 || ", "", siteTests, "TestNoLossByFewObservers"},
+	{"internal/fleet/sites/sites.go", "s.wait = min(2*s.wait, maxReturnWait)", "s.wait = minReturnWait", siteTests, "TestReturn"},
+	{"internal/fleet/sites/sites.go", "lost < len(d.sites)", "true", siteTests, "TestNoLoss"},
+	{"internal/fleet/sites/sites.go", "s.fraction = max(initialFraction, s.fraction/2)", "s.fraction = max(initialFraction, s.fraction)", siteTests, "TestUnusualReturns"},
+	{"internal/fleet/sites/sites.go", "max(1.5*s.fraction, s.fraction+minFractionStep)", "1", siteTests, "TestUnusualReturns"},
+	{"internal/fleet/sites/enforcer.go", "math.Min(target, current+maxRise)", "math.Min(target, current+maxRise+1)", siteTests, "TestEnforcerRisesInSteps"},
+	{"internal/fleet/sites/enforcer.go", "if turn%uint64(cycle) != 0 {", "if len(endpoints) > 1<<20 {", siteTests, "TestEveryGatewayProbes"},
+	{"internal/fleet/sites/enforcer.go", "first := (turn/uint64(cycle) + ", "first := (0*turn + ", siteTests, "TestEveryGatewayProbes"},
+	{"internal/fleet/sites/spread.go", "	capacity -= floor * sum\n", "", siteTests, "TestAdmit"},
+	{"internal/fleet/sites/spread.go", "			amount = math.Min(amount, placed[v][previous[v]-n])\n", "", siteTests, "TestSpread"},
+	{"internal/fleet/sites/plan.go", "return p.settings.Utilisation * s.Capacity * p.detector.Fraction(s.Name)", "return s.Capacity * p.detector.Fraction(s.Name)", siteTests, "TestPlanForLoss"},
 
-	{"internal/permit/permit.go", "	case a.CalledOff:\n		return CalledOff\n", "", effects, "TestAttemptIsHeldBackByEachFact"},
-	{"internal/permit/permit.go", "	case a.ClientLeft:\n		return ClientLeft\n", "", effects, "TestAttemptIsHeldBackByEachFact"},
-	{"internal/permit/permit.go", "a.Now >= a.Deadline", "a.Now > a.Deadline", effects, "TestAttemptIsHeldBackByEachFact"},
-	{"internal/permit/permit.go", "a.Now+HoldUp > a.RepeatBy", "a.Now > a.RepeatBy", effects, "TestAttemptIsHeldBackByEachFact"},
-	{"internal/permit/permit.go", "case a.Unsafe && a.MayHaveRun:", "case false:", effects, "TestAttemptIsHeldBackByEachFact"},
-	{"internal/permit/permit.go", "{Allowed, EndpointDrains, EndpointGone", "{Allowed, Allowed, EndpointGone", effects, "TestAttemptIsHeldBackByEachFact"},
-	{"internal/permit/permit.go", "EndpointGone, EndpointReplaced}", "EndpointGone, Allowed}", effects, "TestAttemptIsHeldBackByEachFact"},
-	{"internal/permit/permit.go", "	case c.Answering:\n		return Answering\n", "", effects, "TestCloseOverWhatIsOwed"},
-	{"internal/permit/permit.go", "	case c.Waiting:\n		return Unread\n", "", effects, "TestCloseOverWhatIsOwed"},
-	{"internal/permit/permit.go", "c.Out >= c.Most", "c.Out > c.Most", effects, "TestCallWhereNoneIsInTime"},
-	{"internal/permit/violation.go", "w.At > w.Since+w.Grace", "w.At > w.Since+2*w.Grace", effects, "TestWrittenThoughItMayNot"},
-	{"internal/permit/violation.go", "w.RepeatBy > 0 && w.At > w.RepeatBy", "false", effects, "TestWrittenThoughItMayNot"},
-	{"internal/upstream/attempt.go", "if refused := t.permitted(); refused != permit.Allowed {", "if refused := t.permitted(); false {", gates, "TestGateIsAskedBeforeTheFirstByte"},
-	{"internal/upstream/attempt.go", "		t.terms.Gate.Look(facts)\n", "", gates, "TestGateIsAskedBeforeTheFirstByte"},
-	{"internal/upstream/attempt.go", "			if refused.OfEndpoint() {\n", "			if false {\n", gates, "TestGateIsAskedBeforeTheFirstByte"},
-	{"internal/upstream/attempt.go", "	t.wrote()\n", "", gates, "TestGateIsAskedBeforeTheFirstByte"},
-	{"internal/upstream/attempt.go", " || errors.Is(cause, ErrNotThere)", "", gates, "TestEndedWhileItWaitsIsNotSent"},
-	{"internal/core/endpoints.go", "			known.listing.becomes(permit.Replaced, now)\n", "", drains, "TestEndpointThatDrainsWhileAnAttemptWaits"},
-	{"internal/core/endpoints.go", "		l.becomes(listings[p.Readiness], now)\n", "", drains, "TestEndpointThatDrainsWhileAnAttemptWaits"},
-	{"internal/core/endpoints.go", "	e.listing.becomes(permit.Gone, now)\n", "", drains, "TestEndpointThatDrainsWhileAnAttemptWaits"},
-	{"internal/core/lists.go", "		s.endUnsent()\n", "", drains, "TestEndpointThatDrainsWhileAKeyIsKept"},
-	{"internal/core/started.go", "		at = max(at, now-since-listedWithin)\n", "", clocks, "TestSlowStartThoughTheClockWasSet"},
-	{"internal/core/started.go", "min(time.Duration(told)*time.Millisecond, now)", "time.Duration(told) * time.Millisecond", clocks, "TestSlowStartThoughTheClockWasSet"},
-	{"internal/core/started.go", "	if before, ok := s.gone[id]; ok && before.told == told {\n		return before\n	}\n", "", clocks, "TestSlowStartThoughTheClockWasSet"},
-	{"policy/slowstart.go", "(f.answered - b.counted) * b.rate", "3 * (f.answered - b.counted) * b.rate", starts, "TestBurstDoesNotPushColdEndpointsOver"},
-	{"policy/slowstart.go", "		b.fleet.slowStart.all.tokens -= work\n", "", starts, "TestBurstDoesNotPushColdEndpointsOver"},
-	{"policy/slowstart.go", "b.fleet.slowStart.all.tokens >= 0 && ", "", starts, "TestBurstDoesNotPushColdEndpointsOver"},
-	{"policy/slowstart.go", "math.Min(b.tokens+earned, burst)", "b.tokens + earned", starts, "TestSavedUpAtMost"},
-	{"policy/slowstart.go", "tokens: -random(), ", "tokens: 1, ", starts, "TestBurstDoesNotPushColdEndpointsOver"},
-	{"policy/slowstart.go", "baseRate * warmth * f.coldShare", "baseRate * warmth * 40", starts, "TestBurstDoesNotPushColdEndpointsOver"},
-	{"policy/slowstart.go", "math.Min(b.provenPart(), math.Max(1+growth-all.rate, 0)) * work", "2 * work", starts, "TestManyMeetReplacedEndpoints"},
-	{"policy/slowstart.go", "fleetBurst/float64(size)", "8+0*float64(size)", starts, "TestSavedUpAtMost"},
-	{"policy/slowstart.go", "endpointBurst = 0.5", "endpointBurst = 5.0", starts, "TestSavedUpAtMost"},
-	{"policy/slowstart.go", "fleetBurst, fleetUnused = 12.0, 2.0", "fleetBurst, fleetUnused = 120.0, 2.0", starts, "TestSavedUpAtMost"},
-	{"policy/slowstart.go", "fleetBurst, fleetUnused = 12.0, 2.0", "fleetBurst, fleetUnused = 12.0, 200.0", starts, "TestCreditThatDrawsLeaveIsSpent"},
-	{"policy/slowstart.go", "leastBurst = 0.1", "leastBurst = 5.0", starts, "TestSavedUpAtMost"},
-	{"policy/slowstart.go", "math.Min(by.bucket.tokens+earned, endpointBurst)", "by.bucket.tokens + earned", starts, "TestSavedUpAtMost"},
-	{"policy/slowstart.go", "math.Min(all.tokens+earned, b.fleet.slowStart.burst(b.set.FleetSize))", "all.tokens + earned", starts, "TestSavedUpAtMost"},
-	{"policy/slowstart.go", "s.bucket.tokens >= -endpointDebt && ", "", starts, "TestOneEndpointIsNotSentWhatIsDueToAll"},
-	{"policy/slowstart.go", "	if start.all.tokens < math.Min(waiting, leastBurst) {\n", "	if waiting >= 0 {\n", starts, "TestCreditThatDrawsLeaveIsSpent"},
-	{"policy/slowstart.go", "	if start.all.tokens < math.Min(waiting, leastBurst) {\n", "	if waiting < 0 {\n", starts, "TestCreditThatDrawsLeaveIsSpent"},
-	{"policy/slowstart.go", "s.bucket.tokens >= 0 && than.bucket.tokens >= 0", "true", starts, "TestPopularKeyDoesNotPushOneColdEndpointOver"},
-	{"policy/slowstart.go", "	b.fleet.slowStart.answered += work\n", "", starts, "TestManyMeetReplacedEndpoints"},
-	{"policy/request.go", "ok := func(s *server) bool { return b.maySend(r, s) && b.withinBudget(r, s) }", "ok := func(s *server) bool { return b.maySend(r, s) }", starts, "TestBurstDoesNotPushColdEndpointsOver"},
-	{"policy/request.go", "	b.charge(r, s)\n", "", starts, "TestBurstDoesNotPushColdEndpointsOver"},
-	{"policy/probe.go", " && b.withinBudget(r, s) }", " }", starts, "TestHeldForProbesAndOverItsBudget"},
-	{"policy/discovery.go", "n.current == 0 || age >= currentFor", "true", renewals, "TestRenewedInTimeThoughCallsAreRefused"},
-	{"policy/discovery.go", "drift-n.part", "drift+n.part", renewals, "TestRefusedOnceMoreAsDiscoveryComesBack"},
-	{"policy/discovery.go", "max(watchSpread-age, shortestLost)", "shortestLost", renewals, "TestRenewedInTimeThoughCallsAreRefused"},
-	{"internal/discovery/watch.go", "	w.lost(w.usual >= worked)\n", "", watches, "TestSlowDiscoveryIsHeard"},
-	{"internal/discovery/watch.go", "		w.drop(w.calls[len(w.calls)-1])\n	}\n	w.begin(ctx, true)", "		w.drop(w.calls[0])\n	}\n	w.begin(ctx, true)", watches, "TestSlowDiscoveryIsHeard"},
-	{"internal/discovery/watch.go", "	w.callOff()\n	w.counts.answered", "	w.counts.answered", watches, "TestSlowDiscoveryIsHeard"},
+	{"internal/permit/permit.go", "	case a.Cancelled:\n		return Cancelled\n", "", permitTests, "TestAttemptCheck"},
+	{"internal/permit/permit.go", "	case a.ClientDisconnected:\n		return ClientDisconnected\n", "", permitTests, "TestAttemptCheck"},
+	{"internal/permit/permit.go", "a.Now >= a.Deadline", "a.Now > a.Deadline", permitTests, "TestAttemptCheck"},
+	{"internal/permit/permit.go", "a.Now+MaxStall > a.DedupUntil", "a.Now > a.DedupUntil", permitTests, "TestAttemptCheck"},
+	{"internal/permit/permit.go", "case a.Unsafe && a.MayHaveRun:", "case false:", permitTests, "TestAttemptCheck"},
+	{"internal/permit/permit.go", "{Allowed, EndpointDraining, EndpointRemoved", "{Allowed, Allowed, EndpointRemoved", permitTests, "TestAttemptCheck"},
+	{"internal/permit/permit.go", "EndpointRemoved, EndpointReplaced}", "EndpointRemoved, Allowed}", permitTests, "TestAttemptCheck"},
+	{"internal/permit/permit.go", "	case c.AnswerPending:\n		return AnswerPending\n", "", permitTests, "TestCloseCheck"},
+	{"internal/permit/permit.go", "	case c.UnreadData:\n		return UnreadData\n", "", permitTests, "TestCloseCheck"},
+	{"internal/permit/permit.go", "c.InFlight >= c.MaxInFlight", "c.InFlight > c.MaxInFlight", permitTests, "TestCallCheck"},
+	{"internal/permit/violation.go", "w.At > w.NotifiedAt+w.Grace", "w.At > w.NotifiedAt+2*w.Grace", permitTests, "TestViolatedRule"},
+	{"internal/permit/violation.go", "w.DedupUntil > 0 && w.At > w.DedupUntil", "false", permitTests, "TestViolatedRule"},
+	{"internal/upstream/attempt.go", "if refused := t.checkStart(); refused != permit.Allowed {", "if refused := t.checkStart(); false {", gateTests, "TestGateCheckedBeforeFirstByte"},
+	{"internal/upstream/attempt.go", "		t.constraints.Gate.FillFacts(facts)\n", "", gateTests, "TestGateCheckedBeforeFirstByte"},
+	{"internal/upstream/attempt.go", "			if refused.EndpointSpecific() {\n", "			if false {\n", gateTests, "TestGateCheckedBeforeFirstByte"},
+	{"internal/upstream/attempt.go", "	t.firstByteWritten()\n", "", gateTests, "TestGateCheckedBeforeFirstByte"},
+	{"internal/upstream/attempt.go", " || errors.Is(cause, ErrEndpointUnavailable)", "", gateTests, "TestCancelledWhileDialling"},
+	{"internal/core/endpoints.go", "			current.status.set(permit.Replaced, now)\n", "", drainTests, "TestAttemptNotSentAfterListChange"},
+	{"internal/core/endpoints.go", "		status.set(endpointStatuses[p.Readiness], now)\n", "", drainTests, "TestAttemptNotSentAfterListChange"},
+	{"internal/core/endpoints.go", "	e.status.set(permit.Removed, now)\n", "", drainTests, "TestAttemptNotSentAfterListChange"},
+	{"internal/core/lists.go", "		s.endUnsent()\n", "", drainTests, "TestDrainEndsKeyWrite"},
+	{"internal/core/started.go", "		at = max(at, now-since-listingDelay)\n", "", clockTests, "TestSlowStartAfterClockChange"},
+	{"internal/core/started.go", "min(time.Duration(reportedMS)*time.Millisecond, now)", "time.Duration(reportedMS) * time.Millisecond", clockTests, "TestSlowStartAfterClockChange"},
+	{"internal/core/started.go", "	if previous, ok := s.unlisted[id]; ok && previous.reportedMS == reportedMS {\n		return previous\n	}\n", "", clockTests, "TestSlowStartAfterClockChange"},
+	{"policy/slowstart.go", "(s.answeredWork - b.countedWork) * b.rate", "3 * (s.answeredWork - b.countedWork) * b.rate", slowStartTests, "TestBurstDoesNotOverloadColdEndpoints"},
+	{"policy/slowstart.go", "		b.fleet.slowStart.total.tokens -= work\n", "", slowStartTests, "TestBurstDoesNotOverloadColdEndpoints"},
+	{"policy/slowstart.go", "b.fleet.slowStart.total.tokens >= 0 && ", "", slowStartTests, "TestBurstDoesNotOverloadColdEndpoints"},
+	{"policy/slowstart.go", "math.Min(b.tokens+earned, burst)", "b.tokens + earned", slowStartTests, "TestSavedTokensAreBounded"},
+	{"policy/slowstart.go", "tokens: -random(), ", "tokens: 1, ", slowStartTests, "TestBurstDoesNotOverloadColdEndpoints"},
+	{"policy/slowstart.go", "baseRate * warmth * s.coldShare", "baseRate * warmth * 40", slowStartTests, "TestBurstDoesNotOverloadColdEndpoints"},
+	{"policy/slowstart.go", "math.Min(b.provenShare(), math.Max(1+coldGrowth-total.rate, 0)) * work", "2 * work", slowStartTests, "TestFleetWithReplacedEndpoints"},
+	{"policy/slowstart.go", "fleetBurst/float64(size)", "8+0*float64(size)", slowStartTests, "TestSavedTokensAreBounded"},
+	{"policy/slowstart.go", "endpointBurst = 0.5", "endpointBurst = 5.0", slowStartTests, "TestSavedTokensAreBounded"},
+	{"policy/slowstart.go", "fleetBurst, fleetUnused = 12.0, 2.0", "fleetBurst, fleetUnused = 120.0, 2.0", slowStartTests, "TestSavedTokensAreBounded"},
+	{"policy/slowstart.go", "fleetBurst, fleetUnused = 12.0, 2.0", "fleetBurst, fleetUnused = 12.0, 200.0", slowStartTests, "TestUnusedTokensAreSpent"},
+	{"policy/slowstart.go", "minBurst = 0.1", "minBurst = 5.0", slowStartTests, "TestSavedTokensAreBounded"},
+	{"policy/slowstart.go", "math.Min(s.bucket.tokens+earned, endpointBurst)", "s.bucket.tokens + earned", slowStartTests, "TestSavedTokensAreBounded"},
+	{"policy/slowstart.go", "math.Min(total.tokens+earned, b.fleet.slowStart.burstLimit(b.settings.FleetSize))", "total.tokens + earned", slowStartTests, "TestSavedTokensAreBounded"},
+	{"policy/slowstart.go", "s.bucket.tokens >= -maxEndpointDebt && ", "", slowStartTests, "TestEndpointDebtIsBounded"},
+	{"policy/slowstart.go", "	if start.total.tokens < math.Min(unused, minBurst) {\n", "	if unused >= 0 {\n", slowStartTests, "TestUnusedTokensAreSpent"},
+	{"policy/slowstart.go", "	if start.total.tokens < math.Min(unused, minBurst) {\n", "	if unused < 0 {\n", slowStartTests, "TestUnusedTokensAreSpent"},
+	{"policy/slowstart.go", "s.bucket.tokens >= 0 && other.bucket.tokens >= 0", "true", slowStartTests, "TestPopularKeyDoesNotOverloadColdEndpoint"},
+	{"policy/slowstart.go", "	b.fleet.slowStart.answeredWork += work\n", "", slowStartTests, "TestFleetWithReplacedEndpoints"},
+	{"policy/request.go", "permitted := func(s *server) bool { return b.maySend(r, s) && b.withinBudget(r, s) }", "permitted := func(s *server) bool { return b.maySend(r, s) }", slowStartTests, "TestBurstDoesNotOverloadColdEndpoints"},
+	{"policy/request.go", "	b.charge(r, s)\n", "", slowStartTests, "TestBurstDoesNotOverloadColdEndpoints"},
+	{"policy/probe.go", " && b.withinBudget(r, s) }", " }", slowStartTests, "TestBudgetIsCheckedAfterProbes"},
+	{"policy/discovery.go", "d.currentAt == 0 || age >= renewWithin", "true", renewalTests, "TestListIsRenewedThoughCallsAreRefused"},
+	{"policy/discovery.go", "drift-d.jitter", "drift+d.jitter", renewalTests, "TestRefusalWhileDiscoveryRecovers"},
+	{"policy/discovery.go", "max(watchEndSpread-age, minFirstRetrySpread)", "minFirstRetrySpread", renewalTests, "TestListIsRenewedThoughCallsAreRefused"},
+	{"internal/discovery/watch.go", "	w.reportLost(w.firstCallTime >= minBusyTime)\n", "", watchTests, "TestSlowDiscoveryAnswers"},
+	{"internal/discovery/watch.go", "		w.cancelCall(w.calls[len(w.calls)-1])\n	}\n	w.startCall(ctx, true)", "		w.cancelCall(w.calls[0])\n	}\n	w.startCall(ctx, true)", watchTests, "TestSlowDiscoveryAnswers"},
+	{"internal/discovery/watch.go", "	w.cancelCalls()\n	w.counts.answered", "	w.counts.answered", watchTests, "TestSlowDiscoveryAnswers"},
 
-	{"internal/front/http1/plain.go", "	kept = p.write(&a, last)\n", "	kept = time.Now().UnixNano()%300 != 0 && p.write(&a, last)\n", besideKills, "TestNothingIsLostBesideKills"},
-	{"internal/front/http1/plain.go", "	kept = p.write(&a, last)\n", "	if time.Now().UnixNano()%300 == 0 {\n		os.Exit(1)\n	}\n	kept = p.write(&a, last)\n", besideKills, "TestNothingIsLostBesideKills"},
-	{"internal/front/http1/server.go", "acceptAfterStop = 600 * time.Millisecond", "acceptAfterStop = 0 * time.Millisecond", besideKills, "TestNothingIsLostBesideKills"},
-	{"internal/lab/process/disturbance.go", " && !end.Before(d.From) && !d.laterThan(begun)", " && !d.laterThan(begun)", verdicts, "TestVerdicts"},
-	{"internal/lab/process/disturbance.go", " && !end.Before(d.From) && !d.laterThan(begun)", " && !end.Before(d.From)", verdicts, "TestVerdicts"},
-	{"internal/lab/process/disturbance.go", "d.Cause == Killed && ", "", verdicts, "TestVerdicts"},
-	{"internal/lab/process/disturbance.go", "closed = closed.Add(takesNew)", "closed = d.From", verdicts, "TestVerdicts"},
-	{"internal/lab/process/disturbance.go", "(d.Until.IsZero() || !from.After(d.Until))", "true", verdicts, "TestVerdicts"},
-	{"internal/lab/process/disturbance.go", " && made.After(d.From.Add(takesNew))", "", verdicts, "TestVerdicts"},
-	{"internal/lab/federation/judge.go", "	if e.droppedBefore(r) {\n", "	if false {\n", verdicts, "TestVerdicts"},
-	{"internal/lab/federation/judge.go", " && !e.reached(r.ID, end)\n", "\n", verdicts, "TestVerdicts"},
-	{"internal/lab/federation/judge.go", "(d.Until.IsZero() || over.Before(d.Until))", "true", verdicts, "TestVerdicts"},
-	{"internal/lab/federation/judge.go", "late := r.Took-heldUp >", "late := false && r.Took-heldUp >", verdicts, "TestVerdicts"},
-	{"internal/lab/process/disturbance.go", " && !end.Before(d.From) && !d.laterThan(begun)", " && !end.Before(d.From)", trialJudge, "TestDroppedByTheNextProcess"},
-	{"internal/lab/process/disturbance.go", "	case Stopped: // the system takes them\n		return false\n", "", verdicts, "TestVerdicts"},
-	{"internal/lab/trial/client.go", "	case side.done.Cut(c.begun, s.at.Add(took)): // its process was killed: its client sends again\n", "", trialJudge, "TestCutOffByAKill"},
-	{"internal/lab/trial/client.go", "!side.done.ClosedDoor(begun, made) && ", "false && ", trialJudge, "TestRefusedBeforeAKill"},
-	{"internal/lab/trial/registry.go", "	if !at.IsZero() && at.Before(told) {\n", "	if !at.IsZero() && at.Before(told) && r.down == NoFault {\n", trialJudge, "TestToldBeforeDiscoveryIsDown"},
-	{"internal/lab/trial/judge.go", "return most > permit.HoldUp", "_, most = h.Within(time.Time{}, time.Now())\n	return most > permit.HoldUp", trialJudge, "TestHeldUp"},
-	{"internal/broker/capacity.go", "waited > much && c.waiting == none && waited <= farTooMuch", "false", shortages, "TestBurstAfterACommonHoldUp"},
-	{"internal/broker/capacity.go", "	c.waiting = none\n	c.open(now)\n}", "	c.open(now)\n}", shortages, "TestBurstAfterACommonHoldUp"},
-	{"internal/broker/capacity.go", "	tells := t.admitted > c.waiting", "	tells := true", shortages, "TestBurstAfterACommonHoldUp"},
-	{"internal/broker/capacity.go", "(c.out-c.behind.work)/rate", "c.out/rate", shortages, "TestBacklogOfAHoldUpWhileShort"},
-	{"internal/broker/capacity.go", "	if c.queueAt(rate) <= farTooMuch*c.aim.value {\n		return\n	}\n", "", shortages, "TestBurstAtManySidecars"},
-	{"internal/broker/capacity.go", "		c.through += t.work\n", "", shortages, "TestBurstAtManySidecars"},
-	{"internal/broker/capacity.go", "unseen*c.out/c.attempts", "1e3", shortages, "TestStrangersInCrowd"},
-	{"internal/core/delay.go", "return max(own, s.stalledSince(a.decided, time.Now()))", "return own", unread, "TestStallIsNotBlamed"},
-	{"bench/trial/main.go", "return !v.HeldUp }", "return false }", trialOutcome, "TestOutcome"},
+	{"internal/front/http1/plain.go", "	kept = p.write(&a, last)\n", "	kept = time.Now().UnixNano()%300 != 0 && p.write(&a, last)\n", killTests, "TestNothingIsLostBesideKills"},
+	{"internal/front/http1/plain.go", "	kept = p.write(&a, last)\n", "	if time.Now().UnixNano()%300 == 0 {\n		os.Exit(1)\n	}\n	kept = p.write(&a, last)\n", killTests, "TestNothingIsLostBesideKills"},
+	{"internal/front/http1/server.go", "acceptAfterStop = 600 * time.Millisecond", "acceptAfterStop = 0 * time.Millisecond", killTests, "TestNothingIsLostBesideKills"},
+	{"internal/lab/process/disturbance.go", " && !end.Before(d.From) && !d.laterThan(begun)", " && !d.laterThan(begun)", verdictTests, "TestVerdicts"},
+	{"internal/lab/process/disturbance.go", " && !end.Before(d.From) && !d.laterThan(begun)", " && !end.Before(d.From)", verdictTests, "TestVerdicts"},
+	{"internal/lab/process/disturbance.go", "d.Cause == Killed && ", "", verdictTests, "TestVerdicts"},
+	{"internal/lab/process/disturbance.go", "closed = closed.Add(takesNew)", "closed = d.From", verdictTests, "TestVerdicts"},
+	{"internal/lab/process/disturbance.go", "(d.Until.IsZero() || !from.After(d.Until))", "true", verdictTests, "TestVerdicts"},
+	{"internal/lab/process/disturbance.go", " && made.After(d.From.Add(takesNew))", "", verdictTests, "TestVerdicts"},
+	{"internal/lab/federation/judge.go", "	if e.droppedBefore(r) {\n", "	if false {\n", verdictTests, "TestVerdicts"},
+	{"internal/lab/federation/judge.go", " && !e.reached(r.ID, end)\n", "\n", verdictTests, "TestVerdicts"},
+	{"internal/lab/federation/judge.go", "(d.Until.IsZero() || over.Before(d.Until))", "true", verdictTests, "TestVerdicts"},
+	{"internal/lab/federation/judge.go", "late := r.Took-heldUp >", "late := false && r.Took-heldUp >", verdictTests, "TestVerdicts"},
+	{"internal/lab/process/disturbance.go", " && !end.Before(d.From) && !d.laterThan(begun)", " && !end.Before(d.From)", trialJudgeTests, "TestDroppedByTheNextProcess"},
+	{"internal/lab/process/disturbance.go", "	case Stopped: // the system takes them\n		return false\n", "", verdictTests, "TestVerdicts"},
+	{"internal/lab/trial/client.go", "	case side.done.Cut(c.begun, s.at.Add(took)): // its process was killed: its client sends again\n", "", trialJudgeTests, "TestCutOffByAKill"},
+	{"internal/lab/trial/client.go", "!side.done.ClosedDoor(begun, made) && ", "false && ", trialJudgeTests, "TestRefusedBeforeAKill"},
+	{"internal/lab/trial/registry.go", "	if !at.IsZero() && at.Before(told) {\n", "	if !at.IsZero() && at.Before(told) && r.down == NoFault {\n", trialJudgeTests, "TestToldBeforeDiscoveryIsDown"},
+	{"internal/lab/trial/judge.go", "return most > permit.MaxStall", "_, most = h.Within(time.Time{}, time.Now())\n	return most > permit.MaxStall", trialJudgeTests, "TestHeldUp"},
+	{"internal/broker/capacity.go", "meanWait > excessiveWait && c.queuedSince == noTime && meanWait <= severeWait", "false", shortageTests, "TestBurstAfterCommonStall"},
+	{"internal/broker/capacity.go", "	c.queuedSince = noTime\n	c.openWindow(now)\n}", "	c.openWindow(now)\n}", shortageTests, "TestBurstAfterCommonStall"},
+	{"internal/broker/capacity.go", "	relevant := t.admitted > c.queuedSince", "	relevant := true", shortageTests, "TestBurstAfterCommonStall"},
+	{"internal/broker/capacity.go", "(c.inFlightWork-c.beforeStall.work)/rate", "c.inFlightWork/rate", shortageTests, "TestInFlightAcrossStallDuringShortage"},
+	{"internal/broker/capacity.go", "	if c.queueDelayAt(rate) <= severeWait*c.target.value {\n		return\n	}\n", "", shortageTests, "TestBurstAtManySidecars"},
+	{"internal/broker/capacity.go", "		c.servedInBurst += t.work\n", "", shortageTests, "TestBurstAtManySidecars"},
+	{"internal/broker/capacity.go", "unseenAnswers*c.inFlightWork/c.inFlight", "1e3", shortageTests, "TestUncontractedOverload"},
+	{"internal/core/delay.go", "return max(own, s.stalledSince(a.decided, time.Now()))", "return own", attributionTests, "TestStallNotAttributedToEndpoint"},
+	{"bench/trial/main.go", "return !v.HeldUp }", "return false }", trialOutcomeTests, "TestOutcome"},
 }
 
-var of = flag.String("of", "", "only mutants of files with this in their path")
+var of = flag.String("of", "", "run only mutants of files whose path contains this")
 
 func main() {
 	flag.Parse()
@@ -284,14 +293,14 @@
 		case property == "":
 			missed++
 			fmt.Printf("MISSED  %s: %s\n", m.file, strings.TrimSpace(m.from))
-		case property != m.breaks:
+		case property != m.property:
 			missed++
 			fmt.Printf("found after %2d events, but as %q: %s: %s\n", events, property, m.file, strings.TrimSpace(m.from))
 		default:
 			fmt.Printf("found after %2d events: %s\n", events, property)
 		}
 	}
-	fmt.Printf("%d mutants, %d missed or taken for something else\n", tried, missed)
+	fmt.Printf("%d mutants, %d missed or found as another property\n", tried, missed)
 	if missed > 0 {
 		return fmt.Errorf("%d are not found", missed)
 	}
@@ -299,28 +308,29 @@
 }
 
 var (
-	numbered = regexp.MustCompile(`(?m)^[^\n]*?\b(\d+)\. `)
-	end      = regexp.MustCompile(`then: (.*)`)
-	failed   = regexp.MustCompile(`--- FAIL: (\w+)`)
+	eventLine    = regexp.MustCompile(`(?m)^[^\n]*?\b(\d+)\. `)
+	propertyLine = regexp.MustCompile(`then: (.*)`)
+	failedTest   = regexp.MustCompile(`--- FAIL: (\w+)`)
 )
 
-// tested is the folder whose tests find a mutant: that of its file, but for what serves others.
-func tested(m mutant) string {
-	switch m.test {
-	case leases:
+// testedPackage returns the folder of the package whose tests find a mutant: that of its file,
+// unless tests of another package cover the file.
+func testedPackage(m mutant) string {
+	switch m.tests {
+	case leaseTests:
 		return "internal/fleet/quota"
-	case besideKills:
+	case killTests:
 		return "cmd/spokegw"
-	case verdicts:
+	case verdictTests:
 		return "internal/lab/federation"
-	case trialJudge:
+	case trialJudgeTests:
 		return "internal/lab/trial"
 	}
 	return filepath.Dir(m.file)
 }
 
-// try runs the exploration with the mutant in place. It tells the length of the
-// counterexample and the property that it breaks; "" where there is none.
+// try runs the tests with the mutant in place. It returns the length of the counterexample and
+// the property that it breaks; "" where no test fails.
 func try(m mutant, folder string) (events int, property string, err error) {
 	text, err := os.ReadFile(m.file)
 	if err != nil {
@@ -336,28 +346,28 @@
 	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), m.from, m.to, 1)), 0o600); err != nil {
 		return 0, "", err
 	}
-	place, err := filepath.Abs(m.file)
+	original, err := filepath.Abs(m.file)
 	if err != nil {
 		return 0, "", err
 	}
-	json, _ := json.Marshal(map[string]any{"Replace": map[string]string{place: changed}})
+	json, _ := json.Marshal(map[string]any{"Replace": map[string]string{original: changed}})
 	if err := os.WriteFile(overlay, json, 0o600); err != nil {
 		return 0, "", err
 	}
-	// The exit code tells nothing that the output does not.
-	args := []string{"test", "-count=1", "-vet=off", "-timeout", "60s", "-overlay", overlay, "-run", "^" + m.test + "$", "./" + tested(m)}
-	switch m.test {
-	case leases:
+	// The exit code is not needed: the output says which tests fail.
+	args := []string{"test", "-count=1", "-vet=off", "-timeout", "60s", "-overlay", overlay, "-run", "^" + m.tests + "$", "./" + testedPackage(m)}
+	switch m.tests {
+	case leaseTests:
 		args = append(args, "-explore-depth", "6", "-schedules", "400")
-	case duties:
+	case electionTests:
 		args = append(args, "-explore-depth", "6")
 	}
 	output, _ := exec.Command("go", args...).CombinedOutput()
-	found := end.FindSubmatch(output)
-	if slices.Contains([]string{measures, losses, effects, gates, drains, clocks, renewals, watches, starts, shortages, unread, besideKills, verdicts, trialJudge, trialOutcome}, m.test) { // each test is a property
-		found = failed.FindSubmatch(output)
-		for _, test := range failed.FindAllSubmatch(output, -1) {
-			if string(test[1]) == m.breaks { // others may fail before it
+	found := propertyLine.FindSubmatch(output)
+	if slices.Contains(namedByTest, m.tests) {
+		found = failedTest.FindSubmatch(output)
+		for _, test := range failedTest.FindAllSubmatch(output, -1) {
+			if string(test[1]) == m.property { // other tests may fail before it
 				found = test
 			}
 		}
@@ -368,5 +378,5 @@
 		}
 		return 0, "", nil
 	}
-	return len(numbered.FindAllSubmatch(output, -1)), string(found[1]), nil
+	return len(eventLine.FindAllSubmatch(output, -1)), string(found[1]), nil
 }
