--- a/bench/mutants/main.go
+++ b/bench/mutants/main.go
@@ -50,7 +50,7 @@
 
 	budgetTests   = "TestEveryOrder"
 	chargeTests   = "TestChargesInEveryOrder"
-	courseTests   = "TestCourseInEveryOrder"
+	progressTests = "TestProgressModel"
 	leaseTests    = "(TestEveryOrderOfLeases|TestSchedules|TestDelayedMessages)"
 	electionTests = "(TestEveryOrderOfElection|TestVoteForEarlierCandidate)"
 )
@@ -104,17 +104,17 @@
 	{"internal/broker/broker.go", "t.account.tokens = math.Min(t.account.tokens+1, t.account.maxTokens)", "t.account.tokens++", chargeTests, tokensOutOfBounds},
 	{"internal/broker/broker.go", "a.tokens = math.Min(a.tokens+retryPerRequest, a.maxTokens)", "a.tokens += retryPerRequest", chargeTests, tokensOutOfBounds},
 
-	{"internal/moves/course.go", "gap > pause || gap < 0", "gap < 0", courseTests, movedByPause},
-	{"internal/moves/course.go", "		c.Since, c.EndedAtStart = now, v.NewRequests\n		if c.WaitingFor", "		if c.WaitingFor", courseTests, stepSkipped},
-	{"internal/moves/course.go", "case lacking > 0:", "case lacking > p.StepTime:", courseTests, stepSkipped},
-	{"internal/moves/course.go", "case v.NewRequests-c.EndedAtStart < p.StepRequests:", "case v.NewRequests < 0:", courseTests, stepSkipped},
-	{"internal/moves/course.go", "case !v.Sufficient:", "case false:", courseTests, stepSkipped},
-	{"internal/moves/course.go", "min(want, at.ToCapacity)", "want", courseTests, shareGrew},
-	{"internal/moves/course.go", "		if v.Regression != \"\" {", "		if v.Regression != \"\" && c.Phase != Paused {", courseTests, regressionNotUndone},
-	{"internal/moves/course.go", "	c.Phase, c.Since = Undone, now\n", "	c.Phase, c.Since, c.Share = Undone, now, 0.1\n", courseTests, oldPoolNotRestored},
-	{"internal/moves/course.go", "	case c.Phase == Undone, c.Phase == Done:\n		return errOver\n	case c.Phase != Waiting:", "	case c.Phase != Waiting && c.Phase != Undone:", courseTests, invalidCommandTaken},
-	{"internal/moves/course.go", "	if c.Phase == Waiting || c.Phase == Undone {\n		return\n	}\n	c.Step = 0", "	if c.Phase == Undone {\n		c.Phase = Moving\n	}\n	c.Step = 0", courseTests, shareGrew},
-	{"internal/moves/course.go", "	case at.To == 0:\n		return \"no endpoint of the new pool is ready\"\n", "", courseTests, stepSkipped},
+	{"internal/moves/progress.go", "gap > maxTickGap || gap < 0", "gap < 0", progressTests, movedByPause},
+	{"internal/moves/progress.go", "		c.Since, c.EndedAtStart = now, a.NewRequests\n		if c.WaitingFor", "		if c.WaitingFor", progressTests, stepSkipped},
+	{"internal/moves/progress.go", "case remaining > 0:", "case remaining > p.StepTime:", progressTests, stepSkipped},
+	{"internal/moves/progress.go", "case a.NewRequests-c.EndedAtStart < p.StepRequests:", "case a.NewRequests < 0:", progressTests, stepSkipped},
+	{"internal/moves/progress.go", "case !a.Sufficient:", "case false:", progressTests, stepSkipped},
+	{"internal/moves/progress.go", "min(want, cond.ToCapacity)", "want", progressTests, shareGrew},
+	{"internal/moves/progress.go", "		if a.Regression != \"\" {", "		if a.Regression != \"\" && c.Phase != Paused {", progressTests, regressionNotUndone},
+	{"internal/moves/progress.go", "	c.Phase, c.Since = Undone, now\n", "	c.Phase, c.Since, c.Share = Undone, now, 0.1\n", progressTests, oldPoolNotRestored},
+	{"internal/moves/progress.go", "	case c.Phase == Undone, c.Phase == Done:\n		return errFinished\n	case c.Phase != Waiting:", "	case c.Phase != Waiting && c.Phase != Undone:", progressTests, invalidCommandTaken},
+	{"internal/moves/progress.go", "	if c.Phase == Waiting || c.Phase == Undone {\n		return\n	}\n	c.Step = 0", "	if c.Phase == Undone {\n		c.Phase = Moving\n	}\n	c.Step = 0", progressTests, shareGrew},
+	{"internal/moves/progress.go", "	case cond.To == 0:\n		return \"no endpoint of the new pool is ready\"\n", "", progressTests, stepSkipped},
 
 	{"internal/fleet/quota/participant.go", "Own: max(0, own-p.lent(now))", "Own: own", leaseTests, quotaExceeded},
 	{"internal/fleet/quota/participant.go", "int64(now + p.settings.safeWait(p.settings.Lease))", "int64(now + p.settings.Lease*3/4)", leaseTests, quotaExceeded},
