--- a/bench/quota/main.go
+++ b/bench/quota/main.go
@@ -1,6 +1,6 @@
-// Command quota plays ways in which gateways can share one quota, in virtual time and the
-// same scenes: how much of what could be used is used, how far all together are over the
-// quota, and what is sent.
+// Command quota compares algorithms by which gateways share one quota, in virtual time and
+// in the same scenes: how much of the usable quota is used, how far the sum of all gateways
+// exceeds the quota, and how many messages are sent.
 //
 //	go run ./bench/quota [-seeds 5] [-schedules 200] [-sizes 10,100,500]
 package main
@@ -19,22 +19,23 @@
 	"spokegw/internal/lab/gateways"
 )
 
-var set = quota.Settings{Lease: 2 * time.Second, Period: 200 * time.Millisecond, Drift: 0.01}
+var settings = quota.Settings{Lease: 2 * time.Second, Period: 200 * time.Millisecond, Drift: 0.01}
 
-// scene is a course of events, of which the last seconds are measured.
+// scene is a schedule of events; the last seconds of a run are measured.
 type scene struct {
-	name string
-	play func(w *gateways.World)
+	name     string
+	schedule func(w *gateways.World)
 }
 
-func demand(w *gateways.World, of ...float64) {
+func setDemand(w *gateways.World, fractions ...float64) {
 	for i, n := range w.Nodes {
-		n.Demand = quota.PartOf(of[min(i, len(of)-1)])
+		n.Demand = quota.PartOf(fractions[min(i, len(fractions)-1)])
 	}
 }
 
-// first is whoever is asked first where that is chosen: each way is met by the loss of it.
-func first(w *gateways.World) []*gateways.Node {
+// likelyLeaders returns the first gateway and the best candidate: algorithms with a fixed
+// server use the former, those that elect one the latter. Losing both affects every algorithm.
+func likelyLeaders(w *gateways.World) []*gateways.Node {
 	best := w.Nodes[0]
 	for _, n := range w.Nodes {
 		if w.Order(n) < w.Order(best) {
@@ -45,23 +46,23 @@
 }
 
 var scenes = []scene{
-	{"all at one", func(w *gateways.World) { demand(w, 0, 0, 0, 2, 0) }},
-	{"all want all", func(w *gateways.World) { demand(w, 1) }},
+	{"all at one", func(w *gateways.World) { setDemand(w, 0, 0, 0, 2, 0) }},
+	{"all want all", func(w *gateways.World) { setDemand(w, 1) }},
 	{"demand moves each 3 s", func(w *gateways.World) {
-		demand(w, 0.02)
+		setDemand(w, 0.02)
 		for i := range 10 {
 			w.After(time.Duration(3*i)*time.Second, func() {
-				demand(w, 0.02)
+				setDemand(w, 0.02)
 				w.Nodes[i%len(w.Nodes)].Demand = quota.Whole
 			})
 		}
 	}},
 	{"cut in halves", func(w *gateways.World) {
-		demand(w, 1)
-		w.After(10*time.Second, func() { halves(w, true) })
+		setDemand(w, 1)
+		w.After(10*time.Second, func() { setPartition(w, true) })
 	}},
 	{"a third cut off, demand there", func(w *gateways.World) {
-		demand(w, 1, 1, 0)
+		setDemand(w, 1, 1, 0)
 		w.After(10*time.Second, func() {
 			for i := range w.Nodes {
 				for j := range w.Nodes {
@@ -73,8 +74,8 @@
 		})
 	}},
 	{"the first one is killed for 8 s", func(w *gateways.World) {
-		demand(w, 0.5)
-		for _, n := range first(w) {
+		setDemand(w, 0.5)
+		for _, n := range likelyLeaders(w) {
 			w.After(10*time.Second, func() {
 				if n.Up {
 					w.Crash(n)
@@ -84,13 +85,13 @@
 		}
 	}},
 	{"the first one stands still for 10 s", func(w *gateways.World) {
-		demand(w, 0.5)
-		for _, n := range first(w) {
+		setDemand(w, 0.5)
+		for _, n := range likelyLeaders(w) {
 			w.After(10*time.Second, func() { w.Pause(n, 10*time.Second) })
 		}
 	}},
 	{"all restarted at once", func(w *gateways.World) {
-		demand(w, 0.5)
+		setDemand(w, 0.5)
 		w.After(15*time.Second, func() {
 			for _, n := range w.Nodes {
 				w.Crash(n)
@@ -99,13 +100,13 @@
 		})
 	}},
 	{"30% lost, up to 400 ms", func(w *gateways.World) {
-		demand(w, 0, 0, 0, 1, 0.3, 0)
+		setDemand(w, 0, 0, 0, 1, 0.3, 0)
 		w.Drop = 0.3
 		w.Delay = func() time.Duration { return time.Duration(w.Rand.Int64N(int64(400 * time.Millisecond))) }
 	}},
 }
 
-func halves(w *gateways.World, cut bool) {
+func setPartition(w *gateways.World, cut bool) {
 	for i := range w.Nodes {
 		for j := range w.Nodes {
 			if i%2 != j%2 {
@@ -116,11 +117,11 @@
 }
 
 func main() {
-	seeds := flag.Uint64("seeds", 5, "plays of each scene")
-	schedules := flag.Uint64("schedules", 200, "random schedules of faults")
-	sizes := flag.String("sizes", "10,100,500", "gateways, for the costs; none: not measured")
-	flag.DurationVar(&set.Lease, "lease", set.Lease, "of all ways that have one")
-	flag.DurationVar(&set.Period, "period", set.Period, "between reports")
+	seeds := flag.Uint64("seeds", 5, "runs per scene")
+	schedules := flag.Uint64("schedules", 200, "number of random fault schedules")
+	sizes := flag.String("sizes", "10,100,500", "fleet sizes for the cost table; empty: no cost table")
+	flag.DurationVar(&settings.Lease, "lease", settings.Lease, "lease duration of the algorithms that have one")
+	flag.DurationVar(&settings.Period, "period", settings.Period, "interval between reports")
 	flag.Parse()
 	if err := run(*seeds, *schedules, *sizes); err != nil {
 		fmt.Fprintln(os.Stderr, "quota:", err)
@@ -131,80 +132,80 @@
 func run(seeds, schedules uint64, sizes string) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "used, highest sum\t")
-	for _, way := range ways {
-		fmt.Fprintf(w, "%s\t", way.name)
+	for _, algorithm := range algorithms {
+		fmt.Fprintf(w, "%s\t", algorithm.name)
 	}
 	fmt.Fprintln(w)
 	for _, s := range scenes {
 		fmt.Fprintf(w, "%s\t", s.name)
-		for _, way := range ways {
-			used, most := playScene(s, way.make, seeds)
-			fmt.Fprintf(w, "%.2f, %.2f\t", used, most)
+		for _, algorithm := range algorithms {
+			used, highest := runScene(s, algorithm.make, seeds)
+			fmt.Fprintf(w, "%.2f, %.2f\t", used, highest)
 		}
 		fmt.Fprintln(w)
 	}
 	fmt.Fprint(w, "schedules over the quota\t")
-	for _, way := range ways {
-		over, worst := playSchedules(way.make, schedules)
-		fmt.Fprintf(w, "%d, %.2f\t", over, worst)
+	for _, algorithm := range algorithms {
+		over, highest := runSchedules(algorithm.make, schedules)
+		fmt.Fprintf(w, "%d, %.2f\t", over, highest)
 	}
 	fmt.Fprintln(w)
 	if err := w.Flush(); err != nil || sizes == "" {
 		return err
 	}
-	return costs(sizes)
+	return printCosts(sizes)
 }
 
-// playScene is the mean use from the fifth second on, and the highest sum of all plays.
-func playScene(s scene, make gateways.Make, seeds uint64) (used, most float64) {
+// runScene returns the mean usage from the fifth second on, and the highest sum in any run.
+func runScene(s scene, make gateways.Make, seeds uint64) (used, highest float64) {
 	for seed := range seeds {
-		w := gateways.New(seed, set, 3, 2, make)
+		w := gateways.New(seed, settings, 3, 2, make)
 		w.GoOn = true
-		s.play(w)
-		w.Run(5 * time.Second) // it goes on when the sum is over the quota: no error
+		s.schedule(w)
+		w.Run(5 * time.Second) // no error: GoOn lets it continue when the sum exceeds the quota
 		share, _ := w.Share(25 * time.Second)
 		used += share / float64(seeds)
-		most = max(most, w.Most.Fraction())
+		highest = max(highest, w.Most.Fraction())
 	}
-	return used, most
+	return used, highest
 }
 
-// playSchedules counts the random schedules in which the sum was over the quota, and tells
+// runSchedules counts the random schedules in which the sum exceeded the quota, and returns
 // the highest sum.
-func playSchedules(make gateways.Make, n uint64) (over int, worst float64) {
+func runSchedules(make gateways.Make, n uint64) (over int, highest float64) {
 	for seed := uint64(1); seed <= n; seed++ {
-		w := gateways.New(seed, set, 2+int(seed%3), 1+int(seed/3%4), make)
+		w := gateways.New(seed, settings, 2+int(seed%3), 1+int(seed/3%4), make)
 		w.GoOn = true
 		for _, node := range w.Nodes {
 			node.Demand = quota.PartOf(w.Rand.Float64())
 		}
-		w.Play(gateways.Draw(w, 40*time.Second)) // it goes on when the sum is over the quota: no error
-		if worst = max(worst, w.Most.Fraction()); w.Most > quota.Whole {
+		w.Play(gateways.Draw(w, 40*time.Second)) // no error: GoOn lets it continue when the sum exceeds the quota
+		if highest = max(highest, w.Most.Fraction()); w.Most > quota.Whole {
 			over++
 		}
 	}
-	return over, worst
+	return over, highest
 }
 
-// costs tells what a member of a fleet sends and holds by the fleet's size; what a report
-// takes of a processor is told by BenchmarkHandleReport of package quota.
-func costs(sizes string) error {
+// printCosts prints the messages and memory per member by fleet size. BenchmarkHandleReport
+// of package quota measures the CPU time of a report.
+func printCosts(sizes string) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\ngateways\tuse\tmessages a member and second\tof one that is steward\tKB a member\t")
 	for _, text := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 5 {
-			return fmt.Errorf("sizes: numbers of 5 or more are expected, not %q", text)
+			return fmt.Errorf("sizes: %q is not a number of 5 or more", text)
 		}
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		world := gateways.New(1, set, 5, n/5, gateways.Leases)
+		world := gateways.New(1, settings, 5, n/5, gateways.Leases)
 		for i, node := range world.Nodes {
 			node.Demand = quota.PartOf([]float64{2, 0.2, 0.5, 0, 1.5}[i%5] / float64(n))
 		}
 		world.Run(4 * time.Second)
-		sent := world.Sent
+		sentBefore := world.Sent
 		used, err := world.Share(6 * time.Second)
 		if err != nil {
 			return err
@@ -212,7 +213,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		kb := float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc)) / 1024 / float64(n)
-		perSecond := float64(world.Sent-sent) / 6
+		perSecond := float64(world.Sent-sentBefore) / 6
 		fmt.Fprintf(w, "%d\t%.3f\t%.1f\t%.0f\t%.1f\t\n", n, used, perSecond/float64(n), perSecond/2, kb)
 		runtime.KeepAlive(world)
 	}
