--- a/bench/structures/main.go
+++ b/bench/structures/main.go
@@ -1,6 +1,6 @@
-// Command structures measures the data structures made for keys and their windows
-// beside plain ones: a timing wheel beside a heap and a map that is swept, and a
-// compact table beside a map.
+// Command structures compares the data structures for idempotency keys and their
+// deduplication windows with common ones: a timing wheel with a heap and a
+// periodically swept map, and a compact table with a map.
 package main
 
 import (
@@ -20,96 +20,96 @@
 )
 
 const (
-	window = 10 * time.Second // of a key
-	tick   = 4 * time.Millisecond
-	sweep  = time.Second // between two sweeps of the map
+	window        = 10 * time.Second // deduplication window of a key
+	tick          = 4 * time.Millisecond
+	sweepInterval = time.Second // of the swept map
 )
 
 func main() {
-	most := flag.Int("most", 10_000_000, "the most entries")
+	maxEntries := flag.Int("most", 10_000_000, "largest number of entries")
 	flag.Parse()
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(out, "entries\tof timers\tns each\tlongest step\tbytes each\t")
-	for n := 1000; n <= *most; n *= 10 {
+	for n := 1000; n <= *maxEntries; n *= 10 {
 		for _, name := range []string{"wheel", "heap", "swept map"} {
-			timers(out, name, n)
+			measureTimers(out, name, n)
 		}
 	}
 	out.Flush()
 	fmt.Println()
 	fmt.Fprintln(out, "entries\ttable of keys\tns each\tbytes each\tcollection, ms\t")
-	for n := 1000; n <= *most; n *= 10 {
-		tables(out, n)
+	for n := 1000; n <= *maxEntries; n *= 10 {
+		measureTables(out, n)
 	}
 	out.Flush()
 }
 
-// expiry is a set of timers under test.
-type expiry interface {
+// timerSet is an implementation under test.
+type timerSet interface {
 	set(id uint32, at time.Duration)
 	clear(id uint32)
 	advance(now time.Duration) (due int)
 }
 
-// timers plays n timers at rest: each step of a tick sets those that fall due, as a
-// steady stream of keys would, and takes back one of eight again, as for a key that
-// never ran.
-func timers(out *tabwriter.Writer, name string, n int) {
+// measureTimers measures a steady state of n timers: each tick sets about as many timers as
+// expire, like a constant rate of new keys, and clears one of eight first, as for a key
+// whose request was never executed.
+func measureTimers(out *tabwriter.Writer, name string, n int) {
 	before := heapBytes()
-	var x expiry
+	var x timerSet
 	switch name {
 	case "wheel":
-		x = &wheelExpiry{w: wheel.New(tick)}
+		x = &wheelTimers{wheel: wheel.New(tick)}
 	case "heap":
-		x = &heapExpiry{place: make([]int, n)}
+		x = &heapTimers{index: make([]int, n)}
 	default:
-		x = &sweptExpiry{at: make(map[uint32]time.Duration)}
+		x = &sweptTimers{at: make(map[uint32]time.Duration)}
 	}
 	random := rand.New(rand.NewPCG(1, uint64(n)))
 	now := time.Duration(0)
-	spread := func() time.Duration { return now + time.Duration(random.Int64N(int64(window))) }
+	randomExpiry := func() time.Duration { return now + time.Duration(random.Int64N(int64(window))) }
 	for id := range n {
-		x.set(uint32(id), spread())
+		x.set(uint32(id), randomExpiry())
 	}
 	bytes := float64(heapBytes()-before) / float64(n)
 	const steps = 1000
-	each := max(n*int(tick)/int(window), 1)
+	perStep := max(n*int(tick)/int(window), 1)
 	var longest time.Duration
-	begun, done := time.Now(), 0
+	started, done := time.Now(), 0
 	for range steps {
-		from := time.Now()
+		stepStarted := time.Now()
 		now += tick
 		x.advance(now)
-		for range each {
+		for range perStep {
 			id := uint32(random.IntN(n))
 			if done++; done%8 == 0 {
 				x.clear(id)
 			}
 			x.set(id, now+window)
 		}
-		longest = max(longest, time.Since(from))
+		longest = max(longest, time.Since(stepStarted))
 	}
-	fmt.Fprintf(out, "%d\t%s\t%d\t%v\t%.0f\t\n", n, name, time.Since(begun).Nanoseconds()/int64(done), longest.Round(time.Microsecond), bytes)
+	fmt.Fprintf(out, "%d\t%s\t%d\t%v\t%.0f\t\n", n, name, time.Since(started).Nanoseconds()/int64(done), longest.Round(time.Microsecond), bytes)
 	runtime.KeepAlive(x)
 }
 
-type wheelExpiry struct {
-	w   *wheel.Wheel
-	due int
+type wheelTimers struct {
+	wheel *wheel.Wheel
+	due   int
 }
 
-func (x *wheelExpiry) set(id uint32, at time.Duration) { x.w.Set(id, at) }
-func (x *wheelExpiry) clear(id uint32)                 { x.w.Clear(id) }
-func (x *wheelExpiry) advance(now time.Duration) int {
+func (x *wheelTimers) set(id uint32, at time.Duration) { x.wheel.Set(id, at) }
+func (x *wheelTimers) clear(id uint32)                 { x.wheel.Clear(id) }
+func (x *wheelTimers) advance(now time.Duration) int {
 	x.due = 0
-	x.w.Advance(now, func(uint32) { x.due++ })
+	x.wheel.Advance(now, func(uint32) { x.due++ })
 	return x.due
 }
 
-// heapExpiry is container/heap with the place of each, so that a timer can be changed.
-type heapExpiry struct {
+// heapTimers uses container/heap and tracks each timer's index, so that it can be changed.
+type heapTimers struct {
 	items []heapItem
-	place []int // 1 + the place in items; 0: not set
+	index []int // 1 + index in items; 0: not set
 }
 
 type heapItem struct {
@@ -117,27 +117,27 @@
 	id uint32
 }
 
-func (x *heapExpiry) Len() int           { return len(x.items) }
-func (x *heapExpiry) Less(i, j int) bool { return x.items[i].at < x.items[j].at }
-func (x *heapExpiry) Swap(i, j int) {
+func (x *heapTimers) Len() int           { return len(x.items) }
+func (x *heapTimers) Less(i, j int) bool { return x.items[i].at < x.items[j].at }
+func (x *heapTimers) Swap(i, j int) {
 	x.items[i], x.items[j] = x.items[j], x.items[i]
-	x.place[x.items[i].id], x.place[x.items[j].id] = i+1, j+1
+	x.index[x.items[i].id], x.index[x.items[j].id] = i+1, j+1
 }
 
-func (x *heapExpiry) Push(v any) {
+func (x *heapTimers) Push(v any) {
 	x.items = append(x.items, v.(heapItem))
-	x.place[v.(heapItem).id] = len(x.items)
+	x.index[v.(heapItem).id] = len(x.items)
 }
 
-func (x *heapExpiry) Pop() any {
+func (x *heapTimers) Pop() any {
 	last := x.items[len(x.items)-1]
 	x.items = x.items[:len(x.items)-1]
-	x.place[last.id] = 0
+	x.index[last.id] = 0
 	return last
 }
 
-func (x *heapExpiry) set(id uint32, at time.Duration) {
-	if p := x.place[id]; p != 0 {
+func (x *heapTimers) set(id uint32, at time.Duration) {
+	if p := x.index[id]; p != 0 {
 		x.items[p-1].at = at
 		heap.Fix(x, p-1)
 		return
@@ -145,32 +145,32 @@
 	heap.Push(x, heapItem{at, id})
 }
 
-func (x *heapExpiry) clear(id uint32) {
-	if p := x.place[id]; p != 0 {
+func (x *heapTimers) clear(id uint32) {
+	if p := x.index[id]; p != 0 {
 		heap.Remove(x, p-1)
 	}
 }
 
-func (x *heapExpiry) advance(now time.Duration) (due int) {
+func (x *heapTimers) advance(now time.Duration) (due int) {
 	for ; len(x.items) > 0 && x.items[0].at <= now; due++ {
 		heap.Pop(x)
 	}
 	return due
 }
 
-// sweptExpiry is a map that is gone through each second.
-type sweptExpiry struct {
-	at   map[uint32]time.Duration
-	last time.Duration
+// sweptTimers is a map that is scanned for expired timers at each sweepInterval.
+type sweptTimers struct {
+	at        map[uint32]time.Duration
+	lastSweep time.Duration
 }
 
-func (x *sweptExpiry) set(id uint32, at time.Duration) { x.at[id] = at }
-func (x *sweptExpiry) clear(id uint32)                 { delete(x.at, id) }
-func (x *sweptExpiry) advance(now time.Duration) (due int) {
-	if now < x.last+sweep {
+func (x *sweptTimers) set(id uint32, at time.Duration) { x.at[id] = at }
+func (x *sweptTimers) clear(id uint32)                 { delete(x.at, id) }
+func (x *sweptTimers) advance(now time.Duration) (due int) {
+	if now < x.lastSweep+sweepInterval {
 		return 0
 	}
-	x.last = now
+	x.lastSweep = now
 	for id, at := range x.at {
 		if at <= now {
 			delete(x.at, id)
@@ -180,36 +180,36 @@
 	return due
 }
 
-// value is of the size of what is remembered of a key.
+// value has the size of the data stored per key.
 type value [10]uint64
 
-// tables puts n keys into each kind of table, and then takes one out, puts one in and
-// looks for one, over and over.
-func tables(out *tabwriter.Writer, n int) {
-	key := func(i int) uint64 { // keys are hashes: mixed as by SplitMix64
+// measureTables inserts n keys into each type of table, then repeatedly removes one, inserts
+// one and looks one up.
+func measureTables(out *tabwriter.Writer, n int) {
+	key := func(i int) uint64 { // keys are hashes, so mix as in SplitMix64
 		z := uint64(i+1) * 0x9E3779B97F4A7C15
 		z = (z ^ z>>30) * 0xBF58476D1CE4E5B9
 		return z ^ z>>27
 	}
 	rounds := max(n, 1_000_000)
 	found := 0
-	line := func(name string, before uint64, keep any, round func(i int)) {
+	measure := func(name string, before uint64, table any, operation func(i int)) {
 		bytes := float64(heapBytes()-before) / float64(n)
-		pauses := collections()
-		begun := time.Now()
+		gcTime := gcMilliseconds()
+		started := time.Now()
 		for i := range rounds {
-			round(i)
+			operation(i)
 		}
-		each := time.Since(begun).Nanoseconds() / int64(rounds)
-		fmt.Fprintf(out, "%d\t%s\t%d\t%.0f\t%.2f\t\n", n, name, each, bytes, pauses)
-		runtime.KeepAlive(keep)
+		perRound := time.Since(started).Nanoseconds() / int64(rounds)
+		fmt.Fprintf(out, "%d\t%s\t%d\t%.0f\t%.2f\t\n", n, name, perRound, bytes, gcTime)
+		runtime.KeepAlive(table)
 	}
 	before := heapBytes()
 	plain := map[uint64]value{}
 	for i := range n {
 		plain[key(i)] = value{}
 	}
-	line("map", before, plain, func(i int) {
+	measure("map", before, plain, func(i int) {
 		delete(plain, key(i))
 		plain[key(i+n)] = value{1}
 		found += int(plain[key(i+n/2)][0])
@@ -220,7 +220,7 @@
 	for i := range n {
 		table.FindOrInsert(key(i))
 	}
-	line("compact", before, &table, func(i int) {
+	measure("compact", before, &table, func(i int) {
 		if h := table.Find(key(i)); h != compact.None {
 			table.Remove(h)
 		}
@@ -240,14 +240,14 @@
 	return m.HeapAlloc
 }
 
-// collections is the median time of a whole collection, in milliseconds.
-func collections() float64 {
+// gcMilliseconds returns the median duration of a full garbage collection.
+func gcMilliseconds() float64 {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	var all []float64
 	for range 5 {
-		begun := time.Now()
+		started := time.Now()
 		runtime.GC()
-		all = append(all, float64(time.Since(begun).Microseconds())/1000)
+		all = append(all, float64(time.Since(started).Microseconds())/1000)
 	}
 	slices.Sort(all)
 	return all[2]
