--- a/bench/upgrade/main.go
+++ b/bench/upgrade/main.go
@@ -1,7 +1,8 @@
-// Command upgrade measures upgrades under load: a sidecar's process is replaced
-// by a new one again and again while clients ask, on kept connections and on new
-// ones. It prints what was lost, doubled and reset, the slowest answer, how long
-// each new process took to say yes, and what both processes held together.
+// Command upgrade measures graceful restarts under load: a sidecar process is
+// repeatedly replaced by a new one while clients send requests on persistent and
+// on new connections. It prints the requests that were lost, duplicated and reset,
+// the slowest answer, the time until a new process was ready, and the file
+// descriptors and memory of both processes together.
 //
 //	go build -o bin/ ./cmd/spokegw && go run ./bench/upgrade --upgrades 50 --rate 1000
 package main
@@ -32,20 +33,20 @@
 )
 
 var (
-	program  = flag.String("program", "bin/spokegw", "the sidecar's command")
-	upgrades = flag.Int("upgrades", 50, "how many, at most 1,000")
-	rate     = flag.Float64("rate", 1000, "requests a second, at most 20,000")
-	workers  = flag.Int("workers", 32, "clients, at most 512")
-	pause    = flag.Duration("pause", 300*time.Millisecond, "between upgrades")
-	alone    = flag.Bool("alone", false, "each process has a folder of its own, so that nothing is handed over: both listen by themselves")
-	verbose  = flag.Bool("v", false, "show the sidecars' logs")
+	program      = flag.String("program", "bin/spokegw", "path of the sidecar binary")
+	upgrades     = flag.Int("upgrades", 50, "number of upgrades, at most 1,000")
+	rate         = flag.Float64("rate", 1000, "requests per second, at most 20,000")
+	workers      = flag.Int("workers", 32, "number of clients, at most 512")
+	pause        = flag.Duration("pause", 300*time.Millisecond, "pause between upgrades")
+	separateDirs = flag.Bool("alone", false, "give each process its own directory, so that there is no handover: each opens its own listener")
+	verbose      = flag.Bool("v", false, "show the sidecars' logs")
 )
 
 func main() {
 	flag.Parse()
 	slog.SetLogLoggerLevel(slog.LevelError)
 	if *upgrades > 1000 || *rate > 20000 || *workers > 512 || *upgrades < 1 || *rate <= 0 || *workers < 1 {
-		fmt.Fprintln(os.Stderr, "upgrade: a flag is out of its bounds; --help tells them")
+		fmt.Fprintln(os.Stderr, "upgrade: a flag is out of range; see --help")
 		os.Exit(2)
 	}
 	if err := run(); err != nil {
@@ -54,12 +55,12 @@
 	}
 }
 
-// tally is what clients saw.
-type tally struct {
-	asked, served, refused, failed, reset, noAnswer, doubled atomic.Int64
-	came                                                     sync.Map // requests, by id, that endpoints met
-	mu                                                       sync.Mutex
-	took                                                     []time.Duration
+// results are the outcomes of the clients' requests.
+type results struct {
+	sent, served, refused, failed, reset, noAnswer, duplicated atomic.Int64
+	receivedIDs                                                sync.Map // ids of requests that an endpoint received
+	mu                                                         sync.Mutex
+	latencies                                                  []time.Duration
 }
 
 func run() error {
@@ -68,10 +69,10 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var total tally
+	var total results
 	backends, err := scene.StartBackends(4, lab.EndpointConfig{Workers: 64, Body: 2000, Work: 5 * time.Millisecond, Seen: func(r *http.Request) {
-		if _, twice := total.came.LoadOrStore(r.Header.Get("Req-Id"), true); twice {
-			total.doubled.Add(1)
+		if _, twice := total.receivedIDs.LoadOrStore(r.Header.Get("Req-Id"), true); twice {
+			total.duplicated.Add(1)
 		}
 	}})
 	if err != nil {
@@ -86,69 +87,69 @@
 	if err := os.WriteFile(config, configuration(listen, backends.Registry.Addr(), backends.Endpoints), 0o600); err != nil {
 		return err
 	}
-	now, _, err := start(dir, config, 0)
+	current, _, err := start(dir, config, 0)
 	if err != nil {
 		return err
 	}
-	defer func() { now.Stop(owed) }()
+	defer func() { current.Stop(stopTimeout) }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var asking sync.WaitGroup
-	var probing prober
-	probing.at.Store(now)
-	asking.Go(func() { probing.run(ctx) })
+	var running sync.WaitGroup
+	var probe prober
+	probe.target.Store(current)
+	running.Go(func() { probe.run(ctx) })
 	for w := range *workers {
-		asking.Go(func() { ask(ctx, listen, w, &total) })
+		running.Go(func() { runClient(ctx, listen, w, &total) })
 	}
-	var yes, left []time.Duration
-	most := 0
-	var mostMemory int64
+	var readyTimes, stopTimes []time.Duration
+	maxDescriptors := 0
+	var maxMemory int64
 	for i := range *upgrades {
 		time.Sleep(*pause)
 		next, took, err := start(dir, config, i+1)
 		if err != nil {
 			return err
 		}
-		yes = append(yes, took)
-		most = max(most, now.Descriptors()+next.Descriptors())
-		held, _ := now.Memory()
-		more, _ := next.Memory()
-		mostMemory = max(mostMemory, held+more)
-		probing.at.Store(next)
-		begun, old := time.Now(), now
-		now = next
-		old.Stop(owed)
-		left = append(left, time.Since(begun))
+		readyTimes = append(readyTimes, took)
+		maxDescriptors = max(maxDescriptors, current.Descriptors()+next.Descriptors())
+		oldMemory, _ := current.Memory()
+		newMemory, _ := next.Memory()
+		maxMemory = max(maxMemory, oldMemory+newMemory)
+		probe.target.Store(next)
+		started, old := time.Now(), current
+		current = next
+		old.Stop(stopTimeout)
+		stopTimes = append(stopTimes, time.Since(started))
 	}
 	time.Sleep(*pause)
 	cancel()
-	asking.Wait()
-	report(&total, &probing, yes, left, most, mostMemory)
+	running.Wait()
+	report(&total, &probe, readyTimes, stopTimes, maxDescriptors, maxMemory)
 	return nil
 }
 
-func report(t *tally, p *prober, yes, left []time.Duration, descriptors int, memory int64) {
+func report(t *results, p *prober, readyTimes, stopTimes []time.Duration, descriptors int, memory int64) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	slices.Sort(t.took)
+	slices.Sort(t.latencies)
 	row := func(name string, v any) { fmt.Fprintf(w, "%s\t%v\n", name, v) }
-	row("upgrades", len(yes))
-	row("asked", t.asked.Load())
+	row("upgrades", len(readyTimes))
+	row("asked", t.sent.Load())
 	row("served", t.served.Load())
 	row("lost (no whole answer)", t.noAnswer.Load())
 	row("reset or not let in", t.reset.Load())
 	row("refused", t.refused.Load())
 	row("failed", t.failed.Load())
-	row("sent twice", t.doubled.Load())
-	if n := len(t.took); n > 0 {
-		row("answers, median", t.took[n/2].Round(10*time.Microsecond))
-		row("answers, 99th percentile", t.took[n*99/100].Round(10*time.Microsecond))
-		row("slowest answer", t.took[n-1].Round(10*time.Microsecond))
+	row("sent twice", t.duplicated.Load())
+	if n := len(t.latencies); n > 0 {
+		row("answers, median", t.latencies[n/2].Round(10*time.Microsecond))
+		row("answers, 99th percentile", t.latencies[n*99/100].Round(10*time.Microsecond))
+		row("slowest answer", t.latencies[n-1].Round(10*time.Microsecond))
 	}
-	row("seconds to yes, most", slices.Max(yes).Seconds())
-	row("ready asked", p.asked)
-	row("ready, not YES", p.missed)
+	row("seconds to yes, most", slices.Max(readyTimes).Seconds())
+	row("ready asked", p.probes)
+	row("ready, not YES", p.failures)
 	row("ready, longest wait", p.longest.Round(10*time.Microsecond))
-	row("seconds until the old one has ended, most", slices.Max(left).Seconds())
+	row("seconds until the old one has ended, most", slices.Max(stopTimes).Seconds())
 	row("descriptors of both, most", descriptors)
 	row("memory of both, most (MB)", fmt.Sprintf("%d of %d", memory>>20, memoryMB))
 	w.Flush()
@@ -161,14 +162,14 @@
 	})
 }
 
-// memoryMB is what both processes together may hold.
+// memoryMB is the memory limit for both processes together.
 const memoryMB = 64
 
-// prober asks the process that serves whether it is ready, again and again.
+// prober polls the readiness of the serving process.
 type prober struct {
-	at            atomic.Pointer[process.Process]
-	asked, missed int
-	longest       time.Duration
+	target           atomic.Pointer[process.Process]
+	probes, failures int
+	longest          time.Duration
 }
 
 func (p *prober) run(ctx context.Context) {
@@ -180,23 +181,23 @@
 			return
 		case <-tick.C:
 		}
-		begun := time.Now()
-		asking, cancel := context.WithTimeout(ctx, time.Second)
-		p.asked++
-		if text, err := p.at.Load().Ask(asking, "ready"); ctx.Err() == nil && (err != nil || !strings.HasPrefix(text, "YES")) {
-			p.missed++
+		started := time.Now()
+		probeCtx, cancel := context.WithTimeout(ctx, time.Second)
+		p.probes++
+		if text, err := p.target.Load().Ask(probeCtx, "ready"); ctx.Err() == nil && (err != nil || !strings.HasPrefix(text, "YES")) {
+			p.failures++
 		}
 		cancel()
-		p.longest = max(p.longest, time.Since(begun))
+		p.longest = max(p.longest, time.Since(started))
 	}
 }
 
-// start starts a process, and returns how long it took to say yes.
+// start starts a process and returns the time until it was ready.
 func start(dir, config string, n int) (*process.Process, time.Duration, error) {
-	folder := dir
-	if *alone {
-		folder = filepath.Join(dir, strconv.Itoa(n))
-		if err := os.Mkdir(folder, 0o700); err != nil {
+	processDir := dir
+	if *separateDirs {
+		processDir = filepath.Join(dir, strconv.Itoa(n))
+		if err := os.Mkdir(processDir, 0o700); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -204,9 +205,9 @@
 	if *verbose {
 		log = os.Stderr
 	}
-	p, err := process.Start(*program, "", []string{"NODE_CONFIG=" + config, "TMPDIR=" + folder}, log)
+	p, err := process.Start(*program, "", []string{"NODE_CONFIG=" + config, "TMPDIR=" + processDir}, log)
 	if err != nil {
-		return nil, 0, fmt.Errorf("%w; go build -o bin/ ./cmd/spokegw makes it", err)
+		return nil, 0, fmt.Errorf("%w; build it with go build -o bin/ ./cmd/spokegw", err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
@@ -217,36 +218,36 @@
 	return p, took, err
 }
 
-// owed is the time that a process has to end, of the longest deadline and 0.7 s.
-const owed = 1200*time.Millisecond + 700*time.Millisecond
+// stopTimeout is the time that a process has to exit: the longest deadline and 0.7 s.
+const stopTimeout = 1200*time.Millisecond + 700*time.Millisecond
 
-// ask asks at its part of the rate, two of three requests on a kept connection.
-func ask(ctx context.Context, addr string, worker int, t *tally) {
+// runClient sends its part of the rate, two of three requests on an open connection.
+func runClient(ctx context.Context, addr string, worker int, t *results) {
 	tick := time.NewTicker(time.Duration(float64(*workers) / *rate * float64(time.Second)))
 	defer tick.Stop()
-	var kept net.Conn
+	var conn net.Conn
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
-			if kept != nil {
-				kept.Close()
+			if conn != nil {
+				conn.Close()
 			}
 			return
 		case <-tick.C:
 		}
-		if i%3 == 0 && kept != nil {
-			kept.Close()
-			kept = nil
+		if i%3 == 0 && conn != nil {
+			conn.Close()
+			conn = nil
 		}
-		kept = once(addr, kept, fmt.Sprintf("w%d-%d", worker, i), t)
+		conn = sendRequest(addr, conn, fmt.Sprintf("w%d-%d", worker, i), t)
 	}
 }
 
-// once asks once, on the connection kept or on a new one, and returns the one to
-// keep. A kept connection that was closed in the meantime is replaced.
-func once(addr string, c net.Conn, id string, t *tally) net.Conn {
-	t.asked.Add(1)
-	begun, fresh := time.Now(), c == nil
+// sendRequest sends a request on c, or on a new connection if c is nil, and returns the
+// connection to reuse, if any. It replaces a reused connection that was closed meanwhile.
+func sendRequest(addr string, c net.Conn, id string, t *results) net.Conn {
+	t.sent.Add(1)
+	started, newConn := time.Now(), c == nil
 	for {
 		if c == nil {
 			var err error
@@ -254,31 +255,31 @@
 				t.reset.Add(1)
 				return nil
 			}
-			fresh = true
+			newConn = true
 		}
 		c.SetDeadline(time.Now().Add(3 * time.Second))
 		fmt.Fprintf(c, "GET /map-tile/3?user=k HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\nReq-Deadline: 1200m\r\n\r\n", id)
 		r := bufio.NewReader(c)
 		if _, err := r.Peek(1); err != nil {
 			c.Close()
-			_, sentOn := t.came.Load(id)
+			_, forwarded := t.receivedIDs.Load(id)
 			switch {
-			case sentOn, errors.Is(err, os.ErrDeadlineExceeded):
+			case forwarded, errors.Is(err, os.ErrDeadlineExceeded):
 				t.noAnswer.Add(1)
-			case fresh:
+			case newConn:
 				t.reset.Add(1)
-			default: // it was closed between two requests, as it may be
+			default: // the server may close a connection between two requests
 				c = nil
 				continue
 			}
 			return nil
 		}
-		return t.answer(c, r, begun)
+		return t.readResponse(c, r, started)
 	}
 }
 
-// answer reads an answer, and returns the connection if it can be kept.
-func (t *tally) answer(c net.Conn, r *bufio.Reader, begun time.Time) net.Conn {
+// readResponse reads an answer and returns the connection if it can be reused.
+func (t *results) readResponse(c net.Conn, r *bufio.Reader, started time.Time) net.Conn {
 	resp, err := http.ReadResponse(r, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
@@ -296,7 +297,7 @@
 		t.failed.Add(1)
 	}
 	t.mu.Lock()
-	t.took = append(t.took, time.Since(begun))
+	t.latencies = append(t.latencies, time.Since(started))
 	t.mu.Unlock()
 	if resp.Close {
 		c.Close()
