--- a/bench/weights/main.go
+++ b/bench/weights/main.go
@@ -1,6 +1,6 @@
-// Command weights plays fleets before endpoints of unlike hardware in virtual time, with
-// four ways to weigh them, and tells how near the measured weights come to what the
-// endpoints can do, how soon they follow a change, and what clients have of it.
+// Command weights simulates fleets with endpoints on different hardware in virtual time,
+// with four methods of weighting. It reports how close the measured weights are to the
+// capacity of the endpoints, how fast they follow a change, and the effect on clients.
 //
 //	go run ./bench/weights [-seeds 5] [-gateways 40] [-scene NAME]
 //	go run ./bench/weights -table demand|follow|delay|size
@@ -22,56 +22,56 @@
 )
 
 var (
-	seeds    = flag.Uint64("seeds", 5, "plays of each scene")
-	from     = flag.Uint64("from", 1, "the first one's seed")
-	gateways = flag.Int("gateways", 40, "sidecars of a fleet")
-	only     = flag.String("scene", "", "the one to be played; all without it")
-	load     = flag.Float64("load", 0.7, "part of the capacity that is asked for")
-	what     = flag.String("table", "ways", "ways, demand, follow, delay or size")
-	lasts    = flag.Duration("lasts", 40*time.Second, "of a play, the first half of which is not counted")
+	seeds     = flag.Uint64("seeds", 5, "runs per scene")
+	firstSeed = flag.Uint64("from", 1, "first seed")
+	gateways  = flag.Int("gateways", 40, "number of sidecars in the fleet")
+	sceneName = flag.String("scene", "", "run only this scene; empty: all")
+	load      = flag.Float64("load", 0.7, "offered load as a fraction of the capacity")
+	tableName = flag.String("table", "ways", "table to print: ways, demand, follow, delay or size")
+	duration  = flag.Duration("lasts", 40*time.Second, "duration of a run, the first half of which is warm-up")
 )
 
 func main() {
 	flag.Parse()
-	tables := map[string]func(){"ways": ways, "demand": demand, "follow": follow, "delay": delay, "size": size}
-	table, known := tables[*what]
+	tables := map[string]func(){"ways": compareModes, "demand": errorByLoad, "follow": adaptationTime, "delay": swingByDelay, "size": messageCosts}
+	table, known := tables[*tableName]
 	if !known {
-		fmt.Fprintf(os.Stderr, "weights: there is no table %q\n", *what)
+		fmt.Fprintf(os.Stderr, "weights: unknown table %q\n", *tableName)
 		os.Exit(1)
 	}
 	table()
 }
 
-// ways plays the scenes with each way.
-func ways() {
+// compareModes runs the scenes with each weighting mode.
+func compareModes() {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "scene\tway\tin time %\tlate %\trefused %\tfailed %\tworth\toff, table\toff, estimate\tswing")
 	for _, s := range scenes {
-		if *only != "" && *only != s.name {
+		if *sceneName != "" && *sceneName != s.name {
 			continue
 		}
-		for _, way := range []hardware.Way{hardware.Even, hardware.List, hardware.Alone, hardware.Fleet} {
-			s.row(w, way)
+		for _, mode := range []hardware.Way{hardware.Even, hardware.List, hardware.Alone, hardware.Fleet} {
+			s.printRow(w, mode)
 		}
 		w.Flush()
 	}
 }
 
-// scene is a fleet of servers and what happens to it.
+// scene is a set of servers, their load and the error of the cost hints.
 type scene struct {
-	name string
-	make func(r *rand.Rand) []*hardware.Server
-	load func() func(time.Duration) float64
-	lie  [2]float64 // hints over true work
+	name        string
+	newServers  func(r *rand.Rand) []*hardware.Server
+	load        func() func(time.Duration) float64
+	hintFactors [2]float64 // hinted work over true work, by class
 }
 
-func steady() func(time.Duration) float64 {
+func constantLoad() func(time.Duration) float64 {
 	return func(time.Duration) float64 { return *load }
 }
 
-// unlike are three kinds: small ones, large ones, and old ones that the list takes for
-// small.
-func unlike(*rand.Rand) (all []*hardware.Server) {
+// mixedHardware returns servers of three kinds: small ones, large ones, and slow old ones
+// that have the listed weight of small ones.
+func mixedHardware(*rand.Rand) (all []*hardware.Server) {
 	for i := range 30 {
 		s := &hardware.Server{Listed: 1, Workers: 2, Speed: 1, Queue: 40}
 		switch i % 3 {
@@ -85,25 +85,26 @@
 	return all
 }
 
-// one kind, of which each machine differs.
-func scattered(r *rand.Rand) (all []*hardware.Server) {
+// variedSpeed returns servers of one kind whose speeds differ.
+func variedSpeed(r *rand.Rand) (all []*hardware.Server) {
 	for range 30 {
 		all = append(all, &hardware.Server{Listed: 1, Workers: 4, Speed: math.Exp(0.5 * r.NormFloat64()), Queue: 40})
 	}
 	return all
 }
 
-// neighbours take 30 to 70% of one machine in four for 20 s, at some time.
-func neighbours(r *rand.Rand) []*hardware.Server {
-	all := unlike(r)
+// noisyNeighbours returns mixedHardware in which one machine in four loses 30 to 70% of its
+// capacity for 20 s, from a random time.
+func noisyNeighbours(r *rand.Rand) []*hardware.Server {
+	all := mixedHardware(r)
 	for i, s := range all {
 		if i%4 != 0 {
 			continue
 		}
-		begin, left := 15*time.Second+time.Duration(r.Int64N(int64(10*time.Second))), 0.3+0.4*r.Float64()
+		begin, remaining := 15*time.Second+time.Duration(r.Int64N(int64(10*time.Second))), 0.3+0.4*r.Float64()
 		s.Left = func(now time.Duration) float64 {
 			if now >= begin && now < begin+20*time.Second {
-				return left
+				return remaining
 			}
 			return 1
 		}
@@ -111,9 +112,10 @@
 	return all
 }
 
-// failers answer three in ten requests with an error at once.
-func failers(r *rand.Rand) []*hardware.Server {
-	all := unlike(r)
+// failingServers returns mixedHardware in which one server in six immediately answers 30%
+// of its requests with an error.
+func failingServers(r *rand.Rand) []*hardware.Server {
+	all := mixedHardware(r)
 	for i, s := range all {
 		if i%6 == 0 {
 			s.Fails = 0.3
@@ -123,42 +125,42 @@
 }
 
 var scenes = []scene{
-	{"unlike", unlike, steady, [2]float64{1, 1}},
-	{"hints lie", unlike, steady, [2]float64{2, 0.5}},
-	{"scattered", scattered, steady, [2]float64{1, 1}},
-	{"neighbours", neighbours, steady, [2]float64{1, 1}},
-	{"failers", failers, steady, [2]float64{1, 1}},
-	{"waves", unlike, func() func(time.Duration) float64 {
+	{"unlike", mixedHardware, constantLoad, [2]float64{1, 1}},
+	{"hints lie", mixedHardware, constantLoad, [2]float64{2, 0.5}},
+	{"scattered", variedSpeed, constantLoad, [2]float64{1, 1}},
+	{"neighbours", noisyNeighbours, constantLoad, [2]float64{1, 1}},
+	{"failers", failingServers, constantLoad, [2]float64{1, 1}},
+	{"waves", mixedHardware, func() func(time.Duration) float64 {
 		return func(now time.Duration) float64 { return *load * (0.6 + 0.4*math.Sin(now.Seconds()/3)) }
 	}, [2]float64{1, 1}},
 }
 
-// result is what came of one play.
+// result is the outcome of one run.
 type result struct {
-	tally         hardware.Tally
-	off, estimate float64
-	swing         float64
+	tally                     hardware.Tally
+	tableError, estimateError float64
+	swing                     float64
 }
 
-func (s *scene) row(w *tabwriter.Writer, way hardware.Way) {
+func (s *scene) printRow(w *tabwriter.Writer, mode hardware.Way) {
 	results := make([]result, *seeds)
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range results {
-		playing.Go(func() { results[i] = s.play(way, *from+uint64(i)) })
+		running.Go(func() { results[i] = s.simulate(mode, *firstSeed+uint64(i)) })
 	}
-	playing.Wait()
+	running.Wait()
 	var sum hardware.Tally
-	var offs, estimates, swings []float64
+	var tableErrors, estimateErrors, swings []float64
 	for _, r := range results {
 		sum.Asked, sum.Good, sum.Late = sum.Asked+r.tally.Asked, sum.Good+r.tally.Good, sum.Late+r.tally.Late
 		sum.Refused, sum.Failed = sum.Refused+r.tally.Refused, sum.Failed+r.tally.Failed
 		sum.Worth, sum.Possible = sum.Worth+r.tally.Worth, sum.Possible+r.tally.Possible
-		offs, estimates, swings = append(offs, r.off), append(estimates, r.estimate), append(swings, r.swing)
+		tableErrors, estimateErrors, swings = append(tableErrors, r.tableError), append(estimateErrors, r.estimateError), append(swings, r.swing)
 	}
-	part := func(n int) float64 { return 100 * float64(n) / float64(sum.Asked) }
-	fmt.Fprintf(w, "%s\t%v\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t", s.name, way, part(sum.Good), part(sum.Late), part(sum.Refused), part(sum.Failed), sum.Worth/sum.Possible)
-	if way == hardware.Fleet {
-		fmt.Fprintf(w, "%.3f\t%.3f\t%.4f\n", median(offs), median(estimates), median(swings))
+	percent := func(n int) float64 { return 100 * float64(n) / float64(sum.Asked) }
+	fmt.Fprintf(w, "%s\t%v\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t", s.name, mode, percent(sum.Good), percent(sum.Late), percent(sum.Refused), percent(sum.Failed), sum.Worth/sum.Possible)
+	if mode == hardware.Fleet {
+		fmt.Fprintf(w, "%.3f\t%.3f\t%.4f\n", median(tableErrors), median(estimateErrors), median(swings))
 	} else {
 		fmt.Fprintf(w, "\t\t\n")
 	}
@@ -169,34 +171,34 @@
 	return x[len(x)/2]
 }
 
-// lab is the scene with so many gateways.
-func (s *scene) lab(way hardware.Way, seed uint64, gateways int) *hardware.Lab {
+// newLab returns a simulation of the scene.
+func (s *scene) newLab(mode hardware.Way, seed uint64, gateways int) *hardware.Lab {
 	return hardware.New(hardware.Config{
-		Seed: seed, Way: way, Gateways: gateways, Servers: s.make(rand.New(rand.NewPCG(seed, 11))), Load: s.load(), Skewed: true,
+		Seed: seed, Way: mode, Gateways: gateways, Servers: s.newServers(rand.New(rand.NewPCG(seed, 11))), Load: s.load(), Skewed: true,
 		Classes: []hardware.Class{
-			{Class: policy.Class{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1, LateWorth: 0.3}, Part: 0.7, Work: 20 * time.Millisecond, Spray: 0.7, Hint: s.lie[0]},
-			{Class: policy.Class{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 3, LateWorth: 0.3}, Part: 0.3, Work: 60 * time.Millisecond, Spray: 0.7, Hint: s.lie[1]},
+			{Class: policy.Class{Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1, LateWorth: 0.3}, Part: 0.7, Work: 20 * time.Millisecond, Spray: 0.7, Hint: s.hintFactors[0]},
+			{Class: policy.Class{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 3, LateWorth: 0.3}, Part: 0.3, Work: 60 * time.Millisecond, Spray: 0.7, Hint: s.hintFactors[1]},
 		},
 	})
 }
 
-func (s *scene) play(way hardware.Way, seed uint64) (r result) {
-	l := s.lab(way, seed, *gateways)
-	l.Play(*lasts / 2)
+func (s *scene) simulate(mode hardware.Way, seed uint64) (r result) {
+	l := s.newLab(mode, seed, *gateways)
+	l.Play(*duration / 2)
 	l.Tally = hardware.Tally{}
-	last := l.Factors(0)
+	previous := l.Factors(0)
 	n := 0.0
 	for range 10 {
-		l.Play(*lasts / 20)
-		if h := l.Holder(); way == hardware.Fleet && h >= 0 {
+		l.Play(*duration / 20)
+		if h := l.Holder(); mode == hardware.Fleet && h >= 0 {
 			now := l.Factors(h)
 			for i := range now {
-				r.swing += math.Abs(math.Log(now[i] / last[i]))
+				r.swing += math.Abs(math.Log(now[i] / previous[i]))
 			}
 			n += float64(len(now))
-			last = now
+			previous = now
 			table, estimate := l.Error()
-			r.off, r.estimate = r.off+table/10, r.estimate+estimate/10
+			r.tableError, r.estimateError = r.tableError+table/10, r.estimateError+estimate/10
 		}
 	}
 	r.swing /= max(n, 1)
@@ -204,14 +206,14 @@
 	return r
 }
 
-// of plays a scene's seeds side by side and returns the median of what each comes to.
-func of(play func(seed uint64) []float64) []float64 {
+// medians runs simulate for all seeds in parallel and returns the median of each result.
+func medians(simulate func(seed uint64) []float64) []float64 {
 	all := make([][]float64, *seeds)
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range all {
-		playing.Go(func() { all[i] = play(*from + uint64(i)) })
+		running.Go(func() { all[i] = simulate(*firstSeed + uint64(i)) })
 	}
-	playing.Wait()
+	running.Wait()
 	var medians []float64
 	for k := range all[0] {
 		var x []float64
@@ -223,70 +225,70 @@
 	return medians
 }
 
-// demand tells how far off estimates are by what is asked for.
-func demand() {
+// errorByLoad prints the error of the estimates by offered load.
+func errorByLoad() {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "asked for\toff, unlike\toff, scattered\tlist, unlike\tlist, scattered")
-	for _, part := range []float64{0.1, 0.2, 0.4, 0.6, 0.8, 0.9, 1} {
-		*load = part
+	for _, fraction := range []float64{0.1, 0.2, 0.4, 0.6, 0.8, 0.9, 1} {
+		*load = fraction
 		row := []float64{}
 		for _, i := range []int{0, 2} {
-			row = append(row, of(func(seed uint64) []float64 {
-				l := scenes[i].lab(hardware.Fleet, seed, *gateways)
-				l.Play(*lasts)
+			row = append(row, medians(func(seed uint64) []float64 {
+				l := scenes[i].newLab(hardware.Fleet, seed, *gateways)
+				l.Play(*duration)
 				_, estimate := l.Error()
 				return []float64{estimate}
 			})...)
 		}
 		list := func(i int) float64 {
-			return of(func(seed uint64) []float64 { return []float64{scenes[i].lab(hardware.List, seed, 3).Off()} })[0]
+			return medians(func(seed uint64) []float64 { return []float64{scenes[i].newLab(hardware.List, seed, 3).Off()} })[0]
 		}
-		fmt.Fprintf(w, "%.0f%%\t%.3f\t%.3f\t%.3f\t%.3f\n", 100*part, row[0], row[1], list(0), list(2))
+		fmt.Fprintf(w, "%.0f%%\t%.3f\t%.3f\t%.3f\t%.3f\n", 100*fraction, row[0], row[1], list(0), list(2))
 	}
 	w.Flush()
 }
 
-// follow tells how long it takes until the table has followed a machine that loses a part.
-func follow() {
+// adaptationTime prints how long the table takes to follow a machine that loses capacity.
+func adaptationTime() {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "left of a machine\tseconds to half of the change\tto four fifths\tback to half, after 20 s")
-	for _, left := range []float64{0.7, 0.5, 0.3} {
-		x := of(func(seed uint64) []float64 {
+	for _, remaining := range []float64{0.7, 0.5, 0.3} {
+		x := medians(func(seed uint64) []float64 {
 			s := scenes[0]
-			l := s.lab(hardware.Fleet, seed, *gateways)
+			l := s.newLab(hardware.Fleet, seed, *gateways)
 			l.Play(20 * time.Second)
 			server := l.Servers[1]
 			before := l.Factors(max(l.Holder(), 0))[1]
 			begin := l.Now
 			server.Left = func(now time.Duration) float64 {
 				if now < begin+20*time.Second {
-					return left
+					return remaining
 				}
 				return 1
 			}
-			half, most, back := math.Inf(1), math.Inf(1), math.Inf(1)
+			toHalf, toFourFifths, backToHalf := math.Inf(1), math.Inf(1), math.Inf(1)
 			for at := 0.0; at < 45; at += 0.5 {
 				l.Play(500 * time.Millisecond)
-				gone := math.Log(l.Factors(max(l.Holder(), 0))[1]/before) / math.Log(left)
-				if at < 20 && gone >= 0.5 {
-					half = min(half, at+0.5)
+				change := math.Log(l.Factors(max(l.Holder(), 0))[1]/before) / math.Log(remaining)
+				if at < 20 && change >= 0.5 {
+					toHalf = min(toHalf, at+0.5)
 				}
-				if at < 20 && gone >= 0.8 {
-					most = min(most, at+0.5)
+				if at < 20 && change >= 0.8 {
+					toFourFifths = min(toFourFifths, at+0.5)
 				}
-				if at >= 20 && gone < 0.5 {
-					back = min(back, at+0.5-20)
+				if at >= 20 && change < 0.5 {
+					backToHalf = min(backToHalf, at+0.5-20)
 				}
 			}
-			return []float64{half, most, back}
+			return []float64{toHalf, toFourFifths, backToHalf}
 		})
-		fmt.Fprintf(w, "%.1f\t%.1f\t%.1f\t%.1f\n", left, x[0], x[1], x[2])
+		fmt.Fprintf(w, "%.1f\t%.1f\t%.1f\t%.1f\n", remaining, x[0], x[1], x[2])
 	}
 	w.Flush()
 }
 
-// delay tells how much factors swing, and how far off they are, by the delay of messages.
-func delay() {
+// swingByDelay prints the oscillation and the error of the factors by message delay.
+func swingByDelay() {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "delay up to\tlost\tloaded\toff, table\tswing a period\tlate %")
 	for _, c := range []struct {
@@ -295,49 +297,49 @@
 		load  float64
 	}{{4 * time.Millisecond, 0, 0.7}, {400 * time.Millisecond, 0.3, 0.7}, {time.Second, 0, 0.7}, {1800 * time.Millisecond, 0, 0.7}, {4 * time.Millisecond, 0, 0.95}, {time.Second, 0, 0.95}} {
 		*load = c.load
-		x := of(func(seed uint64) []float64 {
-			l := scenes[0].lab(hardware.Fleet, seed, *gateways)
+		x := medians(func(seed uint64) []float64 {
+			l := scenes[0].newLab(hardware.Fleet, seed, *gateways)
 			l.Drop = c.lost
 			l.Delay = func() time.Duration { return time.Duration(l.Rand.Int64N(int64(c.delay))) }
 			l.Play(30 * time.Second)
 			l.Tally = hardware.Tally{}
-			last, swing, off, n := l.Factors(0), 0.0, 0.0, 0.0
+			previous, swing, tableError, n := l.Factors(0), 0.0, 0.0, 0.0
 			for range 30 {
 				l.Play(time.Second)
 				now := l.Factors(0)
 				for i := range now {
-					swing += math.Abs(math.Log(now[i]/last[i])) / float64(len(now))
+					swing += math.Abs(math.Log(now[i]/previous[i])) / float64(len(now))
 				}
-				last = now
+				previous = now
 				if table, _ := l.Error(); !math.IsNaN(table) {
-					off, n = off+table, n+1
+					tableError, n = tableError+table, n+1
 				}
 			}
-			return []float64{off / max(n, 1), swing / 30, 100 * float64(l.Tally.Late) / float64(l.Tally.Asked)}
+			return []float64{tableError / max(n, 1), swing / 30, 100 * float64(l.Tally.Late) / float64(l.Tally.Asked)}
 		})
 		fmt.Fprintf(w, "%v\t%.0f%%\t%.2f\t%.3f\t%.4f\t%.1f\n", c.delay, 100*c.lost, c.load, x[0], x[1], x[2])
 	}
 	w.Flush()
 }
 
-// size tells what messages cost by the size of the fleet, with 200 endpoints.
-func size() {
+// messageCosts prints the number and bytes of messages by fleet size, with 200 endpoints.
+func messageCosts() {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "gateways\tmessages a member and second\tbytes a member and second\tto and from the holder, KB a second")
 	for _, n := range []int{10, 100, 500} {
-		s := scene{make: func(r *rand.Rand) (all []*hardware.Server) {
+		s := scene{newServers: func(r *rand.Rand) (all []*hardware.Server) {
 			for range 7 {
-				all = append(all, unlike(r)...)
+				all = append(all, mixedHardware(r)...)
 			}
 			return all[:200]
-		}, load: steady, lie: [2]float64{1, 1}}
-		l := s.lab(hardware.Fleet, *from, n)
-		*load = min(0.5, 20*float64(n)*0.032/l.Capacity()) // some 20 requests a second a gateway
+		}, load: constantLoad, hintFactors: [2]float64{1, 1}}
+		l := s.newLab(hardware.Fleet, *firstSeed, n)
+		*load = min(0.5, 20*float64(n)*0.032/l.Capacity()) // about 20 requests per second and gateway
 		l.Play(10 * time.Second)
-		sent, bytes := l.Sent, l.Bytes
+		sentBefore, bytesBefore := l.Sent, l.Bytes
 		l.Play(10 * time.Second)
-		each := float64(n) * 10
-		fmt.Fprintf(w, "%d\t%.1f\t%.0f\t%.0f\n", n, float64(l.Sent-sent)/each, float64(l.Bytes-bytes)/each, float64(l.Bytes-bytes)/10/1024)
+		memberSeconds := float64(n) * 10
+		fmt.Fprintf(w, "%d\t%.1f\t%.0f\t%.0f\n", n, float64(l.Sent-sentBefore)/memberSeconds, float64(l.Bytes-bytesBefore)/memberSeconds, float64(l.Bytes-bytesBefore)/10/1024)
 	}
 	w.Flush()
 }
