--- a/bench/overload/main.go
+++ b/bench/overload/main.go
@@ -50,7 +50,7 @@
 	program := flag.String("program", "bin/spokegw", "path of the sidecar binary")
 	baseRate := flag.Float64("one", 6000, "requests per second at multiple 1")
 	multiples := flag.String("multiples", "0.5,1,2,4,10", "multiples of -one to offer, one after the other")
-	duration := flag.Duration("lasts", 4*time.Second, "measured duration per multiple")
+	duration := flag.Duration("lasts", 4*time.Second, "each")
 	settings := flag.String("settings", "", "lines to append to the operator file")
 	verbose := flag.Bool("v", false, "show the sidecar's log")
 	flag.Parse()
--- a/bench/path/count.go
+++ b/bench/path/count.go
@@ -260,7 +260,7 @@
 	var exceeded []error
 	for _, r := range all {
 		entry, known := budget[r.Exchange]
-		if r.Way != "sidecar" {
+		if r.Via != "sidecar" {
 			continue
 		}
 		if !known {
@@ -287,7 +287,7 @@
 	budget := map[string]budgetEntry{}
 	round := func(x float64) float64 { return float64(int(x*10+0.5)) / 10 }
 	for _, r := range all {
-		if r.Way == "sidecar" {
+		if r.Via == "sidecar" {
 			budget[r.Exchange] = budgetEntry{round(r.Allocations), round(r.Reads), round(r.Writes), round(r.Goroutines)}
 		}
 	}
--- a/bench/path/main.go
+++ b/bench/path/main.go
@@ -98,7 +98,7 @@
 // row is the cost of one request of an exchange, through the sidecar or the splice.
 type row struct {
 	Exchange string `json:"exchange"`
-	Way      string `json:"way"` // sidecar or splice
+	Via      string `json:"way"` // sidecar or splice
 	counts
 }
 
@@ -155,7 +155,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\tway\tallocations\tbytes\treads\twrites\tgoroutines\tCPU us\t")
 	for _, r := range all {
-		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.0f\t%.2f\t%.2f\t%.2f\t%.1f\t\n", r.Exchange, r.Way, r.Allocations, r.Bytes, r.Reads, r.Writes, r.Goroutines, r.CPU)
+		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.0f\t%.2f\t%.2f\t%.2f\t%.1f\t\n", r.Exchange, r.Via, r.Allocations, r.Bytes, r.Reads, r.Writes, r.Goroutines, r.CPU)
 	}
 	w.Flush()
 }
--- a/bench/trial/main.go
+++ b/bench/trial/main.go
@@ -24,7 +24,7 @@
 	scenes := flag.Bool("scenes", false, "run the scripted discovery scenes instead of random faults")
 	seeds := flag.Int("seeds", 1, "number of seeds")
 	first := flag.Uint64("first", 1, "first seed")
-	sidecars := flag.Int("sidecars", 24, "number of sidecar processes")
+	sidecars := flag.Int("sidecars", 24, "processes")
 	duration := flag.Duration("lasts", 60*time.Second, "duration of one seed")
 	dir := flag.String("dir", "", "directory for the logs of seeds that break a rule; empty: logs are deleted")
 	parallel := flag.Int("beside", 1, "seeds or scenes to run in parallel")
