--- a/bench/mutants/main.go
+++ b/bench/mutants/main.go
@@ -40,7 +40,7 @@
 	slowStartTests = "Test(SavedTokensAreBounded|EndpointDebtIsBounded|UnusedTokensAreSpent|BurstDoesNotOverloadColdEndpoints|FleetWithReplacedEndpoints|ColdServersAreSparedWhileTheyDecline|BudgetIsCheckedAfterProbes|PopularKeyDoesNotOverloadColdEndpoint)"
 
 	// Tests of what judges sidecars while processes are killed: the sidecar's, and the judges' own.
-	killTests         = "TestNothingIsLostBesideKills"
+	killTests         = "TestNoOtherLossDuringKills"
 	verdictTests      = "TestVerdicts"
 	trialJudgeTests   = "Test(DroppedByTheNextProcess|CutOffByAKill|DroppedByAProcessThatEnds|RefusedBeforeAKill|ToldBeforeDiscoveryIsDown|HeldUp)"
 	trialOutcomeTests = "TestOutcome"
@@ -232,9 +232,9 @@
 	{"internal/discovery/watch.go", "		w.cancelCall(w.calls[len(w.calls)-1])\n	}\n	w.startCall(ctx, true)", "		w.cancelCall(w.calls[0])\n	}\n	w.startCall(ctx, true)", watchTests, "TestSlowDiscoveryAnswers"},
 	{"internal/discovery/watch.go", "	w.cancelCalls()\n	w.counts.answered", "	w.counts.answered", watchTests, "TestSlowDiscoveryAnswers"},
 
-	{"internal/front/http1/plain.go", "	kept = p.write(&a, last)\n", "	kept = time.Now().UnixNano()%300 != 0 && p.write(&a, last)\n", killTests, "TestNothingIsLostBesideKills"},
-	{"internal/front/http1/plain.go", "	kept = p.write(&a, last)\n", "	if time.Now().UnixNano()%300 == 0 {\n		os.Exit(1)\n	}\n	kept = p.write(&a, last)\n", killTests, "TestNothingIsLostBesideKills"},
-	{"internal/front/http1/server.go", "acceptAfterStop = 600 * time.Millisecond", "acceptAfterStop = 0 * time.Millisecond", killTests, "TestNothingIsLostBesideKills"},
+	{"internal/front/http1/plain.go", "	kept = p.write(&a, last)\n", "	kept = time.Now().UnixNano()%300 != 0 && p.write(&a, last)\n", killTests, "TestNoOtherLossDuringKills"},
+	{"internal/front/http1/plain.go", "	kept = p.write(&a, last)\n", "	if time.Now().UnixNano()%300 == 0 {\n		os.Exit(1)\n	}\n	kept = p.write(&a, last)\n", killTests, "TestNoOtherLossDuringKills"},
+	{"internal/front/http1/server.go", "acceptAfterStop = 600 * time.Millisecond", "acceptAfterStop = 0 * time.Millisecond", killTests, "TestNoOtherLossDuringKills"},
 	{"internal/lab/process/disturbance.go", " && !end.Before(d.From) && !d.laterThan(begun)", " && !d.laterThan(begun)", verdictTests, "TestVerdicts"},
 	{"internal/lab/process/disturbance.go", " && !end.Before(d.From) && !d.laterThan(begun)", " && !end.Before(d.From)", verdictTests, "TestVerdicts"},
 	{"internal/lab/process/disturbance.go", "d.Cause == Killed && ", "", verdictTests, "TestVerdicts"},
