--- a/internal/sidecar/moves_test.go
+++ b/internal/sidecar/moves_test.go
@@ -331,7 +331,7 @@
 	nothing := strings.Replace(quick("nothing", 0, 1), "to.pod = 1", "to.label = 'v=2'", 1)
 	everything := strings.Replace(quick("everything", 0, 1), "from.pod = 0", "from.id-prefix = 'maps-'", 1)
 	s := startReady(t, scene.Config{Maps: twoPods(nil, nil), Operator: moveFile(nothing + everything)})
-	for name, want := range map[string]string{"nothing": "4 are ready of the one and 0 of the other", "everything": "4 are ready of the one and 0 of the other"} {
+	for name, want := range map[string]string{"nothing": "4 ready in the old pool, 0 in the new", "everything": "4 ready in the old pool, 0 in the new"} {
 		if _, err := call(t, s, "begin-move "+name); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", name, err)
 		}
